--- a/routing/dispatcher.go
+++ b/routing/dispatcher.go
@@ -15,53 +15,54 @@
 var (
 	grantsTotal = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "papayasail_routing_grants_total",
-		Help: "Requests placed on a backend server: at once, or after waiting.",
+		Help: "Requests placed on a backend server, by whether they waited in the queue.",
 	}, []string{"how"})
 	refusalsTotal = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "papayasail_routing_refusals_total",
-		Help: "Requests refused by routing, by reason.",
+		Help: "Requests refused by the scheduler, by reason.",
 	}, []string{"reason"})
 	preemptionsTotal = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "papayasail_routing_preemptions_total",
-		Help: "Preemptions seen in streams that this host placed.",
+		Help: "Preemptions seen in the streams that this host placed.",
 	})
 	waitSeconds = prometheus.NewHistogram(prometheus.HistogramOpts{
 		Name:    "papayasail_routing_wait_seconds",
-		Help:    "Time that placed requests waited in the queue.",
+		Help:    "Queueing time of the requests that were placed after waiting.",
 		Buckets: prometheus.ExponentialBuckets(0.001, 2, 16),
 	})
 )
 
-// Collectors returns the counters of this package.
+// Collectors returns the metrics of this package.
 func Collectors() []prometheus.Collector {
 	return []prometheus.Collector{grantsTotal, refusalsTotal, preemptionsTotal, waitSeconds}
 }
 
 const (
 	defaultQueueWait = 10 * time.Second
-	pumpEvery        = 20 * time.Millisecond // looks at the queue for what time alone changes
+	pumpEvery        = 20 * time.Millisecond // queue check interval, for changes that raise no event
 	retryNoServer    = time.Second
 	leastRetryAfter  = 500 * time.Millisecond
 	mostRetryAfter   = 30 * time.Second
 )
 
-// Options sets up a Dispatcher. Pool and Policy are required.
+// Options configures a Dispatcher. Pool and Policy are required.
 type Options struct {
 	Pool   *backend.Pool
 	Policy string // one of Policies()
-	Host   string // name of this entry host, for its subset of servers
-	Seed   uint64 // of random choices
-	// Share returns the part of each stated limit that this host may give
-	// out, 0 to 1: one over the number of live entry hosts. Default: 1.
+	Host   string // name of this entry host; it selects the host's subset of servers
+	Seed   uint64 // seed of the random choices
+	// Share returns the share of each configured limit that this host may
+	// use, 0 to 1: one over the number of live entry hosts. Default: 1.
 	Share func() float64
-	// Followed is how many servers of a service this host places on while
-	// any of them is free. Default backend.FollowedServers.
+	// Followed is the size of this host's subset of a service's servers. The
+	// host places outside the subset only if no server in it may take the
+	// request. Default: backend.FollowedServers.
 	Followed int
 }
 
 // Dispatcher is the Scheduler of one entry host.
 //
-// Lock order: Dispatcher.mu, then service.mu, then the pool's own.
+// Lock order: Dispatcher.mu, then service.mu, then the pool's lock.
 type Dispatcher struct {
 	options Options
 	build   func() policy
@@ -69,7 +70,7 @@
 	mu       sync.Mutex // guards services
 	services map[string]*service
 
-	wake chan struct{} // holds one token when queues are to be looked at
+	wake chan struct{} // buffered signal to check the queues
 	stop chan struct{}
 	done sync.WaitGroup
 	once sync.Once
@@ -77,7 +78,8 @@
 
 var _ Scheduler = (*Dispatcher)(nil)
 
-// New returns a running dispatcher; Close stops it. An unknown policy is an error.
+// New starts a dispatcher; Close stops it. It returns an error if the policy is
+// unknown.
 func New(options Options) (*Dispatcher, error) {
 	build, err := policyNamed(options.Policy)
 	if err != nil {
@@ -101,8 +103,8 @@
 	return d, nil
 }
 
-// Close refuses all queued requests and stops the dispatcher. Grants that are
-// out stay valid.
+// Close stops the dispatcher and refuses all queued requests. Outstanding
+// grants stay valid.
 func (d *Dispatcher) Close() {
 	d.once.Do(func() { close(d.stop) })
 	d.done.Wait()
@@ -118,8 +120,9 @@
 	}
 }
 
-// run serves the queues after changes that no ending request brings: reports,
-// states, and what time alone changes, such as a slow start.
+// run serves the queues after changes other than a finished request: load
+// reports, server states, and changes that come with time alone, such as the
+// end of a slow start.
 func (d *Dispatcher) run() {
 	ticker := time.NewTicker(pumpEvery)
 	defer ticker.Stop()
@@ -146,7 +149,8 @@
 	return services
 }
 
-// service returns the state of a service, nil if it is not in force.
+// service returns the scheduling state of a service, or nil if the service is
+// not in force.
 func (d *Dispatcher) service(name string) *service {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/routing/dispatcher_bench_test.go
+++ b/routing/dispatcher_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/papayasail/papayasail/contract"
 )
 
-// BenchmarkDecision places one request and ends it, with sixteen generations
-// running on each followed server.
+// BenchmarkDecision places and ends one request while sixteen generations run on
+// each server.
 func BenchmarkDecision(b *testing.B) {
 	for _, workers := range []int{12, 600} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
--- a/routing/dispatcher_test.go
+++ b/routing/dispatcher_test.go
@@ -67,8 +67,8 @@
 	})
 }
 
-// All engines but one are being replaced and the last one refuses a
-// connection. Callers wait for it, and are told "not run" at their deadline.
+// Guards against an early refusal while the only server that is not leaving is
+// unreachable: requests wait for it and end as not run at their deadline.
 func TestWaitsForAnUnreachableServerUntilTheDeadline(t *testing.T) {
 	for _, policy := range Policies() {
 		synctest.Test(t, func(t *testing.T) {
@@ -88,8 +88,7 @@
 	}
 }
 
-// Every server is leaving. Waiting would be of no use, so the refusal comes
-// at once.
+// Guards against requests that wait in vain when all servers are leaving.
 func TestNoServerIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -116,7 +115,7 @@
 		_, err = d.Acquire(t.Context(), request)
 		is.Equal(refusalOf(t, err).Reason, contract.ReasonLimit)
 		first.Done(Result{Tokens: 5, Complete: true})
-		first.Done(Result{Tokens: 5, Complete: true}) // a second call frees nothing
+		first.Done(Result{Tokens: 5, Complete: true}) // a second call releases nothing
 		_, err = d.Acquire(t.Context(), request)
 		is.NoErr(err)
 		_, err = d.Acquire(t.Context(), request)
--- a/routing/forecast.go
+++ b/routing/forecast.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// forecast is the memory that a set of generations is expected to hold at each
-// horizon, and the variance of it, in tokens. Generations are taken to end
-// independently, so forecasts add up.
+// forecast is the expected memory of a set of generations at each horizon and
+// its variance, in tokens and tokens squared. Generations are assumed to end
+// independently, so forecasts can be added.
 type forecast struct {
 	mean     [horizonCount]float64
 	variance [horizonCount]float64
 }
 
-// add adds another forecast times a factor.
+// add adds another forecast, multiplied by factor.
 func (f *forecast) add(other *forecast, factor float64) {
 	for k := range f.mean {
 		f.mean[k] += factor * other.mean[k]
@@ -18,7 +18,8 @@
 	}
 }
 
-// cut keeps a forecast from showing more than a memory holds.
+// cut limits the mean to capacity and the variance to its maximum on
+// [0, capacity].
 func (f *forecast) cut(capacity float64) {
 	for k := range f.mean {
 		f.mean[k] = min(f.mean[k], capacity)
@@ -26,8 +27,9 @@
 	}
 }
 
-// generationForecast is that of one generation which has produced so many
-// tokens; maxTokens (0: none) ends it at the latest.
+// generationForecast returns the forecast of one generation with the given
+// numbers of prompt tokens and of tokens produced so far. The generation ends at
+// maxTokens at the latest (0: no limit).
 func generationForecast(table *survival, prompt, produced, maxTokens int) forecast {
 	var f forecast
 	reached := 1.0
@@ -42,7 +44,7 @@
 			chance = 1
 		case maxTokens > 0 && total >= maxTokens:
 		case produced == 0:
-			chance = table.fresh[k] // a decision's own: kept, since logarithms cost
+			chance = table.fresh[k] // every decision needs it: precomputed to save the logarithm
 		case reached > 0:
 			chance = table.after(float64(total)) / reached
 		}
@@ -53,8 +55,9 @@
 	return f
 }
 
-// strangersForecast is that of generations which other hosts run on a server:
-// how many and how much they hold is reported, not how far each one is.
+// strangersForecast returns the forecast of the generations that other hosts run
+// on a server. Reports contain their number and total memory, but not the
+// progress of each one.
 func strangersForecast(table *survival, running, held float64) forecast {
 	var f forecast
 	if running <= 0 {
@@ -71,12 +74,12 @@
 	return f
 }
 
-// fits reports whether the forecast stays below capacity at each horizon with
-// z standard deviations to spare, and how much of the capacity is then left at
-// the tightest one.
+// fits reports whether the mean plus z standard deviations stays within capacity
+// at each horizon. spare is the share of the capacity that remains at the
+// tightest horizon.
 func (f *forecast) fits(capacity, z float64) (spare float64, ok bool) {
-	// Forecasts are taken out again by subtraction, which can leave a variance
-	// just below zero; its root would be no number and nothing would fit.
+	// Forecasts are removed by subtraction, and rounding can leave a variance
+	// just below zero. Its square root would be NaN and nothing would fit.
 	tightest := math.Inf(1)
 	for k, mean := range f.mean {
 		tightest = min(tightest, capacity-mean-z*math.Sqrt(max(0, f.variance[k])))
@@ -84,8 +87,8 @@
 	return tightest / capacity, tightest >= 0
 }
 
-// quantile returns how many standard deviations keep the chance to exceed them
-// below risk.
+// quantile returns the number of standard deviations that a normally distributed
+// value exceeds with probability risk. risk is limited to 1e-6 to 0.5.
 func quantile(risk float64) float64 {
 	const least, most = 1e-6, 0.5
 	return math.Sqrt2 * math.Erfinv(1-2*min(most, max(least, risk)))
--- a/routing/gap.go
+++ b/routing/gap.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	gapShare     = 0.05 // share of gaps above the target that lowers the limit
-	gapSamples   = 40   // gaps to see before the limit moves
-	limitCut     = 0.9
-	limitStep    = 1.0
-	leastRunning = 4.0
-	limitPeriod  = 500 * time.Millisecond
+	gapShare     = 0.05                   // a larger share of gaps above the target lowers the limit
+	gapSamples   = 40                     // minimum number of gaps for an update
+	limitCut     = 0.9                    // factor of the multiplicative decrease
+	limitStep    = 1.0                    // additive increase, generations
+	leastRunning = 4.0                    // lower bound of the limit, generations
+	limitPeriod  = 500 * time.Millisecond // minimum time between updates
 )
 
-// gapMeter counts the gaps between tokens of one server's streams. Any
-// goroutine may add.
+// gapMeter counts the gaps between tokens in the streams of one server. add may
+// be called from any goroutine.
 type gapMeter struct {
-	target atomic.Int64 // ns; 0: gaps do not matter
-	seen   atomic.Int64
-	above  atomic.Int64
+	target atomic.Int64 // ns; 0: gaps are not counted
+	seen   atomic.Int64 // gaps counted
+	above  atomic.Int64 // gaps above the target
 	sum    atomic.Int64 // ns
 }
 
@@ -36,17 +36,17 @@
 	}
 }
 
-// runningLimit bounds the generations that run on one server by the gaps it
-// shows: additive increase while they keep to the target, multiplicative
-// decrease when too many do not. A constant would have to be set anew for each
-// model and machine.
+// runningLimit is an adaptive concurrency limit for the generations on one
+// server: additive increase while the gaps between tokens meet the target,
+// multiplicative decrease if too many exceed it. A constant limit would have to
+// be set for each model and machine.
 type runningLimit struct {
-	limit   float64 // 0: none yet
+	limit   float64 // 0: no limit yet
 	updated time.Time
-	pace    time.Duration // mean gap as last measured; 0: not yet
+	pace    time.Duration // mean gap at the last update; 0: no update yet
 }
 
-// update moves the limit by the gaps since the last time.
+// update adjusts the limit by the gaps counted since the last update.
 func (r *runningLimit) update(meter *gapMeter, running float64, now time.Time) {
 	if now.Sub(r.updated) < limitPeriod || meter.seen.Load() < gapSamples {
 		return
@@ -63,7 +63,7 @@
 	}
 }
 
-// bound returns the limit, infinite if gaps never set one.
+// bound returns the limit, or infinity if there is none yet.
 func (r *runningLimit) bound() float64 {
 	if r.limit <= 0 {
 		return math.Inf(1)
--- a/routing/grant.go
+++ b/routing/grant.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// grant is a Grant of a Dispatcher.
+// grant implements Grant for a Dispatcher.
 type grant struct {
 	service *service
 	request Request
@@ -13,16 +13,16 @@
 	address string
 	model   string
 	ledger  *ledger
-	cost    float64 // as charged to the organisation
+	cost    float64 // tokens charged to the organisation in advance
 
 	produced atomic.Int64 // tokens so far
 	done     atomic.Bool
 
-	index int      // in the ledger; the service's mutex guards it
-	part  forecast // in the ledger's own; the service's mutex guards it
+	index int      // position in ledger.grants; guarded by the service's mutex
+	part  forecast // this request's part of ledger.own; guarded by the service's mutex
 }
 
-// grant places a request on a server. Called with mu held.
+// grant places a request on the chosen server. Called with mu held.
 func (s *service) grant(request *Request, chosen *candidate, now time.Time) *grant {
 	g := &grant{
 		service: s,
@@ -49,14 +49,15 @@
 // Model implements Grant.
 func (g *grant) Model() string { return g.model }
 
-// Progress implements Grant. It takes no lock: it is called for each token.
+// Progress implements Grant. It acquires no lock, since it is called for each
+// token.
 func (g *grant) Progress(tokens int, gap time.Duration) {
 	g.produced.Store(int64(tokens))
 	g.ledger.gaps.add(gap)
 }
 
-// Done implements Grant. A second call is ignored: it would free a place that
-// another request holds by then.
+// Done implements Grant. A second call is ignored: it would release a slot that
+// another request may already use.
 func (g *grant) Done(result Result) {
 	if g.done.Swap(true) {
 		return
@@ -75,7 +76,7 @@
 	s.serve(time.Now())
 }
 
-// taken returns the tokens that the request has really taken.
+// taken returns the number of tokens that the request used.
 func (g *grant) taken(result Result) float64 {
 	if result.NotRun {
 		return 0
@@ -83,8 +84,9 @@
 	return float64(g.request.PromptTokens + result.Tokens)
 }
 
-// whole reports whether the length can be learned from. Generations cut at
-// their token limit count: leaving them out would make long ones look rare.
+// whole reports whether the output length may be added to the length
+// distribution. Generations that ended at their token limit are included:
+// without them long outputs would look rare.
 func (g *grant) whole(result Result) bool {
 	cut := g.request.MaxTokens > 0 && result.Tokens >= g.request.MaxTokens
 	return result.Tokens > 0 && (result.Complete || cut)
--- a/routing/lag.go
+++ b/routing/lag.go
@@ -5,31 +5,34 @@
 const (
 	lagSteps  = 16
 	lagStep   = 250 * time.Millisecond
-	lagMemory = 400 // reports
-	// lagSamples is how many reports it takes until the estimate counts.
+	lagMemory = 400 // averaging window, in reports
+	// lagSamples is the minimum number of reports for an estimate.
 	lagSamples = 100
 )
 
-// lagMeter learns how old reports are when they arrive; they do not say it.
+// lagMeter estimates the age of load reports on arrival. Reports carry no
+// timestamp.
 //
-// A report's change of running generations since the one before is this
-// host's own change plus the others'. The own one is known at every moment of
-// the last seconds, so the age at which subtracting it leaves the least
-// variance is the age of the reports. Without it, engines that were free
-// seconds ago draw everybody's work at once.
+// Between two reports the number of running generations changes by this host's
+// own change plus the change of all other hosts. The own change is known for
+// each time step of the last seconds. The age for which subtracting it leaves
+// the least variance is therefore the age of the reports. Without this estimate
+// all hosts would place work at once on engines that had free memory only
+// seconds ago.
 type lagMeter struct {
-	variance [lagSteps]float64 // of what is left, by assumed age
+	variance [lagSteps]float64 // residual variance, by assumed age in lagSteps
 	samples  int
 }
 
-// lagSample is what a ledger remembers of its last report.
+// lagSample is the state kept from a server's last report.
 type lagSample struct {
-	known    bool
-	reported float64
-	own      [lagSteps]float64
+	known    bool              // there was a report
+	reported float64           // generations in the report
+	own      [lagSteps]float64 // this host's generations, by assumed age
 }
 
-// add takes a report: the generations it shows, and the own ones by age.
+// add updates the estimate with a report of a server. reported is the number of
+// generations in it, history the number of this host's own ones over time.
 func (m *lagMeter) add(last *lagSample, reported float64, history *history, now time.Time) {
 	next := lagSample{known: true, reported: reported}
 	for i := range next.own {
@@ -45,7 +48,8 @@
 	*last = next
 }
 
-// lag returns the age of reports on arrival.
+// lag returns the estimated age of reports on arrival, or lagStep while there
+// are fewer than lagSamples reports.
 func (m *lagMeter) lag() time.Duration {
 	if m.samples < lagSamples {
 		return lagStep
--- a/routing/ledger.go
+++ b/routing/ledger.go
@@ -8,35 +8,36 @@
 )
 
 const (
-	// refreshEvery is how old a ledger's forecast may grow when no report
-	// brings it up to date.
+	// refreshEvery is the maximum age of the forecast of this host's own
+	// generations when no report arrives.
 	refreshEvery = 250 * time.Millisecond
-	// staleAfter is when a report no longer says what other hosts run.
+	// staleAfter is the age at which a report is stale and no longer used as
+	// evidence of the load that other hosts place.
 	staleAfter = 5 * time.Second
 )
 
-// ledger is what this host itself runs on one backend server, and what it
-// concludes from the server's reports about the others. The service's mutex
-// guards it, but for gaps.
+// ledger tracks the load of one backend server: the requests that this host runs
+// there, and an estimate of the load from other hosts, derived from the server's
+// reports. The service's mutex guards all fields except gaps.
 type ledger struct {
 	grants    []*grant
-	running   int // len(grants); requests granted and not done
-	own       forecast
-	held      float64 // memory of own generations that have begun
-	begun     int
-	refreshed time.Time
-
-	reportedAt time.Time // report that the fields below come from
-	strangers  forecast
-	others     float64  // generations of other hosts
-	recent     forecast // own grants since the report
-	recentN    int
-	draw       float64 // 0 to 1, drawn at the report
-	plausible  bool    // the report may be true
-	capacity   float64 // 0: never reported
-	preempted  uint64  // the server's count in the report
-	margin     float64 // share of the capacity kept free, learned from preemptions
-	marginAt   time.Time
+	running   int       // len(grants); requests granted and not done
+	own       forecast  // of this host's generations
+	held      float64   // tokens in memory of own generations that have produced tokens
+	begun     int       // number of own generations that have produced tokens
+	refreshed time.Time // when the fields above were last computed
+
+	reportedAt time.Time // time of the report that the fields below come from
+	strangers  forecast  // of other hosts' generations
+	others     float64   // number of other hosts' generations
+	recent     forecast  // of own grants since the report
+	recentN    int       // number of own grants since the report
+	draw       float64   // random number, 0 to 1, drawn for each report
+	plausible  bool      // the report passed the plausibility check
+	capacity   float64   // tokens; 0: never reported
+	preempted  uint64    // preemption counter in the report
+	margin     float64   // share of the capacity kept free because of preemptions
+	marginAt   time.Time // last update of margin
 	history    history
 	lagSample  lagSample
 
@@ -44,7 +45,8 @@
 	limit runningLimit
 }
 
-// ledger returns the ledger of a server. Called with mu held.
+// ledger returns the load state of the server at address and creates it if
+// needed. Called with mu held.
 func (s *service) ledger(address string) *ledger {
 	l := s.ledgers[address]
 	if l == nil {
@@ -54,7 +56,7 @@
 	return l
 }
 
-// add enters a grant.
+// add adds a grant.
 func (l *ledger) add(g *grant, table *survival) {
 	g.part = generationForecast(table, g.request.PromptTokens, 0, g.request.MaxTokens)
 	g.index = len(l.grants)
@@ -65,7 +67,7 @@
 	l.recentN++
 }
 
-// remove takes a grant out.
+// remove removes a grant.
 func (l *ledger) remove(g *grant) {
 	last := len(l.grants) - 1
 	l.grants[g.index] = l.grants[last]
@@ -76,8 +78,8 @@
 	l.running--
 }
 
-// refresh computes the forecast of the own generations again, from what they
-// have produced by now.
+// refresh recomputes the forecast of this host's generations from the tokens
+// that they have produced so far.
 func (l *ledger) refresh(lengths *lengths, now time.Time) {
 	l.own, l.held, l.begun, l.refreshed = forecast{}, 0, 0, now
 	for _, g := range l.grants {
@@ -92,7 +94,8 @@
 	l.history.add(moment{at: now, held: l.held, begun: l.begun, running: l.running})
 }
 
-// take follows a new report: what it shows beyond the own work is the others'.
+// take applies a new report of the server. Load in the report that exceeds this
+// host's own load is attributed to other hosts.
 func (l *ledger) take(server *backend.Server, lengths *lengths, lags *lagMeter, random *rand.Rand, now time.Time) {
 	if server.ReportedAt.Equal(l.reportedAt) {
 		return
@@ -119,17 +122,18 @@
 	l.limit.update(&l.gaps, float64(load.Running), now)
 }
 
-// plausible guards against wrong reports: one that cannot be true, by more
-// memory in use than there is or generations that hold none, counts as none.
-// Otherwise it would take its server, and by the mean the others, out of use.
+// plausible rejects reports that cannot be true, with more memory in use than
+// the server has or with generations that hold no memory. They are handled as
+// missing: a wrong report would take its server out of use and, through the mean
+// over all servers, the other servers too.
 func plausible(load backend.LoadReport) bool {
 	return load.TokensHeld >= 0 && load.TokensHeld <= load.TokenCapacity &&
 		load.Running >= 0 && load.Running <= load.TokensHeld &&
 		load.Waiting >= 0 && load.Waiting <= load.TokenCapacity
 }
 
-// addWaiting counts what others have queued in the engine: it will hold memory
-// though it holds none yet.
+// addWaiting adds the generations of other hosts that are queued in the engine:
+// they hold no memory yet, but will.
 func (l *ledger) addWaiting(load backend.LoadReport, then moment, lengths *lengths) {
 	waiting := float64(load.Waiting - (then.running - then.begun))
 	if waiting <= 0 {
@@ -140,8 +144,9 @@
 	l.others += waiting
 }
 
-// since returns the share of the strangers' memory that is still held at a
-// moment after the report: some have ended, the others have grown.
+// since returns the expected memory of other hosts' generations at the given age
+// of the report, as a share of the reported memory, at most 1: some of the
+// generations have ended, the rest have grown.
 func (l *ledger) since(table *survival, age time.Duration) float64 {
 	if l.limit.pace <= 0 || l.others <= 0 {
 		return 1
@@ -153,19 +158,20 @@
 	return min(1, left*(1+tokens/size))
 }
 
-// known reports whether the last report is fresh enough to speak for others.
+// known reports whether the last report is plausible and not stale, so that it
+// can be used to estimate the load from other hosts.
 func (l *ledger) known(now time.Time) bool {
 	return l.plausible && now.Sub(l.reportedAt) < staleAfter
 }
 
 const (
-	marginStep  = 0.01 // share of the capacity added for each report that shows preemptions
-	marginMost  = 0.3
-	marginDecay = 0.002 // share of the capacity given back each second
+	marginStep  = 0.01  // share of the capacity added for each report with new preemptions
+	marginMost  = 0.3   // upper bound
+	marginDecay = 0.002 // share of the capacity released per second
 )
 
-// learnMargin keeps more memory free where the server has preempted, whatever
-// made the forecast too low, and gives it back slowly.
+// learnMargin increases the free memory margin after preemptions, whatever made
+// the forecast too low, and releases it slowly.
 func (l *ledger) learnMargin(preemptions uint64, now time.Time) {
 	if !l.marginAt.IsZero() {
 		l.margin = max(0, l.margin-marginDecay*now.Sub(l.marginAt).Seconds())
@@ -176,7 +182,7 @@
 	l.preempted, l.marginAt = preemptions, now
 }
 
-// moment is what this host ran on a server at one time.
+// moment is a sample of this host's own load on a server.
 type moment struct {
 	at      time.Time
 	held    float64
@@ -184,12 +190,14 @@
 	running int
 }
 
-// historyLength times refreshEvery is how far back own work is remembered.
+// historyLength is the number of samples in a history. At one sample per
+// refreshEvery it covers historyLength * refreshEvery.
 const historyLength = 32
 
-// history is a ring of moments. Reports lag: what they show has to be compared
-// with the own work of that time, or the own work since counts as the others'
-// when it ends and hides theirs when it begins.
+// history is a ring buffer of samples of this host's own load. Reports lag, so
+// each one has to be compared with the own load at the time that it describes.
+// Compared with the current load, own generations that ended since would count as
+// other hosts' load, and own generations that began since would hide it.
 type history struct {
 	moments [historyLength]moment
 	next    int
@@ -200,7 +208,8 @@
 	h.next++
 }
 
-// at returns the latest moment that is no younger than a time, or the oldest known.
+// at returns the latest sample that is not after the given time, or the oldest
+// sample.
 func (h *history) at(when time.Time) moment {
 	oldest := max(0, h.next-historyLength)
 	for i := h.next - 1; i > oldest; i-- {
--- a/routing/lengths.go
+++ b/routing/lengths.go
@@ -5,33 +5,33 @@
 const (
 	bucketsPerOctave = 4
 	lengthBuckets    = 17*bucketsPerOctave + 1 // up to 131,072 tokens
-	// priorSamples is how many samples the assumption before any sample counts for.
+	// priorSamples is the weight of the prior distribution, in samples.
 	priorSamples = 4
-	// sharedSamples is how many samples the service's lengths count for in an
-	// organisation's own.
+	// sharedSamples is the maximum weight, in samples, of the lengths of the
+	// whole service in the table of an organisation.
 	sharedSamples = 50
-	// memorySamples is how many samples it takes for an old one to lose half
-	// of its weight, so that a changed prompt or model is learned again.
+	// memorySamples is the half-life of a sample's weight, in samples, so that
+	// the distribution adapts to a changed prompt or model.
 	memorySamples = 4000
-	// rebuildEvery is how many samples go into a histogram between two
+	// rebuildEvery is the number of samples added to a histogram between two
 	// computations of its survival table.
 	rebuildEvery = 32
 )
 
-// horizons are the moments, in tokens from now, at which an engine's memory
-// is forecast. A generation that has ended by then has given its memory back.
+// horizons are the points, in tokens from now, for which the memory of an engine
+// is forecast. A generation that has ended by then has released its memory.
 var horizons = [...]int{0, 32, 64, 128, 256, 512, 1024, 2048}
 
 const horizonCount = len(horizons)
 
-// lengths learns how long outputs are at one service, by organisation, as
-// log-bucketed histograms. It is not safe for concurrent use.
+// lengths estimates the distribution of output lengths of one service, by
+// organisation, in log-bucketed histograms. It is not safe for concurrent use.
 type lengths struct {
 	service       *histogram
 	organisations map[string]*histogram
-	prompt        float64 // average prompt, tokens
-	// unfinished counts an organisation's generations that still run, by what
-	// they have produced; see survival.compute.
+	prompt        float64 // average prompt length, tokens
+	// unfinished counts an organisation's running generations (empty name: all
+	// organisations), by bucket of the tokens produced; see survival.compute.
 	unfinished func(organisation string) [lengthBuckets]float64
 }
 
@@ -41,7 +41,8 @@
 	return l
 }
 
-// add learns the lengths of a generation that ended by itself.
+// add adds the prompt and output length, in tokens, of a generation that ended
+// by itself or at its token limit.
 func (l *lengths) add(organisation string, prompt, tokens int) {
 	const weight = 0.01
 	if l.prompt == 0 {
@@ -58,8 +59,8 @@
 	l.all()
 }
 
-// of returns the survival table of an organisation's lengths: its own as far
-// as there are samples, the service's besides.
+// of returns the survival table of an organisation: its own lengths combined with
+// those of the whole service, which dominate while it has few samples.
 func (l *lengths) of(organisation string) *survival {
 	own := l.organisations[organisation]
 	if own == nil {
@@ -81,7 +82,8 @@
 	return &l.service.table
 }
 
-// mean returns the expected output length, tokens.
+// mean returns the expected output length in tokens, at most maxTokens (0: no
+// limit).
 func (l *lengths) mean(organisation string, maxTokens int) float64 {
 	mean := l.of(organisation).mean
 	if maxTokens > 0 {
@@ -90,11 +92,11 @@
 	return mean
 }
 
-// histogram counts lengths in buckets whose bounds grow by a constant factor.
+// histogram counts lengths in buckets with exponentially growing bounds.
 type histogram struct {
 	counts  [lengthBuckets]float64
 	total   float64
-	pending int // samples since the table was computed; -1: never computed
+	pending int // samples since the table was computed; -1: not computed yet
 	table   survival
 }
 
@@ -115,12 +117,14 @@
 	}
 }
 
-// outdated reports whether enough samples came to compute the table again.
+// outdated reports whether the table has to be computed again: after each new
+// sample while there are fewer than 2*rebuildEvery, then after rebuildEvery new
+// ones.
 func (h *histogram) outdated() bool {
 	return h.pending < 0 || h.pending >= rebuildEvery || (h.pending > 0 && h.total < 2*rebuildEvery)
 }
 
-// bucketOf returns the bucket that holds a length.
+// bucketOf returns the bucket of a length.
 func bucketOf(tokens int) int {
 	if tokens <= 1 {
 		return 0
@@ -128,7 +132,7 @@
 	return min(lengthBuckets-1, int(math.Ceil(math.Log2(float64(tokens))*bucketsPerOctave)))
 }
 
-// bounds holds the upper bound of each bucket, tokens.
+// bounds contains the upper bound of each bucket, in tokens.
 var bounds = func() (bounds [lengthBuckets]float64) {
 	for i := range bounds {
 		bounds[i] = math.Exp2(float64(i) / bucketsPerOctave)
@@ -136,21 +140,22 @@
 	return bounds
 }()
 
-// survival is the distribution of lengths as chances to be longer than a bound.
+// survival is the distribution of output lengths as a survival function: the
+// probability of being longer than each bound.
 type survival struct {
 	mean   float64
-	longer [lengthBuckets]float64 // chance to be longer than bounds[i]
-	fresh  [horizonCount]float64  // chance that one which begins now runs for horizons[i]
-	random [horizonCount]float64  // chance that a generation met at random runs on for horizons[i]
+	longer [lengthBuckets]float64 // probability of being longer than bounds[i]
+	fresh  [horizonCount]float64  // probability that a new generation is longer than horizons[i]
+	random [horizonCount]float64  // probability that a running generation has more than horizons[i] to go
 }
 
-// compute fills the table from a histogram, mixed with a shared one and with
-// the assumption that all orders of magnitude up to 2,048 tokens are alike.
+// compute fills the table from a histogram, a shared histogram and a prior that
+// is uniform over the logarithm of lengths up to 2,048 tokens.
 //
-// Cold start: short generations end first, so that a host which has just
-// started sees short ones only, takes all lengths for short and fills engines'
-// memory. Those still running therefore count as "longer than this" (the
-// Kaplan-Meier estimate).
+// Cold start: short generations end first. A host that has just started has seen
+// only these, would underestimate all lengths and overfill the memory of engines.
+// Running generations therefore count as censored samples, longer than their
+// output so far (Kaplan-Meier estimator).
 func (s *survival) compute(own, shared *histogram, unfinished [lengthBuckets]float64) {
 	var weights [lengthBuckets]float64
 	const assumed = 11 * bucketsPerOctave
@@ -169,8 +174,9 @@
 	s.fill(spread(weights, unfinished))
 }
 
-// spread turns ended and unfinished counts into shares of lengths: of those
-// that reached a bucket, ended ones say how many end in it.
+// spread returns the Kaplan-Meier estimate of the share of lengths in each
+// bucket. The share that ends in a bucket is estimated from all generations,
+// ended or unfinished, that reached it.
 func spread(ended, unfinished [lengthBuckets]float64) (shares [lengthBuckets]float64) {
 	reached := 0.0
 	for i := range ended {
@@ -186,8 +192,8 @@
 		chance -= shares[i]
 		reached -= ended[i] + unfinished[i]
 	}
-	// Nothing is known beyond the longest one that still runs: what is left is
-	// taken to be up to twice as long.
+	// There are no samples beyond the longest generation. The remaining
+	// probability is assigned to the bucket of twice that length.
 	shares[min(last+bucketsPerOctave, lengthBuckets-1)] += max(0, chance)
 	return shares
 }
@@ -212,9 +218,10 @@
 	}
 }
 
-// equilibrium returns the chance that a generation that is met at a random
-// moment of its run has more than so many tokens to go: the integral of the
-// survival from there on, over the mean.
+// equilibrium returns the probability that a generation observed at a random
+// point of its run has more than the given number of tokens to go: the integral
+// of the survival function from there on, divided by the mean (the residual life
+// distribution).
 func (s *survival) equilibrium(tokens float64) float64 {
 	area, whole, below, chance := 0.0, 0.0, 0.0, 1.0
 	for i, bound := range bounds {
@@ -231,8 +238,8 @@
 	return area / whole
 }
 
-// after returns the chance to be longer than so many tokens, linear within a
-// bucket.
+// after returns the probability of a length above the given number of tokens,
+// interpolated linearly within a bucket, over the logarithm of the length.
 func (s *survival) after(tokens float64) float64 {
 	if tokens <= 1 {
 		return 1
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -9,26 +9,27 @@
 	"github.com/papayasail/papayasail/backend"
 )
 
-// Names of the policies that place at once, as baselines.
+// Names of the baseline policies. They always place a request at once.
 const (
 	PolicyRandom        = "random"
 	PolicyRoundRobin    = "round_robin"
 	PolicyLeastInFlight = "least_in_flight"
-	PolicyPowerOfTwo    = "power_of_two" // by reported load
+	PolicyPowerOfTwo    = "power_of_two" // compares the reported load
 )
 
-// PolicyForecast names the policy that forecasts each engine's memory.
+// PolicyForecast is the name of the policy that places by a forecast of each
+// engine's memory.
 const PolicyForecast = "forecast"
 
-// policy picks a server for a request. One instance serves one service, with
-// that service's mutex held.
+// policy picks a server for a request. Each service has its own instance; it is
+// called with the service's mutex held.
 type policy interface {
-	// pick returns one of the candidates, of which there is at least one, or
-	// nil if the request has to wait.
+	// pick returns one of the candidates, or nil if the request has to wait.
+	// There is at least one candidate.
 	pick(*choice) *candidate
 }
 
-// choice is one decision.
+// choice is the input of one placement decision.
 type choice struct {
 	service    *service
 	request    *Request
@@ -36,13 +37,14 @@
 	now        time.Time
 }
 
-// ramp returns the share of its full work that a candidate may get.
+// ramp returns the share of its full load that a candidate may get, below 1
+// during its slow start.
 func (c *choice) ramp(candidate *candidate) float64 {
 	return c.service.view.snapshot.Ramp(candidate.server, c.now)
 }
 
-// ablations are the forecast policy with one mechanism switched off each, by
-// name. They are for benches.
+// ablations are variants of the forecast policy, by name, each with one mechanism
+// disabled. Benchmarks use them.
 var ablations = map[string]func(*tuning){
 	"forecast-without-herd":    func(t *tuning) { t.herd = 0 },
 	"forecast-without-aging":   func(t *tuning) { t.aging = false },
@@ -55,7 +57,8 @@
 	"forecast-without-sample":  func(t *tuning) { t.sampled = 0 },
 }
 
-// Ablations lists the names of the ablations, sorted.
+// Ablations returns the names of the ablations, sorted. Options.Policy accepts
+// them too.
 func Ablations() []string {
 	names := make([]string, 0, len(ablations))
 	for name := range ablations {
@@ -73,7 +76,7 @@
 	PolicyForecast:      func() policy { return newForecastPolicy() },
 }
 
-// Policies lists the names that Options.Policy takes, sorted.
+// Policies returns the names of the policies for Options.Policy, sorted.
 func Policies() []string {
 	names := make([]string, 0, len(policies))
 	for name := range policies {
@@ -112,7 +115,7 @@
 type leastInFlightPolicy struct{}
 
 func (leastInFlightPolicy) pick(c *choice) *candidate {
-	start := c.service.random.IntN(len(c.candidates)) // ties fall evenly
+	start := c.service.random.IntN(len(c.candidates)) // random start, so that ties spread evenly
 	var best *candidate
 	var least float64
 	for i := range c.candidates {
@@ -136,8 +139,8 @@
 	return one
 }
 
-// reportedLoad is the share of memory in use, and the requests in the server
-// where it has no memory to report.
+// reportedLoad returns the share of a server's memory in use, or the number of
+// requests in the server if it reports no memory.
 func reportedLoad(server *backend.Server) float64 {
 	if server.Load.TokenCapacity > 0 {
 		return (float64(server.Load.TokensHeld) + 1) / float64(server.Load.TokenCapacity)
--- a/routing/policy_forecast.go
+++ b/routing/policy_forecast.go
@@ -8,32 +8,33 @@
 )
 
 const (
-	// runningUnknown bounds the own generations on a server whose capacity
-	// nobody has reported yet.
+	// runningUnknown is the maximum number of own generations on a server whose
+	// capacity is not known yet.
 	runningUnknown = 4
-	// prefixWeight is how much spare memory, as a share of the capacity, a
-	// cached prefix is worth.
+	// prefixWeight is the score of a cached prefix, in the unit of free memory
+	// as a share of the capacity.
 	prefixWeight = 0.05
 )
 
-// forecastPolicy filters servers by running limit and by the chance that their
-// memory fills, scores the rest and takes the best.
+// forecastPolicy filters servers by their running limit and by the probability
+// that their memory overflows, then picks the best of the rest by score.
 type forecastPolicy struct {
 	tuning tuning
-	mean   forecast // of the strangers; of the choice at hand
+	mean   forecast // mean load from other hosts, for the current choice
 }
 
-// tuning switches mechanisms; tests and benches measure what each is worth.
+// tuning enables and weighs the mechanisms of the forecast policy. Tests and
+// benchmarks use it to compare them.
 type tuning struct {
-	herd    float64 // factor on what other hosts are expected to have placed since the report
-	aging   bool    // believe reports less as they grow older
-	ended   bool    // count what strangers are expected to have ended since the report
-	limit   bool    // limit running work by measured gaps
+	herd    float64 // weight of the generations that other hosts are expected to have placed since the report
+	aging   bool    // weigh reports less as they age
+	ended   bool    // subtract other hosts' generations expected to have ended since the report
+	limit   bool    // limit the running generations by the gaps between tokens
 	prefix  float64 // weight of a cached prefix
-	sampled int     // score only so many of the servers that fit, at random; 0: all
-	instant bool    // look at the memory in use now only
-	margin  bool    // keep memory free where there were preemptions
-	lent    float64 // how much of the other hosts' demand to leave memory for, 0 to 1
+	sampled int     // number of servers to score, at random, among those that fit; 0: all
+	instant bool    // consider only the current memory, no horizons
+	margin  bool    // keep memory free on servers with preemptions
+	lent    float64 // weight of the other hosts in the division of free memory, 0 to 1
 }
 
 var defaultTuning = tuning{herd: 0.3, ended: true, aging: true, limit: true, prefix: prefixWeight, margin: true, lent: 1, sampled: 2}
@@ -42,10 +43,10 @@
 
 func (p *forecastPolicy) pick(c *choice) *candidate {
 	if c.service.view.snapshot.Document.Kind != contract.KindModel {
-		return leastInFlightPolicy{}.pick(c) // there is no memory to fill
+		return leastInFlightPolicy{}.pick(c) // plain services have no token memory
 	}
 	part := generationForecast(c.service.lengths.of(c.request.Organisation), c.request.PromptTokens, 0, c.request.MaxTokens)
-	start := c.service.random.IntN(len(c.candidates)) // ties fall evenly
+	start := c.service.random.IntN(len(c.candidates)) // random start, so that ties spread evenly
 	if p.tuning.aging {
 		p.mean = meanStrangers(c)
 	}
@@ -68,16 +69,17 @@
 	return best
 }
 
-// spare returns the share of a server's memory that stays free with the
-// request on it; false: the server may not take it.
+// spare returns the share of a server's memory that stays free with the request
+// placed there, and whether the server may take the request: it has room or is
+// idle.
 func (p *forecastPolicy) spare(c *choice, one *candidate, part *forecast) (float64, bool) {
 	spare, ok := p.room(c, one, part)
 	return spare, ok || idle(one.ledger, c.now)
 }
 
-// room returns the share of a server's memory that stays free with the
-// request on it; false: it does not fit, is over the limit of running work, or
-// over this host's share.
+// room returns the share of a server's memory that stays free with the request
+// placed there. It returns false if the request does not fit, or exceeds the
+// running limit or this host's share of the free memory.
 func (p *forecastPolicy) room(c *choice, one *candidate, part *forecast) (float64, bool) {
 	l := one.ledger
 	if c.now.Sub(l.refreshed) > refreshEvery {
@@ -93,7 +95,7 @@
 	if l.known(c.now) {
 		p.addStrangers(c, l, &total)
 	} else {
-		total.add(&l.own, c.service.peers()) // others are taken to do as we do
+		total.add(&l.own, c.service.peers()) // assume that each peer runs as much as this host
 		others = float64(l.running) * c.service.peers()
 	}
 	unseen := p.tuning.herd * c.service.unseen(l, c.now)
@@ -114,27 +116,27 @@
 	return spare, p.lent(c, l, &total, part, capacity, spare)
 }
 
-// idle reports whether a server runs nothing, as far as this host knows.
+// idle reports whether a server runs no generations, as far as this host can
+// tell. A stale report is no evidence of load.
 //
-// Guards against a service that is never served. Where one generation may
-// outgrow an empty engine (a small memory, or a slow start that counts part of
-// it) no forecast fits; where long gaps have brought the limit of running work
-// down to one, the smallest trace of what others may have placed is over it.
-// Every request would wait out its deadline beside idle engines. An idle
-// engine takes one; what several hosts place there at once it preempts. A
-// report that has grown old says nothing of what runs there now.
+// An idle engine always accepts one request, so that a service cannot starve. If
+// one generation may outgrow an empty engine (small memory, or a slow start that
+// counts only part of it), no forecast fits. If long gaps have lowered the running
+// limit to one, any fraction of a generation expected from other hosts exceeds
+// it. In both cases each request would wait until its deadline beside idle
+// engines. If several hosts place on the same idle engine at once, the engine
+// preempts.
 func idle(l *ledger, now time.Time) bool {
 	return l.running == 0 && (l.others < 1 || !l.known(now))
 }
 
-// beliefMemory is how fast a report loses its word about one server: by e in
-// this time.
+// beliefMemory is the time constant with which the weight of a report decays.
 const beliefMemory = 1200 * time.Millisecond
 
-// addStrangers adds what other hosts run on a server: what its report showed,
-// less what has ended since; and the older the report, the more of the mean
-// over all servers instead. Work is placed evenly, so that an engine that was
-// fuller than others seconds ago need not be so now.
+// addStrangers adds the expected load from other hosts on a server: the load in
+// its report, less the generations that have ended since. As the report ages, it
+// is gradually replaced by the mean over all candidates: work is placed evenly,
+// so an engine that was fuller than others seconds ago may not be so now.
 func (p *forecastPolicy) addStrangers(c *choice, l *ledger, total *forecast) {
 	age := c.now.Sub(l.reportedAt) + c.service.lags.lag()
 	left, belief := 1.0, 1.0
@@ -148,7 +150,7 @@
 	total.add(&l.strangers, left*belief)
 }
 
-// meanStrangers is the mean over the candidates of what others run on them.
+// meanStrangers returns the mean load from other hosts over the candidates.
 func meanStrangers(c *choice) (mean forecast) {
 	for _, one := range c.candidates {
 		mean.add(&one.ledger.strangers, 1/float64(len(c.candidates)))
@@ -156,14 +158,14 @@
 	return mean
 }
 
-// lent reports whether a request is within this host's share of what a report
-// showed to be free.
+// lent reports whether a request is within this host's share of the memory that
+// was free at the last report.
 //
-// Thundering herd: when an engine frees memory, every host with a queue sees
-// it in the same report and places on it at once, so that one place is taken
-// several times and the engine preempts. Each host therefore uses its share of
-// the free memory only, rounded by chance where the share is less than the
-// request needs.
+// This prevents a thundering herd: when an engine frees memory, every host with a
+// queue sees it in the same report and places there at once, so the same memory
+// is used several times and the engine preempts. Each host therefore uses only its
+// share of the free memory. If the share is less than the request needs, the host
+// places one request with probability share/needed.
 func (p *forecastPolicy) lent(c *choice, l *ledger, total, part *forecast, capacity, spare float64) bool {
 	before := *total
 	before.add(&l.recent, -1)
@@ -177,7 +179,8 @@
 	return l.recentN == 0 && l.draw < share/used
 }
 
-// addUnseen adds generations of which only the expected number is known.
+// addUnseen adds generations of which only the expected number is known, each
+// with the forecast part.
 func addUnseen(total, part *forecast, count float64) {
 	for k := range total.mean {
 		mean := part.mean[k]
@@ -186,9 +189,9 @@
 	}
 }
 
-// unseen returns how many generations other hosts are expected to have placed
-// on a server since what its last report shows: they are taken to place as
-// many as this host does, evenly.
+// unseen returns the expected number of generations that other hosts have placed
+// on a server since the time that its last report describes. It assumes that each
+// host places at the same rate as this one, evenly over the servers.
 func (s *service) unseen(l *ledger, now time.Time) float64 {
 	if !l.known(now) {
 		return 0
@@ -198,5 +201,5 @@
 	return s.peers() * perServer * age.Seconds()
 }
 
-// peers returns how many other hosts place on the same servers.
+// peers returns the number of other hosts that place on the same servers.
 func (s *service) peers() float64 { return max(0, 1/s.dispatcher.options.Share()-1) }
--- a/routing/policy_forecast_test.go
+++ b/routing/policy_forecast_test.go
@@ -17,8 +17,8 @@
 
 const testCapacity = 10_000
 
-// inBubble runs f in virtual time and returns what it found wrong. Values are
-// to be drawn before: rapid must not be called from within a bubble.
+// inBubble runs f in virtual time and returns the failure that it found, if any.
+// Draw values before the call: rapid must not be called from within a bubble.
 func inBubble(t *testing.T, f func(t *testing.T) (wrong string)) (wrong string) {
 	synctest.Test(t, func(t *testing.T) { wrong = f(t) })
 	return wrong
@@ -26,13 +26,13 @@
 
 func address(i int) string { return fmt.Sprintf("10.0.%d.%d:80", i/256, i%256) }
 
-// report gives the pool a report of server i, with its other hosts' work.
+// report adds a load report of server i to the pool.
 func report(pool *backend.Pool, i int, sequence uint64, running, held int) {
 	pool.Report(address(i), backend.LoadReport{Sequence: sequence, Running: running, TokensHeld: held, TokenCapacity: testCapacity}, time.Now())
 }
 
-// A drained server still shows the most free memory, because it gets no work.
-// Whatever the loads, no policy may choose it.
+// Guards against placement on a leaving server: it gets no work and therefore
+// reports the most free memory.
 func TestNeverChoosesAServerThatIsLeaving(t *testing.T) {
 	const n = 6
 	sources := []backend.LeavingSource{"", backend.SourceHostList, backend.SourceOperator, backend.SourcePeer, backend.SourceRefused}
@@ -98,7 +98,7 @@
 	return chosen
 }
 
-// Guards against engines that run out of memory as placed generations grow.
+// Guards against engines that run out of memory as the placed generations grow.
 func TestPlacedWorkKeepsWithinTheForecast(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		prompts := rapid.SliceOfN(rapid.IntRange(1, 3000), 1, 200).Draw(r, "prompts")
@@ -111,7 +111,7 @@
 				}
 				s := d.service(testService)
 				if _, ok := s.ledgers[address(0)].own.fits(testCapacity, s.z); !ok {
-					return fmt.Sprintf("request %d placed beyond the risk that is accepted", i)
+					return fmt.Sprintf("request %d placed beyond the accepted risk of overflow", i)
 				}
 			}
 			return ""
@@ -122,7 +122,8 @@
 	})
 }
 
-// Guards against all hosts placing on the same free place at once.
+// Guards against a thundering herd: all hosts see the same free memory in one
+// report and place there at once.
 func TestHostsDoNotAllTakeTheSamePlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -138,13 +139,13 @@
 			}
 		}
 		perRound := float64(taken) / rounds
-		is.True(perRound > 0.1) // the place is used
-		is.True(perRound < 2)   // and not by everybody
+		is.True(perRound > 0.1) // the free memory is used
+		is.True(perRound < 2)   // but not by all hosts
 	})
 }
 
-// places reports whether one of several hosts places a request on an engine
-// of which a report shows so much memory in use.
+// places reports whether one of several hosts places a request on an engine that
+// reports held tokens in use.
 func places(t *testing.T, hosts int, seed uint64, held int) bool {
 	pool := backend.NewPool(backend.PoolOptions{})
 	pool.Update([]*contract.Document{testDocument(1)})
@@ -158,7 +159,7 @@
 	return err == nil
 }
 
-// Guards against a wrong report that stops all work.
+// Guards against a wrong report from one server that stops placement on all.
 func TestWrongReportsCostOneServerAtMost(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		running, held := rapid.Int().Draw(r, "running"), rapid.Int().Draw(r, "held")
@@ -180,14 +181,14 @@
 	})
 }
 
-// Reports stop coming for a while, as when the network between hosts and
-// engines' load pages breaks. Work must go on, on what the host knows itself.
+// Guards against refusals when reports stop, as in a network partition from the
+// engines: placement continues on this host's own data.
 func TestWorkGoesOnWithoutReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d, pool := testDispatcher(t, PolicyForecast, testDocument(3))
 		for i := range 3 {
-			report(pool, i, 1, 20, testCapacity) // full, as last heard
+			report(pool, i, 1, 20, testCapacity) // full in the last report
 		}
 		time.Sleep(time.Minute)
 		servers := map[string]int{}
@@ -200,8 +201,7 @@
 	})
 }
 
-// A cached prefix draws all requests of one letter form to the same engine. It
-// may do so only while there is room.
+// Guards against a cached prefix that attracts requests to a full engine.
 func TestPrefixNeverOverridesRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -217,15 +217,15 @@
 	})
 }
 
-// More work comes than engines can take. Callers must hear it at once and with
-// when to come back, not after their whole deadline.
+// Guards against requests under overload that are refused only at their deadline:
+// the refusal has to come at once, with a time to retry.
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d, pool := testDispatcher(t, PolicyForecast, testDocument(1))
 		report(pool, 0, 1, 0, 0)
 		refusedAtOnce := make(chan bool, 400)
-		for i := range 400 { // 100 a second, each runs for a second: far too many
+		for i := range 400 { // 100 per second, each runs for 1 s: far over capacity
 			go func() {
 				start := time.Now()
 				g, err := d.Acquire(t.Context(), Request{Service: testService, Organisation: "a", PromptTokens: 1000})
@@ -256,8 +256,8 @@
 	})
 }
 
-// A large organisation floods the service. A small one that asks now and then
-// is served, in its turn.
+// Guards against starvation: one organisation floods the queue, and a request of
+// another one has to be served in its turn.
 func TestSmallOrganisationIsNotStarved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -284,12 +284,12 @@
 				place = i
 			}
 		}
-		is.True(place < 20) // behind those that ran already, and one round
+		is.True(place < 20) // behind the requests already running and one round of the queue
 	})
 }
 
-// An engine slows down, its tokens come late, and more work makes it worse.
-// The limit goes down with the gaps and comes back when they do.
+// Guards against more work for an engine that has slowed down: long gaps between
+// tokens lower the running limit, and short ones raise it again.
 func TestRunningLimitFollowsGaps(t *testing.T) {
 	is := is.New(t)
 	var meter gapMeter
@@ -304,7 +304,7 @@
 		limit.update(&meter, min(20, limit.bound()), now)
 	}
 	step(20 * time.Millisecond)
-	is.True(math.IsInf(limit.bound(), 1)) // good gaps never set one
+	is.True(math.IsInf(limit.bound(), 1)) // gaps below the target set no limit
 	for range 30 {
 		step(80 * time.Millisecond)
 	}
@@ -313,8 +313,8 @@
 	is.Equal(limit.bound(), leastRunning+limitStep)
 }
 
-// A host has just started: ten short generations have ended, and twenty long
-// ones run. Taken for short, they would fill the engines' memory.
+// Guards against overfilled engines after a host starts: only short generations
+// have ended yet, and the running long ones must not be estimated as short.
 func TestUnfinishedGenerationsCountAsLong(t *testing.T) {
 	is := is.New(t)
 	var running [lengthBuckets]float64
@@ -339,19 +339,19 @@
 		for tokens := 1.0; tokens < 200_000; tokens *= 1.3 {
 			chance := table.after(tokens)
 			if chance < 0 || chance > last+1e-9 {
-				t.Fatalf("chance to be longer than %v is %v after %v", tokens, chance, last)
+				t.Fatalf("P(length > %v) = %v, out of range or above the previous %v", tokens, chance, last)
 			}
 			last = chance
 		}
 		for k := range table.random {
 			if table.random[k] < 0 || table.random[k] > 1+1e-9 {
-				t.Fatalf("residual chances %v", table.random)
+				t.Fatalf("residual survival out of [0, 1]: %v", table.random)
 			}
 		}
 	})
 }
 
-// What is learned must come near what was drawn.
+// The estimated mean has to converge to the mean of the samples.
 func TestMeanIsLearned(t *testing.T) {
 	is := is.New(t)
 	l := newLengths(func(string) (counts [lengthBuckets]float64) { return counts })
@@ -361,8 +361,8 @@
 	is.True(math.Abs(l.mean("a", 0)-300) < 30)
 }
 
-// Exact calls go to plain services, which have no memory to forecast. They
-// must not be held up by rules made for engines.
+// Guards against calls to plain services that are delayed by the memory forecast,
+// which applies to engines only.
 func TestPlainServicesAreNotForecast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -377,7 +377,8 @@
 	})
 }
 
-// Guards against placing by reports that are seconds old and do not say so.
+// Guards against placement by reports that are seconds old: they carry no
+// timestamp, so their age has to be estimated.
 func TestAgeOfReportsIsLearned(t *testing.T) {
 	for _, age := range []time.Duration{0, 500 * time.Millisecond, 2 * time.Second} {
 		is := is.New(t)
@@ -400,7 +401,8 @@
 	}
 }
 
-// Guards against refusals beside idle engines that a generation may outgrow.
+// Guards against refusals beside an idle engine because the generation may outgrow
+// its memory.
 func TestIdleEngineTakesWhatMayOutgrowIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/routing/prefix.go
+++ b/routing/prefix.go
@@ -7,29 +7,31 @@
 )
 
 const (
-	maxPrefixes     = 4096             // remembered per service
-	prefixHolders   = 4                // servers remembered per prefix
-	prefixMemory    = 30 * time.Second // how long a hint counts
-	prefixLostEvent = 0.5              // what is left of a server's hints after lost events
+	maxPrefixes     = 4096             // tracked prefixes per service
+	prefixHolders   = 4                // tracked servers per prefix
+	prefixMemory    = 30 * time.Second // lifetime of a hint
+	prefixLostEvent = 0.5              // weight of a server's earlier hints after lost events
 )
 
-// prefixes remembers which servers may hold which prompt prefix in their
-// cache. Events of the engines come late and with gaps, so that a holder is a
-// hint that fades, never a fact. The service's mutex guards it.
+// prefixes tracks which servers may have a prompt prefix in their cache. Cache
+// events from engines arrive late and some are lost, so an entry is only a hint
+// whose weight decays. The service's mutex guards it.
 type prefixes struct {
 	holders   map[uint64][]holder
-	order     []uint64 // ring of remembered prefixes, oldest at next
+	order     []uint64 // ring buffer of the tracked prefixes, oldest at next
 	next      int
-	sequences map[*ledger]uint64 // last event of each server
-	trust     map[*ledger]trust
+	sequences map[*ledger]uint64 // sequence number of the last event from each server
+	trust     map[*ledger]trust  // servers with lost events
 }
 
+// holder is a server that may have a prefix in its cache.
 type holder struct {
 	ledger *ledger
 	at     time.Time
 }
 
-// trust is what hints about one server, given before a moment, are worth.
+// trust is the weight of the hints about one server that are older than a given
+// time.
 type trust struct {
 	before time.Time
 	share  float64
@@ -39,8 +41,8 @@
 	return &prefixes{holders: map[uint64][]holder{}, sequences: map[*ledger]uint64{}, trust: map[*ledger]trust{}}
 }
 
-// placed notes that a request with a prefix goes to a server, which will have
-// it in its cache then.
+// placed records a server as holder of a prefix: a request with it was placed
+// there, so the server will have it in its cache.
 func (p *prefixes) placed(prefix uint64, l *ledger, now time.Time) {
 	if prefix == 0 {
 		return
@@ -56,7 +58,8 @@
 	p.holders[prefix] = append(held, holder{ledger: l, at: now})
 }
 
-// remember makes room for a new prefix.
+// remember starts to track a prefix and evicts the oldest one if there are too
+// many.
 func (p *prefixes) remember(prefix uint64) {
 	if len(p.order) < maxPrefixes {
 		p.order = append(p.order, prefix)
@@ -67,7 +70,7 @@
 	p.next = (p.next + 1) % maxPrefixes
 }
 
-// forget drops a server as holder of a prefix.
+// forget removes a server from the holders of a prefix.
 func (p *prefixes) forget(prefix uint64, l *ledger) {
 	held := p.holders[prefix]
 	for i := range held {
@@ -78,8 +81,8 @@
 	}
 }
 
-// event follows a cache event of a server. After a gap in the sequence an
-// eviction may have been missed, so older hints about the server count less.
+// event applies a cache event from a server. After a gap in the sequence numbers
+// an eviction may have been missed, so the weight of older hints is reduced.
 func (p *prefixes) event(event backend.CacheEvent, l *ledger, now time.Time) {
 	if last := p.sequences[l]; last != 0 && event.Sequence > last+1 {
 		p.trust[l] = trust{before: now, share: prefixLostEvent}
@@ -92,7 +95,8 @@
 	p.placed(event.Prefix, l, now)
 }
 
-// chance returns how likely a server still holds a prefix, 0 to 1.
+// chance returns the estimated probability, 0 to 1, that a server still has a
+// prefix in its cache. It decays linearly to zero over prefixMemory.
 func (p *prefixes) chance(prefix uint64, l *ledger, now time.Time) float64 {
 	if prefix == 0 {
 		return 0
@@ -110,7 +114,8 @@
 	return 0
 }
 
-// CacheEvents tells the dispatcher of cache events of the server at address.
+// CacheEvents applies cache events from the server at address. Events for a
+// service that is not in force are ignored.
 func (d *Dispatcher) CacheEvents(service, address string, events []backend.CacheEvent) {
 	s := d.service(service)
 	if s == nil {
--- a/routing/rate.go
+++ b/routing/rate.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// rate measures how much happens per second, smoothed.
+// rate is an exponentially decaying rate meter.
 type rate struct {
-	memory time.Duration // how far back it looks: older events count less by e
-	sum    float64       // decayed events
-	at     time.Time
+	memory time.Duration // time constant of the decay
+	sum    float64       // decayed sum of the amounts
+	at     time.Time     // time of the last decay
 }
 
 func (r *rate) add(amount float64, now time.Time) {
--- a/routing/service.go
+++ b/routing/service.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	grantMemory  = 2 * time.Second // other hosts' placements follow demand
-	servedMemory = 8 * time.Second // how fast the queue moves comes in bursts
+	grantMemory  = 2 * time.Second // short: the estimate of other hosts' placements has to follow demand
+	servedMemory = 8 * time.Second // long: the queue is served in bursts
 )
 
 // service is the scheduling state of one service on this host.
@@ -20,7 +20,7 @@
 	dispatcher *Dispatcher
 	name       string
 
-	mu       sync.Mutex // guards all below
+	mu       sync.Mutex // guards the fields below
 	policy   policy
 	random   *rand.Rand
 	limits   *organisation.Limits
@@ -31,8 +31,8 @@
 	prefixes *prefixes
 	lags     lagMeter
 	grants   rate    // requests placed
-	served   rate    // their cost
-	z        float64 // standard deviations that the document's risk asks for
+	served   rate    // cost of the requests placed, in tokens
+	z        float64 // standard deviations for the overflow risk in the service document
 	closed   bool
 }
 
@@ -53,8 +53,8 @@
 	return s
 }
 
-// unfinished counts the generations that run, by the bucket of what they have
-// produced. An empty organisation stands for all. Called with mu held.
+// unfinished counts this host's running generations by the bucket of the tokens
+// produced so far. An empty organisation selects all. Called with mu held.
 func (s *service) unfinished(organisation string) (counts [lengthBuckets]float64) {
 	for _, l := range s.ledgers {
 		for _, g := range l.grants {
@@ -66,7 +66,7 @@
 	return counts
 }
 
-// weight returns an organisation's weight. Called with mu held.
+// weight returns the queue weight of an organisation. Called with mu held.
 func (s *service) weight(name string) float64 {
 	if s.view.snapshot == nil {
 		return 1
@@ -74,7 +74,7 @@
 	return float64(max(1, s.view.snapshot.Document.LimitOf(name).Weight))
 }
 
-// enter admits a request: it is granted, queued or refused.
+// enter admits a request. It returns a grant, a queued waiter or a refusal.
 func (s *service) enter(request Request) (*grant, *waiter, *contract.Refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +104,8 @@
 	return nil, s.enqueue(request, now), nil
 }
 
-// complete fills in what the request leaves to the document. Called with mu held.
+// complete applies the limits of the service document to the request's MaxTokens
+// and Deadline. Called with mu held.
 func (s *service) complete(request *Request, now time.Time) {
 	document := s.view.snapshot.Document
 	if document.Model != nil && (request.MaxTokens <= 0 || request.MaxTokens > document.Model.MaxTokens) {
@@ -119,8 +120,9 @@
 	}
 }
 
-// place tries to run a request now, unless others wait before it or no server
-// may take it. Called with mu held.
+// place tries to place a request now. It returns nil, nil if the request has to
+// wait, behind queued requests or for a server, and a refusal if no server may
+// take the request, now or later. Called with mu held.
 func (s *service) place(request *Request, now time.Time) (*grant, *contract.Refusal) {
 	candidates, later := s.candidates(request)
 	if len(candidates) == 0 && !later {
@@ -137,13 +139,14 @@
 	return s.grant(request, chosen, now), nil
 }
 
-// choose asks the policy for one of the candidates; nil: not now. Called with mu held.
+// choose lets the policy pick one of the candidates. It returns nil if the
+// request has to wait. Called with mu held.
 func (s *service) choose(request *Request, candidates []*candidate, now time.Time) *candidate {
 	return s.policy.pick(&choice{service: s, request: request, candidates: candidates, now: now})
 }
 
-// cost returns the tokens a request is expected to take of its organisation's
-// share. Called with mu held.
+// cost returns the expected number of tokens to charge to the organisation for a
+// request, or 1 for a plain service. Called with mu held.
 func (s *service) cost(request *Request) float64 {
 	if s.view.snapshot.Document.Kind != contract.KindModel {
 		return 1
--- a/routing/trial_test.go
+++ b/routing/trial_test.go
@@ -21,19 +21,19 @@
 	"github.com/papayasail/papayasail/contract"
 )
 
-// A trial drives the real dispatchers of several hosts in virtual time against
-// a model of engines. It is the quick inner loop; figures for pages come from
-// package bench.
+// A trial runs the real dispatchers of several hosts in virtual time against a
+// model of engines. It is for quick comparisons during development; published
+// figures come from package bench.
 
 var (
 	trialPolicies = flag.String("trial.policies", "", "run trials of these policies, comma separated")
 	trialLoads    = flag.String("trial.loads", "0.8,0.95", "offered loads")
 	trialSeeds    = flag.Int("trial.seeds", 1, "seeds")
 	trialSeconds  = flag.Int("trial.seconds", 60, "measured seconds")
-	trialLag      = flag.Duration("trial.lag", 200*time.Millisecond, "age of reports")
+	trialLag      = flag.Duration("trial.lag", 200*time.Millisecond, "age of load reports")
 	trialLoss     = flag.Float64("trial.loss", 0, "share of reports lost")
 	trialHosts    = flag.Int("trial.hosts", 7, "entry hosts")
-	trialSlow     = flag.Int("trial.slow", 1, "how much slower running generations make two of the engines")
+	trialSlow     = flag.Int("trial.slow", 1, "factor on the step time per running generation, for two of the engines")
 	trialEngines  = flag.Int("trial.engines", 12, "engines")
 )
 
@@ -50,7 +50,8 @@
 	trialPromptSigma = 0.7
 	trialStall       = 250 * time.Millisecond
 	trialWarm        = 12 * time.Second
-	// trialPeak is the tokens a second of one engine that counts as load 1.
+	// trialPeak is the throughput of one engine, in tokens per second, that is
+	// defined as load 1.
 	trialPeak = 600
 )
 
@@ -76,7 +77,7 @@
 	prefill  int
 	preempts int
 	dead     bool
-	slow     int // how much slower each running generation makes a step
+	slow     int // factor on the step time per running generation
 	wake     chan struct{}
 	reports  []trialReport
 	sequence uint64
@@ -230,7 +231,7 @@
 	goodput                          float64 // tokens/s
 	gaps, first                      *hdrhistogram.Histogram
 	refusals                         map[contract.Reason]int
-	asked, served                    map[string]int // requests, by organisation
+	asked, served                    map[string]int // number of requests, by organisation
 	refuseTime                       *hdrhistogram.Histogram
 	perSecond                        []float64
 }
@@ -243,7 +244,8 @@
 	prefix         uint64
 }
 
-// trialOrganisations: a few large ones.
+// trialShares are the organisations' shares of the requests, with a few large
+// organisations.
 var trialShares = []float64{0.35, 0.2, 0.15, 0.08, 0.06, 0.05, 0.04, 0.03, 0.02, 0.02}
 
 func trialArrivals(seed uint64, load func(time.Duration) float64, total time.Duration, hosts, engines int) []trialRequest {
@@ -426,7 +428,7 @@
 	return result
 }
 
-// placed returns the share of an organisation's requests that were placed.
+// placed returns the fraction of an organisation's requests that were placed.
 func (r *trialResult) placed(organisation int) float64 {
 	name := fmt.Sprintf("org%d", organisation)
 	return float64(r.served[name]) / float64(r.asked[name])
@@ -439,7 +441,7 @@
 		ms(r.first, 50), ms(r.first, 95), ms(r.first, 99), ms(r.refuseTime, 95), r.placed(0), r.placed(len(trialShares)-1), r.refusals)
 }
 
-// variants are tunings that trials compare.
+// variants are changes to the default tuning that trials compare, by name.
 var variants = map[string]func(*tuning){
 	"base":     func(t *tuning) {},
 	"noended":  func(t *tuning) { t.ended = false },
@@ -459,7 +461,8 @@
 	"noprefix": func(t *tuning) { t.prefix = 0 },
 }
 
-// variant builds a policy from names joined with +.
+// variant returns a policy constructor for variants joined with +, or nil if one
+// is unknown.
 func variant(names string) func() policy {
 	tuned := defaultTuning
 	for _, name := range strings.Split(names, "+") {
@@ -472,9 +475,8 @@
 	return func() policy { return &forecastPolicy{tuning: tuned} }
 }
 
-// TestTrial plays policies in virtual time against a model of engines and
-// prints what came of it. It judges nothing, so it is built with the tag
-// trial only.
+// TestTrial runs policies in virtual time against a model of engines and prints
+// the results. It asserts nothing, so it is built only with the tag trial.
 func TestTrial(t *testing.T) {
 	if *trialPolicies == "" {
 		t.Fatal("name policies with -trial.policies")
--- a/routing/view.go
+++ b/routing/view.go
@@ -7,8 +7,8 @@
 	"github.com/papayasail/papayasail/backend"
 )
 
-// refresh takes the newest snapshot; false: the service is not in force.
-// Called with mu held.
+// refresh updates the view to the newest snapshot. It returns false if the
+// service is not in force. Called with mu held.
 func (s *service) refresh(now time.Time) bool {
 	snapshot := s.dispatcher.options.Pool.Snapshot(s.name)
 	if snapshot == nil {
@@ -20,23 +20,23 @@
 	return true
 }
 
-// view is a snapshot joined with this host's own ledgers.
+// view joins a snapshot of the pool with this host's own load data.
 type view struct {
 	snapshot *backend.Snapshot
 	layout   uint64
-	servers  []*candidate // one for each server of the snapshot
-	subset   []int        // positions that this host follows
-	scratch  []*candidate
+	servers  []*candidate // one for each server in the snapshot, in its order
+	subset   []int        // indexes into servers of this host's subset
+	scratch  []*candidate // buffer for service.candidates
 }
 
-// candidate is one server with what this host knows of it.
+// candidate is one server with this host's data about its load.
 type candidate struct {
 	server *backend.Server
 	ledger *ledger
 }
 
-// take joins a new snapshot; ledgers are looked up only when the list of
-// servers changed.
+// take applies a new snapshot. Load data is looked up again only if the list of
+// servers has changed.
 func (v *view) take(snapshot *backend.Snapshot, s *service, now time.Time) {
 	if v.snapshot == nil || v.snapshot.Document != snapshot.Document {
 		s.z = quantile(snapshot.Document.Placement.Risk)
@@ -64,9 +64,10 @@
 	}
 }
 
-// candidates filters the servers that may run a request: those this host
-// follows, or else all. later says that a server may become free by itself.
-// Called with mu held; the result is valid until the next call.
+// candidates returns the servers that may run a request: those in this host's
+// subset, or if there are none, those in the whole list. later reports that a
+// server is or may become available without operator action. Called with mu
+// held; the result is valid until the next call.
 func (s *service) candidates(request *Request) (found []*candidate, later bool) {
 	found = s.view.scratch[:0]
 	for _, i := range s.view.subset {
@@ -91,7 +92,8 @@
 	return c.server.State == backend.StateReady && !slices.Contains(request.Exclude, c.server.Name)
 }
 
-// returns reports whether a server may take the request again by itself.
+// returns reports whether a server is unavailable now, but may take the request
+// again without operator action.
 func returns(c *candidate, request *Request) bool {
 	down := c.server.State == backend.StateEjected || c.server.State == backend.StateUnreachable
 	down = down || c.server.State == backend.StateUnloaded
--- a/routing/waiter.go
+++ b/routing/waiter.go
@@ -8,29 +8,30 @@
 	"github.com/papayasail/papayasail/organisation"
 )
 
-// waiter is one request that waits in Acquire.
+// waiter is a queued request, waiting in Acquire.
 type waiter struct {
 	request Request
 	item    organisation.Item[*waiter]
-	// result gets the grant or the refusal; its one slot lets the sender go on
-	// when the waiter has just given up.
+	// result receives the grant, or is closed on a refusal. Its buffer of one
+	// keeps the sender from blocking on a waiter that has just given up.
 	result  chan *grant
 	refusal *contract.Refusal // set before result is closed
 }
 
 // hopeless reports whether a request that joined the queue now would miss its
-// deadline, and when it may come back.
+// deadline, and the time after which it may be retried.
 //
-// Overload: without this every request waits out its deadline before it is
-// refused, callers hold on to hosts for nothing, and those that could be
-// served in time stand behind those that cannot. Called with mu held.
+// Without this check, each request under overload would wait until its deadline
+// before it is refused, callers would occupy hosts in vain, and requests that
+// could be served in time would queue behind requests that cannot. Called with
+// mu held.
 func (s *service) hopeless(request *Request, now time.Time) (wait time.Duration, hopeless bool) {
 	if s.queue.Len() == 0 {
 		return 0, false
 	}
 	perSecond := s.served.perSecond(now)
 	if perSecond <= 0 {
-		return 0, false // nothing is known of how fast the queue moves
+		return 0, false // the queue's service rate is not known
 	}
 	wait = time.Duration(s.queue.Ahead(request.Organisation) / perSecond * float64(time.Second))
 	return max(wait, leastRetryAfter), now.Add(time.Duration(waitDoubt * float64(wait))).After(request.Deadline)
@@ -50,8 +51,8 @@
 	return w
 }
 
-// wait blocks until the waiter is granted, refused, past its deadline or
-// abandoned by its caller.
+// wait blocks until the waiter is granted or refused, its deadline passes or ctx
+// is done.
 func (s *service) wait(ctx context.Context, w *waiter) (Grant, error) {
 	timer := time.NewTimer(time.Until(w.request.Deadline))
 	defer timer.Stop()
@@ -66,6 +67,8 @@
 	}
 }
 
+// waited records the result of a waiter and returns it; a nil grant means that
+// the waiter was refused.
 func (s *service) waited(w *waiter, g *grant) (Grant, error) {
 	if g == nil {
 		return nil, counted(w.refusal)
@@ -75,8 +78,8 @@
 	return g, nil
 }
 
-// giveUp takes a waiter out of the queue. A grant that came at the same moment
-// is returned unused: otherwise its place on the server would leak.
+// giveUp removes a waiter from the queue. A grant that arrived concurrently is
+// released unused; otherwise its slot on the server would leak.
 func (s *service) giveUp(w *waiter, refusal *contract.Refusal) (Grant, error) {
 	s.mu.Lock()
 	s.queue.Remove(&w.item)
@@ -95,16 +98,16 @@
 	return nil, counted(refusal)
 }
 
-// pump serves the queue as far as the policy allows.
+// pump serves the queue as far as the policy allows. It acquires mu.
 func (s *service) pump() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.serve(time.Now())
 }
 
-// serve grants queued requests in fair order. A large request that has to wait
-// is not overtaken by small ones behind it, which could go on for ever.
-// Called with mu held.
+// serve grants queued requests in fair order. If the first one has to wait, the
+// requests behind it are not considered: a stream of small requests could starve
+// a large one. Called with mu held.
 func (s *service) serve(now time.Time) {
 	if s.queue.Len() == 0 || !s.refresh(now) {
 		return
@@ -128,7 +131,7 @@
 	}
 }
 
-// refuse ends a queued request. Called with mu held.
+// refuse removes a request from the queue and refuses it. Called with mu held.
 func (s *service) refuse(w *waiter, refusal *contract.Refusal) {
 	s.queue.Remove(&w.item)
 	s.limits.Leave(w.request.Organisation)
@@ -136,6 +139,7 @@
 	close(w.result)
 }
 
+// refuseAll closes the service and refuses all queued requests.
 func (s *service) refuseAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,8 +149,8 @@
 	}
 }
 
-// retryAfter estimates when a request that was not placed may come back: when
-// what is queued now has been served.
+// retryAfter estimates the time after which a request that was not placed may be
+// retried: the time to serve all requests queued now.
 func (s *service) retryAfter() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,6 +162,6 @@
 	return min(max(wait, leastRetryAfter), mostRetryAfter)
 }
 
-// waitDoubt is by how much the estimate of a wait is doubted: requests of
-// others that come later may be served first.
+// waitDoubt is a safety factor on the estimated wait: requests of other
+// organisations that arrive later may be served first.
 const waitDoubt = 1.5
