--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement chooses a backend server for a request from a snapshot of
-// what this host knows of the servers. It does no input or output.
+// Package placement chooses a backend server for a request from a snapshot of the
+// servers' load. It does no I/O.
 package placement
 
 import (
@@ -11,124 +11,132 @@
 // Candidate is a backend server that may run the request.
 type Candidate struct {
 	ID string
-	// SameDomain says that the server is in this host's failure domain.
+	// SameDomain reports whether the server is in this host's failure domain.
 	SameDomain bool
-	// Slots is how many requests the server runs at once.
+	// Slots is the number of requests that the server runs concurrently.
 	Slots int
-	// MemoryTokens is an engine's memory in tokens; zero: a plain service.
+	// MemoryTokens is the memory of an engine, in tokens; zero for a plain
+	// service.
 	MemoryTokens int
-	// Running is how many requests run or wait there, as far as is known.
+	// Running is the known number of requests running or queued on the server.
 	Running int
-	// HeldTokens is the memory that those hold now or are expected to.
+	// HeldTokens is the memory that these requests use or are expected to
+	// use, in tokens; see Held.
 	HeldTokens int
-	// UsedTokens is the part of it that they hold now.
+	// UsedTokens is the memory that they use now, in tokens.
 	UsedTokens int
-	// UnreadTokens are those of prompts that the engine has still to read;
-	// BriefUnreadTokens the part of it that brief generations have.
+	// UnreadTokens is the number of prompt tokens that the engine has yet to
+	// prefill; BriefUnreadTokens is the part that belongs to brief generations.
 	UnreadTokens, BriefUnreadTokens int
-	// Doubtful says that recent requests failed there: it gets work only
-	// where no other server has a place.
+	// Doubtful reports whether recent requests failed on the server. It gets
+	// requests only if no other server has a free place.
 	Doubtful bool
-	// Slow says that it has just started and is still slow.
+	// Slow reports whether the server is in its slow start.
 	Slow bool
-	// ColdFull says that it is cold and gets as many requests now as it bears.
+	// ColdFull reports whether the server is cold and already has the maximum
+	// number of requests for a cold server.
 	ColdFull bool
-	// Pace is the least time that an engine has lately taken for a token of a
+	// Pace is the engine's lowest recent time per output token of one
 	// generation; zero: not known.
 	Pace time.Duration
 }
 
-// Need is what a request will take; both are zero for a plain call.
+// Need describes the resources that a request needs. Both token counts are zero
+// for a call to a plain service.
 type Need struct {
 	PromptTokens int
 	OutputTokens int // expected
-	// Returning says that the caller was refused a moment ago and has come
-	// back when it was told to.
+	// Returning reports whether the request is a retry, at the advised time,
+	// after a recent refusal.
 	Returning bool
 }
 
-// Brief reports whether the request ends within about a second.
+// Brief reports whether the generation is expected to end within about 1 s.
 func (n Need) Brief() bool { return n.OutputTokens < briefTokens }
 
-// GrowthShare is the part of what a generation is expected to make yet that
-// counts as held: generations end at different times, so that while one has
-// grown to its full length others have ended. With all of it counted, engines
-// stood at two thirds of their memory while requests waited.
+// GrowthShare is the share of a generation's expected remaining output that is
+// counted as held. Generations end at different times: when one reaches its full
+// length, others have ended. If all of it were counted, engines would use only two
+// thirds of their memory while requests wait.
 const GrowthShare = 0.5
 
-// Held returns the memory that a generation counts for.
+// Held returns the memory, in tokens, that is counted for a generation: the
+// prompt, the output so far and GrowthShare of the expected remaining output.
 func Held(promptTokens, producedTokens, expectedTokens int) int {
 	return promptTokens + producedTokens + int(GrowthShare*float64(max(0, expectedTokens-producedTokens)))
 }
 
-// Limits bound what placement fills.
+// Limits are the bounds for placement on a server.
 type Limits struct {
-	// Memory is the share of an engine's memory that may be promised to
-	// generations. Above it, their growth preempts others.
+	// Memory is the share of an engine's memory that may be held by
+	// generations. Above it, the growth of generations causes preemptions.
 	Memory float64
-	// ReturningMemory is the same for callers that have come back: most come
-	// back once only, so that a second refusal is for good.
+	// ReturningMemory is the same bound for retries after a refusal. Most
+	// callers retry only once, so a second refusal is final.
 	ReturningMemory float64
-	// UnreadTokens are those of prompts that an engine may have still to
-	// read. Beyond it the first token comes after the goal, and each prompt
-	// more makes those behind it late too. Brief generations wait for those
-	// of brief ones only, which engines read first.
+	// UnreadTokens is the maximum number of prompt tokens that an engine may
+	// have yet to prefill. Above it the first token misses its latency goal,
+	// and each further prompt delays the prompts behind it too. For brief
+	// generations only the prompts of brief ones count: engines prefill these
+	// first.
 	UnreadTokens int
-	// QueueShare is how many requests a plain server may have beside those
-	// that it runs, as a share of its slots.
+	// QueueShare is the maximum number of requests queued on a plain server,
+	// as a multiple of its slots.
 	QueueShare float64
 }
 
-// DefaultLimits keep 6% of the memory free of promises, promise 2% too much to
-// callers that have come back, and let a plain server have two requests waiting
-// for each that it runs. Estimates of length are off by a factor of three, and
-// what overflows stops a stream for a second and is read again. Of prompts an
-// engine may have 0.8 s of reading before it.
+// DefaultLimits keep 6% of the memory free, allow 2% overcommitment for retries
+// after a refusal, and let a plain server have two queued requests for each
+// running one. Length estimates are off by a factor of three; a generation that
+// is preempted on overflow stalls for a second and its prompt is prefilled again.
+// An engine may have 0.8 s of prefill queued.
 var DefaultLimits = Limits{Memory: 0.94, ReturningMemory: 1.02, UnreadTokens: 5500, QueueShare: 2}
 
 const (
-	// briefTokens is how many tokens a brief generation makes at most; an
-	// engine makes some 120 a second for each.
+	// briefTokens is the output length below which a generation is brief. An
+	// engine produces about 120 tokens per second for each generation.
 	briefTokens = 120
-	// briefGrowth is how many tokens each running generation makes while a
-	// brief one is read and ends, which takes about half a second.
+	// briefGrowth is the number of tokens that each running generation
+	// produces during the lifetime of a brief one, which is about 0.5 s.
 	briefGrowth = 60
 )
 
 const (
-	// readTokensPerMs is how fast an engine reads prompts beside running
-	// generations: chunks of 112 tokens, one each step of 15 to 17 ms.
+	// readTokensPerMs is the prefill throughput of an engine that also runs
+	// generations: one chunk of 112 tokens in each step of 15 to 17 ms.
 	readTokensPerMs = 7.0
-	// patienceMs is the wait for the first token that weighs as much as a
-	// full engine.
+	// patienceMs is the delay of the first token that costs as much as a full
+	// engine.
 	patienceMs = 750.0
-	// otherDomainCost ranks a server in another failure domain below one
-	// that is fuller by this share: bytes between domains cost more than
-	// small differences of load, and less than large ones.
+	// otherDomainCost is the cost of a server in another failure domain, as a
+	// share of the server's load: traffic between domains costs more than a
+	// small difference in load and less than a large one.
 	otherDomainCost = 0.1
-	// otherDomainTokenCost adds to it for each token that is expected: a token
-	// takes some 100 bytes on its way to the caller, a prompt's one.
+	// otherDomainTokenCost is added to it for each expected output token: an
+	// output token takes about 100 bytes on its way to the caller, a prompt
+	// token one.
 	otherDomainTokenCost = 0.001
-	// slowCost does the same for a server that has just started.
+	// slowCost is the cost, as a share of the load, of a server in slow start.
 	slowCost = 0.5
-	// paceCost ranks an engine that takes twice as long for a token, for long
-	// generations, like one that is fuller by this share.
+	// paceCost is the cost for long generations, as a share of the load, of an
+	// engine that takes twice as long per token as the fastest one.
 	paceCost = 0.8
-	// briefPaceGain is what brief generations weigh it the other way round, so
-	// that their prompts are read where they slow no long ones down.
+	// briefPaceGain is the same for brief generations with the opposite sign:
+	// their prompts are to be prefilled where few long generations are slowed
+	// down.
 	briefPaceGain = 0.3
-	// maxSlower bounds what one wrong measurement can do.
+	// maxSlower limits the effect of one wrong value of Pace.
 	maxSlower = 0.5
 )
 
-// OtherDomainCost is what it adds to a server's cost that it is in another
-// failure domain.
+// OtherDomainCost returns the additional cost of a server in another failure
+// domain.
 func OtherDomainCost(need Need) float64 {
 	return otherDomainCost + otherDomainTokenCost*float64(need.OutputTokens)
 }
 
-// Costs returns the costs of the best servers that have a place, at most so
-// many, the lowest first. Doubtful servers are left out.
+// Costs returns the costs of the best servers with a free place, lowest first, at
+// most the given number. Doubtful servers are skipped.
 func Costs(need Need, candidates []Candidate, limits Limits, most int) []float64 {
 	fastest := fastestOf(candidates)
 	var costs []float64
@@ -141,8 +149,8 @@
 	return costs[:min(most, len(costs))]
 }
 
-// Pick returns the index of the best candidate with a place, or -1 if none
-// has one. Draw returns a number below n; it breaks ties, so that hosts with
+// Pick returns the index of the best candidate with a free place, or -1 if there
+// is none. draw returns a number from 0 to n-1; it breaks ties, so that hosts with
 // the same view do not all choose the same server.
 func Pick(need Need, candidates []Candidate, limits Limits, draw func(n int) int) int {
 	best, bestRank := -1, rank{}
@@ -164,7 +172,7 @@
 	return best
 }
 
-// rank orders candidates: those that are not doubtful first, then by cost.
+// rank orders candidates: doubtful ones last, then by cost.
 type rank struct {
 	doubtful bool
 	cost     float64
@@ -177,21 +185,22 @@
 	return cmp.Less(r.cost, other.cost)
 }
 
-// lack is what a server lacks for a request.
+// lack is the resource of a server that is insufficient for a request.
 type lack int
 
 const (
 	lacksNothing lack = iota
-	lacksReading      // too many prompts before it
+	lacksReading      // too many prompt tokens queued for prefill
 	lacksSlots
 	lacksMemory
-	lacksWarmth // it is cold
+	lacksWarmth // cold server at its maximum
 )
 
-// Shortage counts servers without a place by what they lack first.
+// Shortage counts servers without a free place by the first resource that is
+// insufficient.
 type Shortage struct{ Reading, Slots, Memory, Warmth int }
 
-// ShortageOf says why none of the candidates has a place.
+// ShortageOf counts why the candidates have no free place for the request.
 func ShortageOf(need Need, candidates []Candidate, limits Limits) (shortage Shortage) {
 	for i := range candidates {
 		switch candidates[i].lacks(need, limits) {
@@ -212,13 +221,14 @@
 	return c.lacks(need, limits) == lacksNothing
 }
 
-// lacks returns what the server lacks first for the request.
+// lacks returns the first resource that is insufficient for the request, or
+// lacksNothing.
 func (c *Candidate) lacks(need Need, limits Limits) lack {
 	if c.ColdFull {
 		return lacksWarmth
 	}
 	if c.Running == 0 {
-		return lacksNothing // an idle server takes one whatever the limits say
+		return lacksNothing // an idle server accepts one request regardless of the limits
 	}
 	if c.MemoryTokens == 0 {
 		if float64(c.Running) < float64(c.Slots)*(1+limits.QueueShare) {
@@ -240,10 +250,10 @@
 
 // hasMemory reports whether the engine's memory has room for the request.
 //
-// A brief generation is gone before those beside it have grown: it needs room
-// now, not in what is promised. Engines keep it waiting where there is none:
-// with a tenth more than the whole memory promised to brief ones, some waited
-// for seconds on an engine that was full, beside others that had room.
+// A brief generation ends before the others have grown, so it needs memory that
+// is free now rather than memory that is not held. Engines queue it if there is
+// none: with a limit of 110% of the memory for brief generations, some would wait
+// for seconds on a full engine while others have room.
 func (c *Candidate) hasMemory(need Need, limits Limits) bool {
 	if need.Brief() {
 		return c.UsedTokens+need.PromptTokens+briefGrowth*c.Running <= c.MemoryTokens
@@ -256,7 +266,8 @@
 	return float64(promised) <= share*float64(c.MemoryTokens)
 }
 
-// unreadBefore returns the tokens that the engine reads before the request.
+// unreadBefore returns the number of prompt tokens that the engine prefills
+// before those of the request.
 func (c *Candidate) unreadBefore(need Need) int {
 	if need.Brief() {
 		return c.BriefUnreadTokens
@@ -264,7 +275,7 @@
 	return c.UnreadTokens
 }
 
-// fastestOf returns the least pace of the engines, or zero.
+// fastestOf returns the lowest known pace, or zero if none is known.
 func fastestOf(candidates []Candidate) (fastest time.Duration) {
 	for i := range candidates {
 		if pace := candidates[i].Pace; pace > 0 && (fastest == 0 || pace < fastest) {
@@ -274,12 +285,11 @@
 	return fastest
 }
 
-// slowness is what the engine's speed adds to its cost. An engine whose pace
-// is not known counts as fast, so that it is tried.
+// slowness returns the part of the cost that depends on the engine's speed. An
+// engine whose pace is not known counts as fast, so that it is tried.
 //
-// The load it answers: some engines of a service are slower than the others,
-// and a generation of 20 s is lost with its host or its engine the sooner the
-// longer it runs.
+// Some engines of a service are slower than others. The longer a generation runs,
+// the more likely it is lost with its host or engine; long ones run for 20 s.
 func (c *Candidate) slowness(need Need, fastest time.Duration) float64 {
 	if c.MemoryTokens == 0 || c.Pace <= 0 || fastest <= 0 {
 		return 0
@@ -291,19 +301,22 @@
 	return paceCost * slower
 }
 
-// cost is the share of the server that is taken once the request is there.
+// cost returns the cost of the server with the request placed there: its load
+// relative to its capacity, plus penalties for another failure domain and for slow
+// start.
 func (c *Candidate) cost(need Need) float64 {
 	cost := 0.0
 	if c.MemoryTokens > 0 {
-		// The square: of two engines with room, the fuller one is no worse
-		// until preemptions come near.
+		// Squared: load makes little difference between two engines with room,
+		// and counts only near the level that causes preemptions.
 		tokens := c.HeldTokens
 		if need.Brief() {
 			tokens = c.UsedTokens
 		}
 		held := float64(tokens+need.PromptTokens) / float64(c.MemoryTokens)
 		cost = held * held
-		// Prompts that are being read slow the others down, whoever goes first.
+		// Prefill slows all generations on the engine, whatever the order of
+		// prompts.
 		unread := (c.UnreadTokens + c.unreadBefore(need)) / 2
 		cost += float64(unread+need.PromptTokens) / readTokensPerMs / patienceMs
 	} else {
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -18,7 +18,8 @@
 	return Candidate{ID: id, Slots: 24, MemoryTokens: 34000, Running: running, HeldTokens: held, UnreadTokens: unread, SameDomain: true}
 }
 
-// Guards against all prompts of a burst on the engine with the emptiest memory.
+// Guards against a burst of prompts that is placed entirely on the engine with the
+// most free memory.
 func TestBacklogOfPromptsWeighsMoreThanMemory(t *testing.T) {
 	is := is.New(t)
 	candidates := []Candidate{engine("new", 4, 10000, 10000), engine("old", 5, 23000, 0)}
@@ -27,8 +28,8 @@
 }
 
 func TestNoPlaceAboveTheMemoryLimit(t *testing.T) {
-	// All engines are nearly full. One more generation would preempt others in
-	// the middle of their streams; it has to be refused or wait.
+	// Guards against preemptions in running streams: on nearly full engines,
+	// one more generation has to be refused or wait.
 	is := is.New(t)
 	full := []Candidate{engine("a", 8, 30500, 0), engine("b", 8, 31500, 0)}
 	is.Equal(Pick(Need{PromptTokens: 3000, OutputTokens: 400}, full, DefaultLimits, noDraw), -1)
@@ -36,34 +37,36 @@
 }
 
 func TestNoPlaceBehindTooManyPrompts(t *testing.T) {
-	// Prompts come faster for a second than engines read. Each one that was
-	// let in behind 10,000 tokens came too late, and made the next one late.
+	// Guards against late first tokens after a burst of prompts: behind 10,000
+	// tokens of queued prefill each one is late and delays the next.
 	is := is.New(t)
 	busy := []Candidate{engine("a", 4, 12000, 5500)}
 	is.Equal(Pick(Need{PromptTokens: 2500, OutputTokens: 300}, busy, DefaultLimits, noDraw), -1)
-	is.Equal(Pick(Need{PromptTokens: 900, OutputTokens: 16}, busy, DefaultLimits, noDraw), 0) // is read first
+	is.Equal(Pick(Need{PromptTokens: 900, OutputTokens: 16}, busy, DefaultLimits, noDraw), 0) // is prefilled first
 	busy[0].BriefUnreadTokens = 5000
 	is.Equal(Pick(Need{PromptTokens: 900, OutputTokens: 16}, busy, DefaultLimits, noDraw), -1)
 	busy[0].UnreadTokens = 3000
 	is.Equal(Pick(Need{PromptTokens: 2500, OutputTokens: 300}, busy, DefaultLimits, noDraw), 0)
 	busy[0].UnreadTokens = 0
-	is.Equal(Pick(Need{PromptTokens: 9000, OutputTokens: 300}, busy, DefaultLimits, noDraw), 0) // nobody waits
+	is.Equal(Pick(Need{PromptTokens: 9000, OutputTokens: 300}, busy, DefaultLimits, noDraw), 0) // no other prompt is queued
 }
 
-// Guards against brief generations refused for the memory of long ones.
+// Guards against brief generations that are refused because of the memory held for
+// the growth of long ones.
 func TestBriefGenerationsFitBetweenLongOnes(t *testing.T) {
 	is := is.New(t)
 	full := []Candidate{engine("a", 8, 31500, 0)}
 	full[0].UsedTokens = 31000
 	is.Equal(Pick(Need{PromptTokens: 2500, OutputTokens: 16}, full, DefaultLimits, noDraw), 0)
 	is.Equal(Pick(Need{PromptTokens: 2500, OutputTokens: 300}, full, DefaultLimits, noDraw), -1)
-	// A letter that was refused a moment ago has come back, as it was told to.
+	// A retry after a refusal has the higher memory limit.
 	is.Equal(Pick(Need{PromptTokens: 2500, OutputTokens: 300, Returning: true}, full, DefaultLimits, noDraw), 0)
 	full[0].HeldTokens, full[0].UsedTokens = 36000, 31100
 	is.Equal(Pick(Need{PromptTokens: 2500, OutputTokens: 16}, full, DefaultLimits, noDraw), -1)
 }
 
-// Guards against brief generations that wait on an engine whose memory is really full.
+// Guards against brief generations that queue on an engine whose memory is in use,
+// rather than only held.
 func TestBriefGenerationsGoWhereMemoryIsFreeNow(t *testing.T) {
 	is := is.New(t)
 	grown, young := engine("grown", 6, 32500, 0), engine("young", 8, 33500, 0)
@@ -73,8 +76,8 @@
 }
 
 func TestFastEnginesTakeLongGenerations(t *testing.T) {
-	// One engine is slower by a third and a little emptier. Least held first
-	// sent it the letters, which then ran a third longer.
+	// Guards against long generations on an engine that is a third slower but
+	// has slightly more free memory: they would run a third longer.
 	is := is.New(t)
 	fast, slow := engine("fast", 4, 14000, 0), engine("slow", 4, 12000, 0)
 	fast.Pace, slow.Pace = 8*time.Millisecond, 10400*time.Microsecond
@@ -83,12 +86,13 @@
 	is.Equal(Pick(Need{PromptTokens: 2000, OutputTokens: 12}, both, DefaultLimits, noDraw), 0)
 	both[1].HeldTokens = 28500 // the fast one is nearly full
 	is.Equal(Pick(Need{PromptTokens: 3000, OutputTokens: 700}, both, DefaultLimits, noDraw), 0)
-	both[1].HeldTokens, both[0].Pace = 14000, time.Minute // one wrong measurement of the slow one
+	both[1].HeldTokens, both[0].Pace = 14000, time.Minute // a wrong pace of the slow one
 	both[1].HeldTokens = 30000
 	is.Equal(Pick(Need{PromptTokens: 3000, OutputTokens: 700}, both, DefaultLimits, noDraw), 0)
 }
 
-// Guards against a cold server that crashes as it looks idle.
+// Guards against overload of a cold server: it looks idle, gets too many requests
+// and crashes.
 func TestColdServersGetNoMoreThanTheyBear(t *testing.T) {
 	is := is.New(t)
 	cold := Candidate{ID: "cold", Slots: 6, SameDomain: true, ColdFull: true}
@@ -99,8 +103,8 @@
 }
 
 func TestDoubtfulServersGetWorkOnlyWhenOthersAreFull(t *testing.T) {
-	// A server fails nearly half of its requests, quickly, and so looks idle.
-	// Least loaded first would send it most of the traffic.
+	// Guards against a server that attracts traffic by failing: it fails nearly
+	// half of its requests quickly and therefore looks idle.
 	is := is.New(t)
 	bad := Candidate{ID: "bad", Slots: 6, Doubtful: true}
 	busy := Candidate{ID: "busy", Slots: 6, Running: 10}
@@ -126,7 +130,7 @@
 		if i < 0 {
 			for _, c := range candidates {
 				if c.Running == 0 {
-					t.Fatalf("an idle server was passed over")
+					t.Fatalf("no server picked although one is idle")
 				}
 			}
 			return
@@ -138,13 +142,13 @@
 				t.Fatalf("over the memory limit: %+v", c)
 			}
 			if need.Brief() && c.UsedTokens+need.PromptTokens > c.MemoryTokens {
-				t.Fatalf("a brief generation on an engine without room: %+v", c)
+				t.Fatalf("brief generation placed on an engine without free memory: %+v", c)
 			}
 		}
 		if c.Doubtful {
 			for _, other := range candidates {
 				if !other.Doubtful && other.Running == 0 {
-					t.Fatalf("a doubtful server before an idle sound one")
+					t.Fatalf("doubtful server picked although another one is idle")
 				}
 			}
 		}
@@ -162,8 +166,8 @@
 }
 
 func TestShortageSaysWhatIsLacking(t *testing.T) {
-	// A caller complains of a refusal. The line that explains it named how many
-	// engines there were, and not whether they were full or had too much to read.
+	// Guards against refusals that cannot be explained: the counts distinguish
+	// full engines from engines with too many prompt tokens to prefill.
 	is := is.New(t)
 	reading, full, slots := engine("r", 4, 12000, 5500), engine("m", 8, 33500, 0), engine("s", 24, 12000, 0)
 	need := Need{PromptTokens: 2500, OutputTokens: 300}
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -10,9 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// The load that is replayed: engines of the grown sites, a sixth of them away
-// at any time, with more letters than their memory holds and verdicts between
-// them. Time goes in steps of 10 ms.
+// Parameters of the simulation: the engines of an enlarged deployment, a sixth of
+// them unavailable at any time, and more long generations (letters) than fit into
+// memory, mixed with brief ones. Time advances in steps of 10 ms.
 const (
 	replayEngines = 38
 	replayMemory  = 21904
@@ -20,16 +20,16 @@
 	stepMs        = 10
 	readPerStep   = 70 // prompt tokens
 	tokensPerStep = 0.9
-	waitSteps     = 22  // before a refusal
-	returnSteps   = 60  // until a refused caller is back
+	waitSteps     = 22  // queueing time until a refusal
+	returnSteps   = 60  // time until a refused caller retries
 	letterGoal    = 180 // steps to the first token
 	briefGoal     = 150
 )
 
-// replayLoad is what comes, and what is known of engines; every third of them
-// takes a third more time for everything.
+// replayLoad is the request load, and whether placement has the pace of engines.
+// Every third engine is 30% slower.
 type replayLoad struct {
-	letters, briefs float64 // a step
+	letters, briefs float64 // probability of an arrival per step
 	paceKnown       bool
 }
 
@@ -38,17 +38,17 @@
 	halfLoad = replayLoad{letters: 0.15, briefs: 0.20}
 )
 
-// replayed is one generation of the replay.
+// replayed is one generation of the simulation.
 type replayed struct {
 	need     Need
-	output   int // tokens that it really makes, which nobody knows
-	asked    int // step of the first attempt
-	waiting  int // steps since this attempt
-	read     float64
-	made     float64
-	began    int // step of its place
-	first    int // step of its first token
-	ended    int
+	output   int     // actual output length, not available to placement
+	asked    int     // step of the first attempt
+	waiting  int     // steps since this attempt
+	read     float64 // prompt tokens prefilled
+	made     float64 // output tokens produced
+	began    int     // step of its placement
+	first    int     // step of its first token
+	ended    int     // step of its end
 	preempts int
 }
 
@@ -61,7 +61,7 @@
 
 type replayEngine struct {
 	running []*replayed
-	slower  float64 // 1: not
+	slower  float64 // factor on all times; 1: full speed
 }
 
 func (e *replayEngine) candidate(paceKnown bool) Candidate {
@@ -82,15 +82,16 @@
 	return c
 }
 
-// step reads one prompt, lets the others make tokens, and preempts the newest
-// letter while memory does not suffice. It returns those that ended.
+// step prefills prompts up to the budget of one step, produces tokens for the
+// other generations, and preempts the newest letters while memory is exceeded. It
+// returns the generations that ended.
 func (e *replayEngine) step(now int) (ended []*replayed) {
 	used := 0
 	for _, r := range e.running {
 		used += r.used()
 	}
 	budget := readPerStep / e.slower
-	for _, brief := range []bool{true, false} { // brief prompts are read first
+	for _, brief := range []bool{true, false} { // brief prompts are prefilled first
 		for _, r := range e.running {
 			left := float64(r.need.PromptTokens) - r.read
 			if r.need.Brief() != brief || left <= 0 || budget <= 0 || r.read == 0 && used+r.need.PromptTokens > replayMemory {
@@ -128,10 +129,10 @@
 	return ended
 }
 
-// replayResult counts what callers got.
+// replayResult counts the outcomes for callers.
 type replayResult struct{ letters, onTime, refused, late, briefs, briefsOnTime, preempts, tokens, tokenSteps int }
 
-// replay plays a load with the limits.
+// replay simulates a load under the given limits.
 func replay(load replayLoad, limits Limits, seed uint64) replayResult {
 	random := rand.New(rand.NewPCG(seed, 1))
 	lognormal := func(median, sigma, least, most float64) int {
@@ -150,7 +151,7 @@
 	for now := range replaySteps {
 		if random.Float64() < load.letters {
 			output := lognormal(520, 1.1, 16, 1768)
-			// Callers' estimates are off by a factor of three.
+			// Callers' length estimates are off by a factor of three.
 			waiting = append(waiting, &replayed{asked: now, output: output,
 				need: Need{PromptTokens: lognormal(2900, 0.35, 800, 6000), OutputTokens: max(briefTokens, lognormal(float64(output), 1.2, 1, 1768))}})
 		}
@@ -171,7 +172,8 @@
 	return result
 }
 
-// place reports whether the request waits no longer.
+// place tries to place a request. It reports whether the request leaves the queue:
+// placed, refused, or to be retried later.
 func place(engines []*replayEngine, r *replayed, load replayLoad, limits Limits, now int, later map[int][]*replayed, result *replayResult) bool {
 	candidates := make([]Candidate, len(engines))
 	for i, e := range engines {
@@ -219,7 +221,7 @@
 	}
 }
 
-// replayAll plays several seeds.
+// replayAll sums the results over several seeds.
 func replayAll(load replayLoad, limits Limits) (sum replayResult) {
 	for seed := range uint64(3) {
 		r := replay(load, limits, seed)
@@ -236,7 +238,8 @@
 	return sum
 }
 
-// Guards against engines that overflow in the middle of streams under overload.
+// Guards against preemptions in running streams under overload, when engines run
+// out of memory.
 func TestOverloadKeepsWhatItBegan(t *testing.T) {
 	is := is.New(t)
 	promised := replayAll(overload, Limits{Memory: 1, ReturningMemory: 1.1, UnreadTokens: DefaultLimits.UnreadTokens})
@@ -244,9 +247,9 @@
 	t.Logf("whole memory promised: %+v", promised)
 	t.Logf("limits in force:       %+v", kept)
 	is.True(kept.preempts*2 < promised.preempts)
-	is.True(kept.onTime*10 > promised.onTime*11)    // a tenth more
-	is.True(kept.refused*10 < promised.refused*11)  // and not by refusing more
-	is.True(kept.briefsOnTime*100 > kept.briefs*98) // verdicts fit in between
+	is.True(kept.onTime*10 > promised.onTime*11)    // over 10% more in time
+	is.True(kept.refused*10 < promised.refused*11)  // with less than 10% more refusals
+	is.True(kept.briefsOnTime*100 > kept.briefs*98) // brief ones stay in time
 }
 
 // Guards against long generations on slow engines.
@@ -260,5 +263,5 @@
 	perToken := func(r replayResult) float64 { return float64(r.tokenSteps) / float64(r.tokens) }
 	is.True(perToken(known) < 0.975*perToken(blind))
 	is.True(known.onTime*100 >= blind.onTime*99)
-	is.True(known.briefsOnTime*100 >= known.briefs*99) // verdicts on slow engines are in time
+	is.True(known.briefsOnTime*100 >= known.briefs*99) // brief ones on slow engines are in time
 }
