--- a/retry/class.go
+++ b/retry/class.go
@@ -1,6 +1,6 @@
-// Package retry decides whether a failed request may be tried again: evidence
-// is classified first, the effect gate then says whether repeating is safe,
-// and only after that does the service's policy say whether and when.
+// Package retry decides whether a failed request may be retried. The evidence is
+// classified first, then the effect gate checks whether a retry is safe, and only
+// then the service's policy determines whether and when to retry.
 package retry
 
 import (
@@ -8,58 +8,62 @@
 	"time"
 )
 
-// Stage says how far a request had come towards a backend server.
+// Stage is the progress of a request towards a backend server when it failed.
 type Stage int
 
 const (
-	StageUnknown   Stage = iota // not recorded: treated as sent
-	StageDial                   // no connection: no byte of the request left
-	StageSent                   // a byte or more may have reached the server
-	StageAnswered               // the server's status is known
-	StageDelivered              // part of the answer went on to the caller
+	StageUnknown   Stage = iota // not recorded: never retried, effect unknown
+	StageDial                   // no connection: no byte of the request was sent
+	StageSent                   // at least one byte may have reached the server
+	StageAnswered               // the server's status code was received
+	StageDelivered              // part of the response was delivered to the caller
 )
 
-// Evidence is what is known of one failed try.
+// Evidence is the information about one failed attempt.
 type Evidence struct {
 	Stage Stage
-	// Status of the backend server's answer; 0: none.
+	// Status is the status code of the backend server's response; 0: none.
 	Status int
-	// NotRun says that the server marked its answer as having run nothing
+	// NotRun reports whether the server marked its response as not run
 	// (backend.HeaderNotRun).
 	NotRun bool
-	// RetryAfter is the server's reset time; zero: none given.
+	// RetryAfter is the time after which the server advises to retry; zero:
+	// none.
 	RetryAfter time.Duration
-	// Cancelled says that the caller or this host ended the try.
+	// Cancelled reports whether the caller or this host cancelled the attempt.
 	Cancelled bool
-	// Mismatch says that the answer belonged to another request.
+	// Mismatch reports whether the response belonged to another request.
 	Mismatch bool
 }
 
-// Class is what kind of failure the evidence shows.
+// Class is the kind of failure.
 type Class string
 
 const (
-	// ClassTransient passes by itself: connection, overload, restart.
+	// ClassTransient failures pass without intervention: connection, overload,
+	// restart.
 	ClassTransient Class = "transient"
-	// ClassHard needs somebody to change something: credentials, bad request.
+	// ClassHard failures persist until something is changed: credentials, bad
+	// request.
 	ClassHard Class = "hard"
-	// ClassUnclassified is evidence that no rule knows. It is never retried.
+	// ClassUnclassified is evidence that matches no rule, or from which no
+	// conclusion is safe. It is never retried.
 	ClassUnclassified Class = "unclassified"
 )
 
-// Effect says whether the failed try may have had an effect.
+// Effect is whether the failed attempt may have had an effect.
 type Effect string
 
 const (
-	EffectNone    Effect = "none"    // no backend server ran any of it
-	EffectUnknown Effect = "unknown" // it may have run
+	EffectNone    Effect = "none"    // no backend server ran any part of the request
+	EffectUnknown Effect = "unknown" // the request may have run
 )
 
-// Verdict is the outcome of classification.
+// Verdict is the result of classification.
 type Verdict struct {
 	Class  Class
 	Effect Effect
-	Rule   string // stable id of the rule that matched, for counters
+	Rule   string // stable id of the matching rule, for metrics
 }
 
 type rule struct {
@@ -69,8 +73,8 @@
 	match  func(Evidence) bool
 }
 
-// catalogue lists the rules; the first that matches decides. Evidence that
-// none matches fails closed.
+// catalogue is the ordered list of rules; the first match applies. Evidence that
+// matches none fails closed.
 var catalogue = []rule{
 	{"cancelled", ClassHard, EffectUnknown, func(e Evidence) bool { return e.Cancelled && e.Stage != StageDial }},
 	{"cancelled_before_sending", ClassHard, EffectNone, func(e Evidence) bool { return e.Cancelled }},
@@ -86,7 +90,7 @@
 
 func (e Evidence) answered() bool { return e.Stage == StageAnswered }
 
-// passing reports whether the status is one that passes by itself.
+// passing reports whether the status code indicates a transient failure.
 func (e Evidence) passing() bool {
 	switch e.Status {
 	case http.StatusTooManyRequests, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -95,7 +99,7 @@
 	return false
 }
 
-// Classify sorts evidence by the catalogue.
+// Classify returns the verdict of the first matching rule.
 func Classify(evidence Evidence) Verdict {
 	for _, rule := range catalogue {
 		if rule.match(evidence) {
--- a/retry/evaluator.go
+++ b/retry/evaluator.go
@@ -12,73 +12,76 @@
 
 var decisionsTotal = prometheus.NewCounterVec(prometheus.CounterOpts{
 	Name: "papayasail_retry_decisions_total",
-	Help: "Failed tries by the rule that classified them and what was decided.",
+	Help: "Failed attempts, by the rule that classified them and the decision.",
 }, []string{"rule", "decision"})
 
-// Collectors returns the counters of this package.
+// Collectors returns the metrics of this package.
 func Collectors() []prometheus.Collector { return []prometheus.Collector{decisionsTotal} }
 
-// Reason says why a decision fell.
+// Reason is the reason for a decision.
 type Reason string
 
 const (
-	ReasonBackoff   Reason = "backoff"    // retry after the exponential wait
-	ReasonReset     Reason = "reset_wait" // retry after the server's own time
-	ReasonClass     Reason = "class"      // hard or unclassified
-	ReasonEffect    Reason = "effect"     // it may have run and may not run twice
-	ReasonExhausted Reason = "exhausted"  // as many retries as the policy allows
-	ReasonBudget    Reason = "budget"     // too many retries in the whole traffic
-	ReasonDeadline  Reason = "deadline"   // the wait would outlast the request
+	ReasonBackoff   Reason = "backoff"    // retry after exponential backoff
+	ReasonReset     Reason = "reset_wait" // retry after the time that the server advised
+	ReasonClass     Reason = "class"      // hard or unclassified failure
+	ReasonEffect    Reason = "effect"     // may have run and must not run twice
+	ReasonExhausted Reason = "exhausted"  // maximum number of retries reached
+	ReasonBudget    Reason = "budget"     // retry budget used up
+	ReasonDeadline  Reason = "deadline"   // the wait would exceed the request's deadline
 )
 
-// Decision says whether to try again, and when.
+// Decision is whether to retry, and when.
 type Decision struct {
 	Retry bool
-	After time.Duration // wait before the next try
-	// Effect of the failed try: EffectNone allows an answer of not_run.
+	After time.Duration // wait before the next attempt
+	// Effect of the failed attempt: EffectNone allows the outcome not_run.
 	Effect Effect
 	Reason Reason
 }
 
-// Attempts is the retry state of one request. The zero value is a request
-// that was tried once. It is not safe for concurrent use.
+// Attempts is the retry state of one request. The zero value is the state after
+// the first attempt. It is not safe for concurrent use.
 type Attempts struct {
 	retries int
-	reset   bool // the server's own time was waited for already
+	reset   bool // the time advised by the server was used once
 }
 
-// Subject is the request that failed.
+// Subject describes the request that failed.
 type Subject struct {
 	Organisation string
 	Idempotent   bool
-	// Delivered says that part of the answer reached the caller; then no other
-	// run may take its place, or two generations' tokens would be mixed.
+	// Delivered reports whether part of the response reached the caller. Such a
+	// request is never retried: the caller would receive a mix of tokens from
+	// two generations.
 	Delivered bool
 	Deadline  time.Time // zero: none
 }
 
-// Evaluator applies one service's retry policy. It may be used from any
-// goroutine.
+// Evaluator applies the retry policy of one service. It is safe for concurrent
+// use.
 type Evaluator struct {
-	mu      sync.Mutex // guards all below
+	mu      sync.Mutex // guards the fields below
 	policy  contract.RetryPolicy
-	budgets map[string]*budget // by organisation; "" for the whole service
+	budgets map[string]*budget // by organisation; wholeService for the service
 	random  *rand.Rand
 }
 
-// NewEvaluator returns an evaluator with full budgets; seed is that of the jitter.
+// NewEvaluator returns an evaluator with full budgets. seed is the seed of the
+// jitter.
 func NewEvaluator(policy contract.RetryPolicy, seed uint64) *Evaluator {
 	return &Evaluator{policy: policy, budgets: map[string]*budget{}, random: rand.New(rand.NewPCG(seed, 0))}
 }
 
-// SetPolicy replaces the policy; budgets stay as they are.
+// SetPolicy replaces the policy. The budgets are kept.
 func (e *Evaluator) SetPolicy(policy contract.RetryPolicy) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.policy = policy
 }
 
-// Request counts a first try, which earns budget for retries.
+// Request counts a first attempt, which adds a share of a token to the retry
+// budgets of the service and of the organisation.
 func (e *Evaluator) Request(organisation string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -87,9 +90,9 @@
 	e.budget(organisation).earn(share)
 }
 
-// Decide says what to do after a failed try. Order matters: the effect gate
-// comes before the policy, so that no setting can repeat work that may not run
-// twice.
+// Decide decides whether and when to retry after a failed attempt. The effect gate
+// is checked before the policy, so that no setting can cause a retry of a request
+// that must not run twice.
 func (e *Evaluator) Decide(evidence Evidence, subject Subject, attempts *Attempts) Decision {
 	verdict := Classify(evidence)
 	decision := e.decide(verdict, evidence, subject, attempts)
@@ -125,8 +128,8 @@
 	return decision
 }
 
-// gate is the effect gate: work that may have run is repeated only where it is
-// idempotent and the caller has seen none of it.
+// gate is the effect gate: a request that may have run is retried only if it is
+// idempotent and no part of the response was delivered to the caller.
 func gate(verdict Verdict, subject Subject) bool {
 	if subject.Delivered {
 		return false
@@ -134,8 +137,9 @@
 	return verdict.Effect == EffectNone || subject.Idempotent
 }
 
-// wait chooses the wait: the server's own time once, where it is short enough,
-// or else the next exponential step with jitter. Called with mu held.
+// wait determines the time until the retry: the time advised by the server, once
+// and if it is at most MaxResetWait, else the next step of the exponential backoff
+// with jitter. Called with mu held.
 func (e *Evaluator) wait(evidence Evidence, attempts *Attempts) Decision {
 	if evidence.RetryAfter > 0 && !attempts.reset && evidence.RetryAfter <= e.policy.MaxResetWait {
 		return Decision{Retry: true, After: evidence.RetryAfter, Reason: ReasonReset}
@@ -144,13 +148,14 @@
 		return Decision{Reason: ReasonExhausted}
 	}
 	step := e.policy.Initial << min(attempts.retries, maxDoublings)
-	if step > 0 { // half to whole step, so that failed requests do not return together
+	if step > 0 { // jitter between half and the whole step spreads the retries of requests that failed together
 		step = step/2 + time.Duration(e.random.Int64N(int64(step/2)+1))
 	}
 	return Decision{Retry: true, After: step, Reason: ReasonBackoff}
 }
 
-// spend takes a retry off both budgets, or neither. Called with mu held.
+// spend takes the cost of one retry from both budgets, or from neither. It returns
+// false if either one is used up. Called with mu held.
 func (e *Evaluator) spend(organisation string) bool {
 	service, own := e.budget(wholeService), e.budget(organisation)
 	if service.tokens < 1 || own.tokens < 1 {
@@ -164,21 +169,22 @@
 }
 
 const (
-	wholeService = ""
-	maxDoublings = 10
-	// budgetBurst retries may come at once after quiet times; it is also what
-	// a budget starts with.
+	wholeService = "" // key of the service's budget
+	maxDoublings = 10 // of the backoff step
+	// budgetBurst is the maximum and the initial number of tokens in a budget:
+	// the largest burst of retries after a quiet period.
 	budgetBurst = 10
 )
 
-// budget bounds retries to a share of requests. Without it every failed
-// request comes back several times when servers fail under load, which keeps
-// them failing.
+// budget is a retry budget: it limits retries to a share of the requests. Without
+// it, each request that fails on an overloaded server is retried several times,
+// which keeps the server overloaded.
 type budget struct{ tokens float64 }
 
 func (b *budget) earn(share float64) { b.tokens = min(budgetBurst, b.tokens+share) }
 
-// budget returns the budget of an organisation. Called with mu held.
+// budget returns the budget of an organisation and creates it if needed: full, or
+// empty if the policy grants no retry budget. Called with mu held.
 func (e *Evaluator) budget(organisation string) *budget {
 	b := e.budgets[organisation]
 	if b == nil {
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -27,30 +27,29 @@
 	}
 }
 
-// An alarm is acknowledged, the link breaks before the answer comes, and the
-// policy says "retry three times". The acknowledgement must not run twice,
-// whatever else the evidence shows.
+// Guards against running a non-idempotent request twice: the connection breaks
+// before the response to a request that may have run, and the policy allows retries.
 func TestWorkThatMayHaveRunIsNeverRepeated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := evidence(t)
 		decision := NewEvaluator(policy, 1).Decide(e, Subject{Organisation: "a"}, &Attempts{})
 		reached := e.Stage != StageDial && (e.Stage != StageAnswered || !e.NotRun)
 		if decision.Retry && reached {
-			t.Fatalf("repeated after %+v", e)
+			t.Fatalf("retried a request that may have run: %+v", e)
 		}
 		if decision.Effect == EffectNone && reached {
-			t.Fatalf("called not run after %+v", e)
+			t.Fatalf("reported as not run although it may have run: %+v", e)
 		}
 	})
 }
 
-// Half a narrative is on the screen when its engine dies. A second run would
-// put other words behind the first ones.
+// Guards against mixed output: an engine fails after some tokens were delivered,
+// and a second run would append other tokens to them.
 func TestNothingIsRepeatedBehindDeliveredTokens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		subject := Subject{Organisation: "a", Idempotent: true, Delivered: true}
 		if NewEvaluator(policy, 1).Decide(evidence(t), subject, &Attempts{}).Retry {
-			t.Fatal("repeated")
+			t.Fatal("retried after part of the response was delivered")
 		}
 	})
 }
@@ -93,8 +92,8 @@
 	})
 }
 
-// Every engine fails under overload and each request comes back four times,
-// so the overload feeds itself. Retries stay a share of the traffic.
+// Guards against a retry storm: all engines fail under overload, and retries of
+// every request sustain the overload.
 func TestRetriesStayWithinTheirShareOfTraffic(t *testing.T) {
 	is := is.New(t)
 	evaluator := NewEvaluator(policy, 1)
@@ -115,5 +114,5 @@
 	evaluator.Request("b")
 	evaluator.Request("b")
 	evaluator.Request("b")
-	is.True(evaluator.Decide(Evidence{Stage: StageDial}, other, &Attempts{}).Retry) // "a" has not used up b's share
+	is.True(evaluator.Decide(Evidence{Stage: StageDial}, other, &Attempts{}).Retry) // retries of "a" leave the budget of "b" untouched
 }
