--- a/migration/queue.go
+++ b/migration/queue.go
@@ -1,11 +1,11 @@
-// Package migration decides in which order generations move off backend
-// servers that are leaving, and where to. It does no input or output.
+// Package migration decides in which order generations are migrated from backend
+// servers that are leaving, and to which destinations. It does no I/O.
 //
-// The load it answers: an engine with four to ten generations of some 3,500
-// tokens is reclaimed with about two seconds of notice, several engines at a
-// time. Copies that run at the same time queue behind each other, and so does
-// the last, short increment of each move, during which the stream stands still:
-// for most of a second where each host moves its runs by itself.
+// A typical case: several engines at a time are reclaimed with about two seconds
+// of notice, each with four to ten generations of about 3,500 tokens. Concurrent
+// copies share the link and delay each other, and so they delay the last, short
+// increment of each migration, during which the stream stalls. If each host
+// migrated its runs independently, streams would stall for most of a second.
 package migration
 
 import (
@@ -18,35 +18,39 @@
 )
 
 const (
-	// gather is how long the first run of a leaving engine waits for the
-	// others: hosts hear of the notice within 10 ms of each other, and the
-	// order is only as good as what is in it.
+	// gather is the delay between the first move queued for a leaving engine and
+	// the first turn: hosts receive the notice within 10 ms of each other, and
+	// all moves have to be queued before they can be ordered.
 	gather = 15 * time.Millisecond
-	// turnLease ends the turn of a host that died in it. The longest copies,
-	// to another failure domain, take some 500 ms.
+	// turnLease is the maximum duration of a turn, so that a host that fails
+	// during its turn does not block the others. The longest copies, to another
+	// failure domain, take about 500 ms.
 	turnLease = 1200 * time.Millisecond
-	// fullMemory and overfull are shares of an engine's memory that moved
-	// runs may fill. A preemption later costs less than a lost run now.
+	// fullMemory and overfull are the shares of an engine's memory that migrated
+	// runs may fill; overfull applies if no engine has room within fullMemory. A
+	// preemption later costs less than a lost run now.
 	fullMemory = 1.0
 	overfull   = 1.3
 )
 
-// Move is a run that waits for its turn.
+// Move is a run to migrate.
 type Move struct {
 	Source string // leaving server
-	Run    string
-	// Size is the work that is lost with the run, in tokens read and made.
+	Run    string // id of the run
+	// Size is the work that is lost if the run is lost, in tokens prefilled and
+	// produced.
 	Size int
-	// Need is the memory to be copied, and what it is expected to make yet.
+	// Need describes the memory to copy (PromptTokens) and the expected
+	// remaining output (OutputTokens).
 	Need placement.Need
 }
 
-// endsSoon is how many tokens a run makes in about a second; one that has
-// fewer left ends before its server is gone.
+// endsSoon is the number of tokens that a run produces in about 1 s. A run with
+// fewer tokens left ends before its server has left.
 const endsSoon = 120
 
-// density orders moves: the work that a copied token saves. Where time is too
-// short for all, the most work is saved by the densest first.
+// density returns the work saved per copied token, by which moves are ordered. If
+// there is not enough time for all, this order saves the most work.
 func (m Move) density() float64 {
 	if m.Need.OutputTokens < endsSoon {
 		return 0
@@ -54,24 +58,25 @@
 	return float64(m.Size) / float64(max(1, m.Need.PromptTokens))
 }
 
-// Grant says where a run goes; an empty destination: nowhere.
+// Grant contains the destination of a run; empty: there is none, and the run is
+// not migrated.
 type Grant struct{ Destination string }
 
-// Candidates returns the servers to which a run of a source may go; those in
-// the source's failure domain are marked so.
+// Candidates returns the possible destinations for runs of a source. SameDomain is
+// set for those in the source's failure domain.
 type Candidates func(source string) []placement.Candidate
 
-// Queue gives turns to moves so that at any moment at most one copy leaves an
-// engine, and at most one arrives at another. The run whose copy saves most
-// work for its size goes first; those that end soon go last.
+// Queue schedules moves so that at any time each engine sends at most one copy and
+// receives at most one. The run that saves the most work per copied token is
+// migrated first; runs that end soon are migrated last.
 type Queue struct {
 	candidates Candidates
 	now        func() time.Time
 
-	mu      sync.Mutex // guards all below
+	mu      sync.Mutex // guards the fields below
 	waiting []*waitingMove
-	turns   map[string]turn // by source
-	first   map[string]time.Time
+	turns   map[string]turn      // by source
+	first   map[string]time.Time // time of the first move, by source
 }
 
 type waitingMove struct {
@@ -79,20 +84,21 @@
 	granted chan Grant
 }
 
-// turn is a move in progress.
+// turn is a migration in progress.
 type turn struct {
 	run         string
 	destination string
 	until       time.Time
 }
 
-// NewQueue returns an empty queue.
+// NewQueue returns an empty queue. now returns the current time.
 func NewQueue(candidates Candidates, now func() time.Time) *Queue {
 	return &Queue{candidates: candidates, now: now, turns: map[string]turn{}, first: map[string]time.Time{}}
 }
 
-// Enter queues a move. The channel gets its grant. Cancel takes it out of the
-// queue; a grant that was given meanwhile has to be ended with End.
+// Enter queues a move. The channel receives its grant. cancel removes the move
+// from the queue; if it was granted in the meantime, the turn has to be ended with
+// End.
 func (q *Queue) Enter(move Move) (granted <-chan Grant, cancel func()) {
 	w := &waitingMove{move: move, granted: make(chan Grant, 1)}
 	q.mu.Lock()
@@ -110,7 +116,7 @@
 	q.waiting = slices.DeleteFunc(q.waiting, func(other *waitingMove) bool { return other == w })
 }
 
-// End ends the turn of a run.
+// End ends the turn of a run. It does nothing if the turn has expired.
 func (q *Queue) End(source, run string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -119,8 +125,8 @@
 	}
 }
 
-// Step grants what may begin now and returns when to look again at the
-// latest; zero: nothing waits.
+// Step grants all moves that can start now. It returns the maximum time until the
+// next call, or zero if no move is queued.
 func (q *Queue) Step() time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -149,7 +155,8 @@
 	}
 }
 
-// grant reports whether the move left the queue. Called with mu held.
+// grant tries to start a move. It reports whether the move leaves the queue.
+// Called with mu held.
 func (q *Queue) grant(w *waitingMove, now time.Time) bool {
 	source := w.move.Source
 	if _, busy := q.turns[source]; busy || now.Sub(q.first[source]) < gather {
@@ -169,16 +176,17 @@
 	return true
 }
 
-// destination returns the best server that receives no copy now. Servers of
-// the source's own failure domain go first, as copies to others take twice as
-// long: a run waits for one of them rather than go further.
+// destination returns the best server that is not receiving a copy, or "" if the
+// move has to wait. Servers in the source's failure domain are preferred, since
+// copies to other domains take twice as long: if one of them has room but is
+// receiving a copy, the run waits for it.
 func (q *Queue) destination(need placement.Need, all []placement.Candidate) string {
 	near := slices.DeleteFunc(slices.Clone(all), func(c placement.Candidate) bool { return !c.SameDomain })
 	for _, memory := range []float64{fullMemory, overfull} {
 		limits := placement.Limits{Memory: memory}
 		for _, some := range [][]placement.Candidate{near, all} {
 			if placement.Pick(need, some, limits, noDraw) < 0 {
-				continue // none has room, busy or not
+				continue // none has room, whether it is receiving a copy or not
 			}
 			if i := placement.Pick(need, q.idle(some), limits, noDraw); i >= 0 {
 				return q.idle(some)[i].ID
@@ -189,7 +197,7 @@
 	return ""
 }
 
-// idle returns the candidates that receive no copy.
+// idle returns the candidates that are not receiving a copy.
 func (q *Queue) idle(some []placement.Candidate) []placement.Candidate {
 	return slices.DeleteFunc(slices.Clone(some), func(c placement.Candidate) bool {
 		for _, t := range q.turns {
--- a/migration/queue_test.go
+++ b/migration/queue_test.go
@@ -33,9 +33,8 @@
 }
 
 func TestOneCopyAtATimeOnEachLink(t *testing.T) {
-	// Two engines are reclaimed at once, with three generations each. Copies
-	// that ran at the same time queued behind each other, and callers saw
-	// their streams stand still for 200 to 900 ms.
+	// Guards against concurrent copies when two engines are reclaimed at once:
+	// they delay each other, and streams stall for 200 to 900 ms.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		q := NewQueue(func(string) []placement.Candidate {
@@ -45,12 +44,12 @@
 		a2, _ := q.Enter(move("a", "2", 3000, 800))
 		b1, _ := q.Enter(move("b", "3", 3000, 500))
 		q.Step()
-		is.Equal(granted(a2), "") // gathers first
+		is.Equal(granted(a2), "") // waits for other moves first
 		time.Sleep(gather)
 		q.Step()
-		is.Equal(granted(a2), "y") // saves more for the same copy
-		is.Equal(granted(a1), "")  // its engine sends already
-		is.Equal(granted(b1), "x") // the other engine has a destination of its own
+		is.Equal(granted(a2), "y") // saves more work for the same copy
+		is.Equal(granted(a1), "")  // its engine is sending already
+		is.Equal(granted(b1), "x") // the other engine has another destination
 		q.End("a", "2")
 		q.Step()
 		is.Equal(granted(a1), "y")
@@ -58,8 +57,8 @@
 }
 
 func TestRunsThatEndSoonGoLast(t *testing.T) {
-	// An engine leaves in 1.5 s. A generation with half a second to go took
-	// the first turn, and one with eight seconds to go was lost.
+	// Guards against the loss of a generation with 8 s to go on an engine that
+	// leaves in 1.5 s, because one with 0.5 s to go has the first turn.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		q := NewQueue(func(string) []placement.Candidate { return []placement.Candidate{engine("x", true, 0)} }, time.Now)
@@ -73,8 +72,8 @@
 }
 
 func TestTurnOfADeadHostEnds(t *testing.T) {
-	// A host is killed in the middle of its move. The others' generations on
-	// the same engine must not wait for it until the engine is gone.
+	// Guards against a host that fails during its turn and blocks the other
+	// generations on the same engine until the engine has left.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		q := NewQueue(func(string) []placement.Candidate { return []placement.Candidate{engine("x", true, 0)} }, time.Now)
@@ -90,8 +89,8 @@
 }
 
 func TestWaitsForANearDestination(t *testing.T) {
-	// The only near destination receives a copy. A copy to another failure
-	// domain takes twice as long as the wait.
+	// Guards against a copy to another failure domain while the only near
+	// destination is receiving one: the copy takes twice as long as the wait.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		q := NewQueue(func(string) []placement.Candidate {
@@ -110,8 +109,8 @@
 }
 
 func TestQueueNeverSharesALink(t *testing.T) {
-	// Random moves, ends and cancels: at no moment do two copies leave one
-	// engine or arrive at one.
+	// With random moves, ends and cancels, no engine ever sends or receives two
+	// copies at once.
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
 		var candidates []placement.Candidate
@@ -154,11 +153,11 @@
 					continue
 				}
 				if busy[w.move.Source] != "" {
-					t.Fatalf("two copies leave %s", w.move.Source)
+					t.Fatalf("%s sends two copies at once", w.move.Source)
 				}
 				for _, other := range busy {
 					if other == destination {
-						t.Fatalf("two copies arrive at %s", destination)
+						t.Fatalf("%s receives two copies at once", destination)
 					}
 				}
 				busy[w.move.Source], runs[w.move.Source] = destination, w.move.Run
