--- a/routing/dispatcher.go
+++ b/routing/dispatcher.go
@@ -38,11 +38,11 @@
 }
 
 const (
-	defaultQueueWait = 10 * time.Second
-	pumpEvery        = 20 * time.Millisecond // queue check interval, for changes that raise no event
-	retryNoServer    = time.Second
-	leastRetryAfter  = 500 * time.Millisecond
-	mostRetryAfter   = 30 * time.Second
+	defaultQueueWait   = 10 * time.Second
+	queueCheckInterval = 20 * time.Millisecond // for changes that raise no event
+	retryNoServer      = time.Second
+	minRetryAfter      = 500 * time.Millisecond
+	maxRetryAfter      = 30 * time.Second
 )
 
 // Options configures a Dispatcher. Pool and Policy are required.
@@ -108,7 +108,7 @@
 func (d *Dispatcher) Close() {
 	d.once.Do(func() { close(d.stop) })
 	d.done.Wait()
-	for _, s := range d.all() {
+	for _, s := range d.allServices() {
 		s.refuseAll()
 	}
 }
@@ -124,7 +124,7 @@
 // reports, server states, and changes that come with time alone, such as the
 // end of a slow start.
 func (d *Dispatcher) run() {
-	ticker := time.NewTicker(pumpEvery)
+	ticker := time.NewTicker(queueCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -133,13 +133,13 @@
 		case <-d.wake:
 		case <-ticker.C:
 		}
-		for _, s := range d.all() {
-			s.pump()
+		for _, s := range d.allServices() {
+			s.serveQueue()
 		}
 	}
 }
 
-func (d *Dispatcher) all() []*service {
+func (d *Dispatcher) allServices() []*service {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	services := make([]*service, 0, len(d.services))
@@ -171,11 +171,11 @@
 	s := d.service(request.Service)
 	if s == nil {
 		refusal := contract.NotRun(contract.ReasonUnknownService, 0, "no such service").WithStatus(http.StatusNotFound)
-		return nil, counted(refusal)
+		return nil, countRefusal(refusal)
 	}
-	granted, waiting, refusal := s.enter(request)
+	granted, waiting, refusal := s.admit(request)
 	if refusal != nil {
-		return nil, counted(refusal)
+		return nil, countRefusal(refusal)
 	}
 	if granted != nil {
 		grantsTotal.WithLabelValues("at_once").Inc()
@@ -184,7 +184,7 @@
 	return s.wait(ctx, waiting)
 }
 
-func counted(refusal *contract.Refusal) *contract.Refusal {
+func countRefusal(refusal *contract.Refusal) *contract.Refusal {
 	refusalsTotal.WithLabelValues(string(refusal.Reason)).Inc()
 	return refusal
 }
--- a/routing/dispatcher_bench_test.go
+++ b/routing/dispatcher_bench_test.go
@@ -49,13 +49,13 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		l.add("a", 100, 1+i%1000)
-		l.of("a")
+		l.forOrganisation("a")
 	}
 }
 
 func BenchmarkProgress(b *testing.B) {
-	g := &grant{ledger: &ledger{}}
-	g.ledger.gaps.target.Store(int64(50 * time.Millisecond))
+	g := &grant{serverLoad: &serverLoad{}}
+	g.serverLoad.gaps.target.Store(int64(50 * time.Millisecond))
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		g.Progress(i, 20*time.Millisecond)
--- a/routing/dispatcher_test.go
+++ b/routing/dispatcher_test.go
@@ -101,7 +101,7 @@
 	})
 }
 
-func TestInFlightLimitHoldsAndIsGivenBack(t *testing.T) {
+func TestInFlightLimitIsEnforcedAndReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		document := testDocument(3)
--- a/routing/forecast.go
+++ b/routing/forecast.go
@@ -18,9 +18,9 @@
 	}
 }
 
-// cut limits the mean to capacity and the variance to its maximum on
+// clamp limits the mean to capacity and the variance to its maximum on
 // [0, capacity].
-func (f *forecast) cut(capacity float64) {
+func (f *forecast) clamp(capacity float64) {
 	for k := range f.mean {
 		f.mean[k] = min(f.mean[k], capacity)
 		f.variance[k] = min(f.variance[k], capacity*capacity/4)
@@ -34,7 +34,7 @@
 	var f forecast
 	reached := 1.0
 	if produced > 0 {
-		reached = table.after(float64(produced))
+		reached = table.longerThan(float64(produced))
 	}
 	for k, horizon := range horizons {
 		total := produced + horizon
@@ -44,9 +44,9 @@
 			chance = 1
 		case maxTokens > 0 && total >= maxTokens:
 		case produced == 0:
-			chance = table.fresh[k] // every decision needs it: precomputed to save the logarithm
+			chance = table.fromStart[k] // every decision needs it: precomputed to save the logarithm
 		case reached > 0:
-			chance = table.after(float64(total)) / reached
+			chance = table.longerThan(float64(total)) / reached
 		}
 		size := float64(prompt + total)
 		f.mean[k] = size * chance
@@ -55,10 +55,10 @@
 	return f
 }
 
-// strangersForecast returns the forecast of the generations that other hosts run
+// otherHostsForecast returns the forecast of the generations that other hosts run
 // on a server. Reports contain their number and total memory, but not the
 // progress of each one.
-func strangersForecast(table *survival, running, held float64) forecast {
+func otherHostsForecast(table *survival, running, held float64) forecast {
 	var f forecast
 	if running <= 0 {
 		f.mean[0] = held
@@ -66,7 +66,7 @@
 	}
 	average := held / running
 	for k, horizon := range horizons {
-		chance := table.random[k]
+		chance := table.residual[k]
 		size := average + float64(horizon)
 		f.mean[k] = running * size * chance
 		f.variance[k] = running * size * size * chance * (1 - chance)
@@ -90,6 +90,6 @@
 // quantile returns the number of standard deviations that a normally distributed
 // value exceeds with probability risk. risk is limited to 1e-6 to 0.5.
 func quantile(risk float64) float64 {
-	const least, most = 1e-6, 0.5
-	return math.Sqrt2 * math.Erfinv(1-2*min(most, max(least, risk)))
+	const minRisk, maxRisk = 1e-6, 0.5
+	return math.Sqrt2 * math.Erfinv(1-2*min(maxRisk, max(minRisk, risk)))
 }
--- a/routing/gap.go
+++ b/routing/gap.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	gapShare     = 0.05                   // a larger share of gaps above the target lowers the limit
-	gapSamples   = 40                     // minimum number of gaps for an update
-	limitCut     = 0.9                    // factor of the multiplicative decrease
-	limitStep    = 1.0                    // additive increase, generations
-	leastRunning = 4.0                    // lower bound of the limit, generations
-	limitPeriod  = 500 * time.Millisecond // minimum time between updates
+	gapShare        = 0.05                   // a larger share of gaps above the target lowers the limit
+	gapSamples      = 40                     // minimum number of gaps for an update
+	limitDecrease   = 0.9                    // factor of the multiplicative decrease
+	limitIncrease   = 1.0                    // additive increase, generations
+	minRunningLimit = 4.0                    // lower bound of the limit, generations
+	limitPeriod     = 500 * time.Millisecond // minimum time between updates
 )
 
 // gapMeter counts the gaps between tokens in the streams of one server. add may
@@ -43,7 +43,7 @@
 type runningLimit struct {
 	limit   float64 // 0: no limit yet
 	updated time.Time
-	pace    time.Duration // mean gap at the last update; 0: no update yet
+	meanGap time.Duration // mean gap at the last update; 0: no update yet
 }
 
 // update adjusts the limit by the gaps counted since the last update.
@@ -53,13 +53,13 @@
 	}
 	seen, above := meter.seen.Swap(0), meter.above.Swap(0)
 	r.updated = now
-	r.pace = time.Duration(meter.sum.Swap(0) / seen)
+	r.meanGap = time.Duration(meter.sum.Swap(0) / seen)
 	if float64(above) > gapShare*float64(seen) {
-		r.limit = max(leastRunning, min(r.bound(), running)*limitCut)
+		r.limit = max(minRunningLimit, min(r.bound(), running)*limitDecrease)
 		return
 	}
 	if r.limit > 0 && running >= r.limit-1 {
-		r.limit += limitStep
+		r.limit += limitIncrease
 	}
 }
 
--- a/routing/grant.go
+++ b/routing/grant.go
@@ -7,36 +7,36 @@
 
 // grant implements Grant for a Dispatcher.
 type grant struct {
-	service *service
-	request Request
-	server  string
-	address string
-	model   string
-	ledger  *ledger
-	cost    float64 // tokens charged to the organisation in advance
+	service    *service
+	request    Request
+	server     string
+	address    string
+	model      string
+	serverLoad *serverLoad
+	cost       float64 // tokens charged to the organisation in advance
 
 	produced atomic.Int64 // tokens so far
 	done     atomic.Bool
 
-	index int      // position in ledger.grants; guarded by the service's mutex
-	part  forecast // this request's part of ledger.own; guarded by the service's mutex
+	index  int      // position in serverLoad.grants; guarded by the service's mutex
+	demand forecast // this request's part of serverLoad.own; guarded by the service's mutex
 }
 
 // grant places a request on the chosen server. Called with mu held.
 func (s *service) grant(request *Request, chosen *candidate, now time.Time) *grant {
 	g := &grant{
-		service: s,
-		request: *request,
-		server:  chosen.server.Name,
-		address: chosen.server.Address,
-		model:   chosen.server.Model,
-		ledger:  chosen.ledger,
-		cost:    s.cost(request),
+		service:    s,
+		request:    *request,
+		server:     chosen.server.Name,
+		address:    chosen.server.Address,
+		model:      chosen.server.Model,
+		serverLoad: chosen.serverLoad,
+		cost:       s.cost(request),
 	}
-	chosen.ledger.add(g, s.lengths.of(request.Organisation))
+	chosen.serverLoad.add(g, s.lengths.forOrganisation(request.Organisation))
 	s.grants.add(1, now)
 	s.served.add(g.cost, now)
-	s.prefixes.placed(request.PrefixHash, chosen.ledger, now)
+	s.prefixes.addHolder(request.PrefixHash, chosen.serverLoad, now)
 	return g
 }
 
@@ -53,7 +53,7 @@
 // token.
 func (g *grant) Progress(tokens int, gap time.Duration) {
 	g.produced.Store(int64(tokens))
-	g.ledger.gaps.add(gap)
+	g.serverLoad.gaps.add(gap)
 }
 
 // Done implements Grant. A second call is ignored: it would release a slot that
@@ -66,28 +66,28 @@
 	s := g.service
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g.ledger.remove(g)
+	g.serverLoad.remove(g)
 	s.limits.Leave(g.request.Organisation)
 	s.limits.Spend(g.request.Organisation, result.Tokens)
-	s.queue.Charge(g.request.Organisation, g.taken(result)-g.cost)
-	if g.whole(result) {
+	s.queue.Charge(g.request.Organisation, g.tokensUsed(result)-g.cost)
+	if g.lengthKnown(result) {
 		s.lengths.add(g.request.Organisation, g.request.PromptTokens, result.Tokens)
 	}
 	s.serve(time.Now())
 }
 
-// taken returns the number of tokens that the request used.
-func (g *grant) taken(result Result) float64 {
+// tokensUsed returns the number of tokens that the request used.
+func (g *grant) tokensUsed(result Result) float64 {
 	if result.NotRun {
 		return 0
 	}
 	return float64(g.request.PromptTokens + result.Tokens)
 }
 
-// whole reports whether the output length may be added to the length
+// lengthKnown reports whether the output length may be added to the length
 // distribution. Generations that ended at their token limit are included:
 // without them long outputs would look rare.
-func (g *grant) whole(result Result) bool {
-	cut := g.request.MaxTokens > 0 && result.Tokens >= g.request.MaxTokens
-	return result.Tokens > 0 && (result.Complete || cut)
+func (g *grant) lengthKnown(result Result) bool {
+	atLimit := g.request.MaxTokens > 0 && result.Tokens >= g.request.MaxTokens
+	return result.Tokens > 0 && (result.Complete || atLimit)
 }
--- a/routing/lag.go
+++ b/routing/lag.go
@@ -5,7 +5,7 @@
 const (
 	lagSteps  = 16
 	lagStep   = 250 * time.Millisecond
-	lagMemory = 400 // averaging window, in reports
+	lagWindow = 400 // averaging window, in reports
 	// lagSamples is the minimum number of reports for an estimate.
 	lagSamples = 100
 )
@@ -41,8 +41,8 @@
 	if last.known {
 		m.samples++
 		for i := range m.variance {
-			left := (next.reported - last.reported) - (next.own[i] - last.own[i])
-			m.variance[i] += (left*left - m.variance[i]) / float64(min(m.samples, lagMemory))
+			residual := (next.reported - last.reported) - (next.own[i] - last.own[i])
+			m.variance[i] += (residual*residual - m.variance[i]) / float64(min(m.samples, lagWindow))
 		}
 	}
 	*last = next
--- a/routing/lengths.go
+++ b/routing/lengths.go
@@ -10,12 +10,12 @@
 	// sharedSamples is the maximum weight, in samples, of the lengths of the
 	// whole service in the table of an organisation.
 	sharedSamples = 50
-	// memorySamples is the half-life of a sample's weight, in samples, so that
-	// the distribution adapts to a changed prompt or model.
-	memorySamples = 4000
-	// rebuildEvery is the number of samples added to a histogram between two
+	// halfLifeSamples is the half-life of a sample's weight, in samples, so
+	// that the distribution adapts to a changed prompt or model.
+	halfLifeSamples = 4000
+	// rebuildInterval is the number of samples added to a histogram between two
 	// computations of its survival table.
-	rebuildEvery = 32
+	rebuildInterval = 32
 )
 
 // horizons are the points, in tokens from now, for which the memory of an engine
@@ -37,7 +37,7 @@
 
 func newLengths(unfinished func(string) [lengthBuckets]float64) *lengths {
 	l := &lengths{service: newHistogram(), organisations: map[string]*histogram{}, unfinished: unfinished}
-	l.all()
+	l.forService()
 	return l
 }
 
@@ -56,15 +56,16 @@
 	}
 	l.service.add(tokens)
 	own.add(tokens)
-	l.all()
+	l.forService()
 }
 
-// of returns the survival table of an organisation: its own lengths combined with
-// those of the whole service, which dominate while it has few samples.
-func (l *lengths) of(organisation string) *survival {
+// forOrganisation returns the survival table of an organisation: its own
+// lengths combined with those of the whole service, which dominate while it has
+// few samples.
+func (l *lengths) forOrganisation(organisation string) *survival {
 	own := l.organisations[organisation]
 	if own == nil {
-		return l.all()
+		return l.forService()
 	}
 	if own.outdated() {
 		own.table.compute(own, l.service, l.unfinished(organisation))
@@ -73,8 +74,8 @@
 	return &own.table
 }
 
-// all returns the survival table of the whole service.
-func (l *lengths) all() *survival {
+// forService returns the survival table of the whole service.
+func (l *lengths) forService() *survival {
 	if l.service.outdated() {
 		l.service.table.compute(l.service, nil, l.unfinished(""))
 		l.service.pending = 0
@@ -85,7 +86,7 @@
 // mean returns the expected output length in tokens, at most maxTokens (0: no
 // limit).
 func (l *lengths) mean(organisation string, maxTokens int) float64 {
-	mean := l.of(organisation).mean
+	mean := l.forOrganisation(organisation).mean
 	if maxTokens > 0 {
 		return min(mean, float64(maxTokens))
 	}
@@ -103,8 +104,8 @@
 func newHistogram() *histogram { return &histogram{pending: -1} }
 
 func (h *histogram) add(tokens int) {
-	const keep = 1 - math.Ln2/memorySamples
-	if h.total > memorySamples {
+	const keep = 1 - math.Ln2/halfLifeSamples
+	if h.total > halfLifeSamples {
 		for i := range h.counts {
 			h.counts[i] *= keep
 		}
@@ -118,10 +119,10 @@
 }
 
 // outdated reports whether the table has to be computed again: after each new
-// sample while there are fewer than 2*rebuildEvery, then after rebuildEvery new
-// ones.
+// sample while there are fewer than 2*rebuildInterval, then after
+// rebuildInterval new ones.
 func (h *histogram) outdated() bool {
-	return h.pending < 0 || h.pending >= rebuildEvery || (h.pending > 0 && h.total < 2*rebuildEvery)
+	return h.pending < 0 || h.pending >= rebuildInterval || (h.pending > 0 && h.total < 2*rebuildInterval)
 }
 
 // bucketOf returns the bucket of a length.
@@ -143,10 +144,10 @@
 // survival is the distribution of output lengths as a survival function: the
 // probability of being longer than each bound.
 type survival struct {
-	mean   float64
-	longer [lengthBuckets]float64 // probability of being longer than bounds[i]
-	fresh  [horizonCount]float64  // probability that a new generation is longer than horizons[i]
-	random [horizonCount]float64  // probability that a running generation has more than horizons[i] to go
+	mean      float64
+	longer    [lengthBuckets]float64 // probability of being longer than bounds[i]
+	fromStart [horizonCount]float64  // probability that a new generation is longer than horizons[i]
+	residual  [horizonCount]float64  // probability that a running generation has more than horizons[i] to go
 }
 
 // compute fills the table from a histogram, a shared histogram and a prior that
@@ -171,13 +172,13 @@
 	for i, count := range own.counts {
 		weights[i] += count
 	}
-	s.fill(spread(weights, unfinished))
+	s.fill(kaplanMeier(weights, unfinished))
 }
 
-// spread returns the Kaplan-Meier estimate of the share of lengths in each
+// kaplanMeier returns the Kaplan-Meier estimate of the share of lengths in each
 // bucket. The share that ends in a bucket is estimated from all generations,
 // ended or unfinished, that reached it.
-func spread(ended, unfinished [lengthBuckets]float64) (shares [lengthBuckets]float64) {
+func kaplanMeier(ended, unfinished [lengthBuckets]float64) (shares [lengthBuckets]float64) {
 	reached := 0.0
 	for i := range ended {
 		reached += ended[i] + unfinished[i]
@@ -213,16 +214,16 @@
 		below = bounds[i]
 	}
 	for k, horizon := range horizons {
-		s.random[k] = s.equilibrium(float64(horizon))
-		s.fresh[k] = s.after(float64(horizon))
+		s.residual[k] = s.residualSurvival(float64(horizon))
+		s.fromStart[k] = s.longerThan(float64(horizon))
 	}
 }
 
-// equilibrium returns the probability that a generation observed at a random
+// residualSurvival returns the probability that a generation observed at a random
 // point of its run has more than the given number of tokens to go: the integral
 // of the survival function from there on, divided by the mean (the residual life
 // distribution).
-func (s *survival) equilibrium(tokens float64) float64 {
+func (s *survival) residualSurvival(tokens float64) float64 {
 	area, whole, below, chance := 0.0, 0.0, 0.0, 1.0
 	for i, bound := range bounds {
 		slab := (chance + s.longer[i]) / 2
@@ -238,9 +239,10 @@
 	return area / whole
 }
 
-// after returns the probability of a length above the given number of tokens,
-// interpolated linearly within a bucket, over the logarithm of the length.
-func (s *survival) after(tokens float64) float64 {
+// longerThan returns the probability of a length above the given number of
+// tokens, interpolated linearly within a bucket, over the logarithm of the
+// length.
+func (s *survival) longerThan(tokens float64) float64 {
 	if tokens <= 1 {
 		return 1
 	}
@@ -249,6 +251,6 @@
 	if i >= lengthBuckets-1 {
 		return s.longer[lengthBuckets-1]
 	}
-	part := position - float64(i)
-	return s.longer[i]*(1-part) + s.longer[i+1]*part
+	fraction := position - float64(i)
+	return s.longer[i]*(1-fraction) + s.longer[i+1]*fraction
 }
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -46,15 +46,15 @@
 // ablations are variants of the forecast policy, by name, each with one mechanism
 // disabled. Benchmarks use them.
 var ablations = map[string]func(*tuning){
-	"forecast-without-herd":    func(t *tuning) { t.herd = 0 },
+	"forecast-without-herd":    func(t *tuning) { t.unreportedWeight = 0 },
 	"forecast-without-aging":   func(t *tuning) { t.aging = false },
 	"forecast-without-ended":   func(t *tuning) { t.ended = false },
 	"forecast-without-limit":   func(t *tuning) { t.limit = false },
-	"forecast-without-horizon": func(t *tuning) { t.instant = true },
+	"forecast-without-horizon": func(t *tuning) { t.currentOnly = true },
 	"forecast-without-margin":  func(t *tuning) { t.margin = false },
-	"forecast-without-shares":  func(t *tuning) { t.lent = 0 },
+	"forecast-without-shares":  func(t *tuning) { t.fairShare = 0 },
 	"forecast-without-prefix":  func(t *tuning) { t.prefix = 0 },
-	"forecast-without-sample":  func(t *tuning) { t.sampled = 0 },
+	"forecast-without-sample":  func(t *tuning) { t.sampleSize = 0 },
 }
 
 // Ablations returns the names of the ablations, sorted. Options.Policy accepts
@@ -119,10 +119,10 @@
 	var best *candidate
 	var least float64
 	for i := range c.candidates {
-		one := c.candidates[(start+i)%len(c.candidates)]
-		load := float64(one.ledger.running+1) / c.ramp(one)
+		cand := c.candidates[(start+i)%len(c.candidates)]
+		load := float64(cand.serverLoad.running+1) / c.ramp(cand)
 		if best == nil || load < least {
-			best, least = one, load
+			best, least = cand, load
 		}
 	}
 	return best
--- a/routing/policy_forecast_test.go
+++ b/routing/policy_forecast_test.go
@@ -110,7 +110,7 @@
 					return ""
 				}
 				s := d.service(testService)
-				if _, ok := s.ledgers[address(0)].own.fits(testCapacity, s.z); !ok {
+				if _, ok := s.serverLoads[address(0)].own.fits(testCapacity, s.z); !ok {
 					return fmt.Sprintf("request %d placed beyond the accepted risk of overflow", i)
 				}
 			}
@@ -124,7 +124,7 @@
 
 // Guards against a thundering herd: all hosts see the same free memory in one
 // report and place there at once.
-func TestHostsDoNotAllTakeTheSamePlace(t *testing.T) {
+func TestHostsDoNotAllPlaceOnTheSameFreeMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const hosts, rounds = 7, 40
@@ -208,7 +208,7 @@
 		d, pool := testDispatcher(t, PolicyForecast, testDocument(2))
 		report(pool, 0, 1, 0, 0)
 		report(pool, 1, 1, 30, testCapacity)
-		d.CacheEvents(testService, address(1), []backend.CacheEvent{{Sequence: 1, Prefix: 7, Tokens: 500}})
+		d.HandleCacheEvents(testService, address(1), []backend.CacheEvent{{Sequence: 1, Prefix: 7, Tokens: 500}})
 		for range 5 {
 			g, err := d.Acquire(t.Context(), Request{Service: testService, PromptTokens: 100, PrefixHash: 7})
 			is.NoErr(err)
@@ -308,9 +308,9 @@
 	for range 30 {
 		step(80 * time.Millisecond)
 	}
-	is.Equal(limit.bound(), leastRunning)
+	is.Equal(limit.bound(), minRunningLimit)
 	step(20 * time.Millisecond)
-	is.Equal(limit.bound(), leastRunning+limitStep)
+	is.Equal(limit.bound(), minRunningLimit+limitIncrease)
 }
 
 // Guards against overfilled engines after a host starts: only short generations
@@ -334,18 +334,18 @@
 		for _, tokens := range rapid.SliceOfN(rapid.IntRange(1, 100_000), 0, 300).Draw(t, "lengths") {
 			l.add("a", 10, tokens)
 		}
-		table := l.of("a")
+		table := l.forOrganisation("a")
 		last := 1.0
 		for tokens := 1.0; tokens < 200_000; tokens *= 1.3 {
-			chance := table.after(tokens)
+			chance := table.longerThan(tokens)
 			if chance < 0 || chance > last+1e-9 {
 				t.Fatalf("P(length > %v) = %v, out of range or above the previous %v", tokens, chance, last)
 			}
 			last = chance
 		}
-		for k := range table.random {
-			if table.random[k] < 0 || table.random[k] > 1+1e-9 {
-				t.Fatalf("residual survival out of [0, 1]: %v", table.random)
+		for k := range table.residual {
+			if table.residual[k] < 0 || table.residual[k] > 1+1e-9 {
+				t.Fatalf("residual survival out of [0, 1]: %v", table.residual)
 			}
 		}
 	})
@@ -393,7 +393,7 @@
 			own = max(0, own+random.IntN(3)-1)
 			others += random.NormFloat64()
 			ownThen = append(ownThen, own)
-			past.add(moment{at: now, running: own})
+			past.add(ownSample{at: now, running: own})
 			back := max(0, len(ownThen)-1-int(age/lagStep))
 			meter.add(&last, others+float64(ownThen[back]), &past, now)
 		}
@@ -401,9 +401,9 @@
 	}
 }
 
-// Guards against refusals beside an idle engine because the generation may outgrow
-// its memory.
-func TestIdleEngineTakesWhatMayOutgrowIt(t *testing.T) {
+// Guards against refusals beside an idle engine because the generation may
+// outgrow its memory.
+func TestIdleEngineAcceptsGenerationThatMayOutgrowIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		document := testDocument(1)
--- a/routing/service.go
+++ b/routing/service.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	grantMemory  = 2 * time.Second // short: the estimate of other hosts' placements has to follow demand
-	servedMemory = 8 * time.Second // long: the queue is served in bursts
+	grantTimeConstant  = 2 * time.Second // short: the estimate of other hosts' placements has to follow demand
+	servedTimeConstant = 8 * time.Second // long: the queue is served in bursts
 )
 
 // service is the scheduling state of one service on this host.
@@ -20,33 +20,33 @@
 	dispatcher *Dispatcher
 	name       string
 
-	mu       sync.Mutex // guards the fields below
-	policy   policy
-	random   *rand.Rand
-	limits   *organisation.Limits
-	queue    *organisation.Queue[*waiter]
-	ledgers  map[string]*ledger // by address
-	view     view
-	lengths  *lengths
-	prefixes *prefixes
-	lags     lagMeter
-	grants   rate    // requests placed
-	served   rate    // cost of the requests placed, in tokens
-	z        float64 // standard deviations for the overflow risk in the service document
-	closed   bool
+	mu          sync.Mutex // guards the fields below
+	policy      policy
+	random      *rand.Rand
+	limits      *organisation.Limits
+	queue       *organisation.Queue[*waiter]
+	serverLoads map[string]*serverLoad // by address
+	view        view
+	lengths     *lengths
+	prefixes    *prefixes
+	lags        lagMeter
+	grants      rate    // requests placed
+	served      rate    // cost of the requests placed; see service.cost
+	z           float64 // standard deviations for the overflow risk in the service document
+	closed      bool
 }
 
 func newService(d *Dispatcher, name string) *service {
 	s := &service{
-		dispatcher: d,
-		name:       name,
-		policy:     d.build(),
-		random:     rand.New(rand.NewPCG(d.options.Seed, uint64(len(name)))),
-		limits:     organisation.NewLimits(),
-		ledgers:    map[string]*ledger{},
-		prefixes:   newPrefixes(),
-		grants:     rate{memory: grantMemory},
-		served:     rate{memory: servedMemory},
+		dispatcher:  d,
+		name:        name,
+		policy:      d.build(),
+		random:      rand.New(rand.NewPCG(d.options.Seed, uint64(len(name)))),
+		limits:      organisation.NewLimits(),
+		serverLoads: map[string]*serverLoad{},
+		prefixes:    newPrefixes(),
+		grants:      rate{timeConstant: grantTimeConstant},
+		served:      rate{timeConstant: servedTimeConstant},
 	}
 	s.lengths = newLengths(s.unfinished)
 	s.queue = organisation.NewQueue[*waiter](s.weight)
@@ -56,7 +56,7 @@
 // unfinished counts this host's running generations by the bucket of the tokens
 // produced so far. An empty organisation selects all. Called with mu held.
 func (s *service) unfinished(organisation string) (counts [lengthBuckets]float64) {
-	for _, l := range s.ledgers {
+	for _, l := range s.serverLoads {
 		for _, g := range l.grants {
 			if produced := int(g.produced.Load()); produced > 0 && (organisation == "" || organisation == g.request.Organisation) {
 				counts[bucketOf(produced)]++
@@ -74,15 +74,15 @@
 	return float64(max(1, s.view.snapshot.Document.LimitOf(name).Weight))
 }
 
-// enter admits a request. It returns a grant, a queued waiter or a refusal.
-func (s *service) enter(request Request) (*grant, *waiter, *contract.Refusal) {
+// admit admits a request. It returns a grant, a queued waiter or a refusal.
+func (s *service) admit(request Request) (*grant, *waiter, *contract.Refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	if s.closed || !s.refresh(now) {
 		return nil, nil, contract.NotRun(contract.ReasonNoConfiguration, retryNoServer, "service not in force here")
 	}
-	s.complete(&request, now)
+	s.applyDocumentLimits(&request, now)
 	limit := s.view.snapshot.Document.LimitOf(request.Organisation)
 	retryAfter, ok := s.limits.Admit(limit, s.dispatcher.options.Share(), now)
 	if !ok {
@@ -97,16 +97,16 @@
 	if g != nil {
 		return g, nil, nil
 	}
-	if wait, hopeless := s.hopeless(&request, now); hopeless {
+	if wait, missesDeadline := s.missesDeadline(&request, now); missesDeadline {
 		s.limits.Leave(request.Organisation)
 		return nil, nil, contract.NotRun(contract.ReasonOverloaded, wait, "no backend server will be free before the deadline")
 	}
 	return nil, s.enqueue(request, now), nil
 }
 
-// complete applies the limits of the service document to the request's MaxTokens
-// and Deadline. Called with mu held.
-func (s *service) complete(request *Request, now time.Time) {
+// applyDocumentLimits applies the limits of the service document to the
+// request's MaxTokens and Deadline. Called with mu held.
+func (s *service) applyDocumentLimits(request *Request, now time.Time) {
 	document := s.view.snapshot.Document
 	if document.Model != nil && (request.MaxTokens <= 0 || request.MaxTokens > document.Model.MaxTokens) {
 		request.MaxTokens = document.Model.MaxTokens
@@ -124,8 +124,8 @@
 // wait, behind queued requests or for a server, and a refusal if no server may
 // take the request, now or later. Called with mu held.
 func (s *service) place(request *Request, now time.Time) (*grant, *contract.Refusal) {
-	candidates, later := s.candidates(request)
-	if len(candidates) == 0 && !later {
+	candidates, recoverable := s.candidates(request)
+	if len(candidates) == 0 && !recoverable {
 		return nil, contract.NotRun(contract.ReasonNoBackendServer, retryNoServer, "no backend server may take the request")
 	}
 	if len(candidates) == 0 || s.queue.Len() > 0 {
--- a/routing/view.go
+++ b/routing/view.go
@@ -15,7 +15,7 @@
 		return false
 	}
 	if snapshot != s.view.snapshot {
-		s.view.take(snapshot, s, now)
+		s.view.apply(snapshot, s, now)
 	}
 	return true
 }
@@ -31,13 +31,13 @@
 
 // candidate is one server with this host's data about its load.
 type candidate struct {
-	server *backend.Server
-	ledger *ledger
+	server     *backend.Server
+	serverLoad *serverLoad
 }
 
-// take applies a new snapshot. Load data is looked up again only if the list of
+// apply applies a new snapshot. Load data is looked up again only if the list of
 // servers has changed.
-func (v *view) take(snapshot *backend.Snapshot, s *service, now time.Time) {
+func (v *view) apply(snapshot *backend.Snapshot, s *service, now time.Time) {
 	if v.snapshot == nil || v.snapshot.Document != snapshot.Document {
 		s.z = quantile(snapshot.Document.Placement.Risk)
 	}
@@ -45,7 +45,7 @@
 		v.layout = snapshot.Layout
 		v.servers = make([]*candidate, len(snapshot.Servers))
 		for i, server := range snapshot.Servers {
-			v.servers[i] = &candidate{ledger: s.ledger(server.Address)}
+			v.servers[i] = &candidate{serverLoad: s.serverLoad(server.Address)}
 		}
 		v.subset = backend.Subset(s.dispatcher.options.Host, snapshot.Servers, s.dispatcher.options.Followed)
 		v.scratch = make([]*candidate, 0, len(snapshot.Servers))
@@ -57,21 +57,21 @@
 			continue
 		}
 		c.server = server
-		c.ledger.gaps.target.Store(int64(snapshot.Document.Placement.TargetGap))
+		c.serverLoad.gaps.target.Store(int64(snapshot.Document.Placement.TargetGap))
 		if !server.ReportedAt.IsZero() {
-			c.ledger.take(server, s.lengths, &s.lags, s.random, now)
+			c.serverLoad.apply(server, s.lengths, &s.lags, s.random, now)
 		}
 	}
 }
 
 // candidates returns the servers that may run a request: those in this host's
-// subset, or if there are none, those in the whole list. later reports that a
-// server is or may become available without operator action. Called with mu
+// subset, or if there are none, those in the whole list. recoverable reports that
+// a server is or may become available without operator action. Called with mu
 // held; the result is valid until the next call.
-func (s *service) candidates(request *Request) (found []*candidate, later bool) {
+func (s *service) candidates(request *Request) (found []*candidate, recoverable bool) {
 	found = s.view.scratch[:0]
 	for _, i := range s.view.subset {
-		if c := s.view.servers[i]; allowed(c, request) {
+		if c := s.view.servers[i]; eligible(c, request) {
 			found = append(found, c)
 		}
 	}
@@ -79,22 +79,23 @@
 		return found, true
 	}
 	for _, c := range s.view.servers {
-		if allowed(c, request) {
+		if eligible(c, request) {
 			found = append(found, c)
-		} else if returns(c, request) {
-			later = true
+		} else if mayRecover(c, request) {
+			recoverable = true
 		}
 	}
-	return found, later
+	return found, recoverable
 }
 
-func allowed(c *candidate, request *Request) bool {
+// eligible reports whether a server may run the request.
+func eligible(c *candidate, request *Request) bool {
 	return c.server.State == backend.StateReady && !slices.Contains(request.Exclude, c.server.Name)
 }
 
-// returns reports whether a server is unavailable now, but may take the request
-// again without operator action.
-func returns(c *candidate, request *Request) bool {
+// mayRecover reports whether a server is unavailable now, but may take the
+// request again without operator action.
+func mayRecover(c *candidate, request *Request) bool {
 	down := c.server.State == backend.StateEjected || c.server.State == backend.StateUnreachable
 	down = down || c.server.State == backend.StateUnloaded
 	return down && !slices.Contains(request.Exclude, c.server.Name)
--- a/routing/waiter.go
+++ b/routing/waiter.go
@@ -18,14 +18,14 @@
 	refusal *contract.Refusal // set before result is closed
 }
 
-// hopeless reports whether a request that joined the queue now would miss its
-// deadline, and the time after which it may be retried.
+// missesDeadline reports whether a request that joined the queue now would miss
+// its deadline, and the time after which it may be retried.
 //
 // Without this check, each request under overload would wait until its deadline
 // before it is refused, callers would occupy hosts in vain, and requests that
 // could be served in time would queue behind requests that cannot. Called with
 // mu held.
-func (s *service) hopeless(request *Request, now time.Time) (wait time.Duration, hopeless bool) {
+func (s *service) missesDeadline(request *Request, now time.Time) (wait time.Duration, missesDeadline bool) {
 	if s.queue.Len() == 0 {
 		return 0, false
 	}
@@ -34,7 +34,7 @@
 		return 0, false // the queue's service rate is not known
 	}
 	wait = time.Duration(s.queue.Ahead(request.Organisation) / perSecond * float64(time.Second))
-	return max(wait, leastRetryAfter), now.Add(time.Duration(waitDoubt * float64(wait))).After(request.Deadline)
+	return max(wait, minRetryAfter), now.Add(time.Duration(waitSafetyFactor * float64(wait))).After(request.Deadline)
 }
 
 // enqueue queues a request. Called with mu held.
@@ -58,7 +58,7 @@
 	defer timer.Stop()
 	select {
 	case g := <-w.result:
-		return s.waited(w, g)
+		return s.finishWait(w, g)
 	case <-timer.C:
 		return s.giveUp(w, contract.NotRun(contract.ReasonDeadline, s.retryAfter(), "no backend server was free before the deadline"))
 	case <-ctx.Done():
@@ -67,11 +67,11 @@
 	}
 }
 
-// waited records the result of a waiter and returns it; a nil grant means that
-// the waiter was refused.
-func (s *service) waited(w *waiter, g *grant) (Grant, error) {
+// finishWait records the result of a waiter and returns it; a nil grant means
+// that the waiter was refused.
+func (s *service) finishWait(w *waiter, g *grant) (Grant, error) {
 	if g == nil {
-		return nil, counted(w.refusal)
+		return nil, countRefusal(w.refusal)
 	}
 	grantsTotal.WithLabelValues("after_waiting").Inc()
 	waitSeconds.Observe(time.Since(w.item.QueuedAt).Seconds())
@@ -87,7 +87,7 @@
 	select {
 	case g := <-w.result:
 		if g == nil {
-			return nil, counted(w.refusal)
+			return nil, countRefusal(w.refusal)
 		}
 		g.Done(Result{NotRun: true})
 	default:
@@ -95,11 +95,11 @@
 		s.limits.Leave(w.request.Organisation)
 		s.mu.Unlock()
 	}
-	return nil, counted(refusal)
+	return nil, countRefusal(refusal)
 }
 
-// pump serves the queue as far as the policy allows. It acquires mu.
-func (s *service) pump() {
+// serveQueue serves the queue as far as the policy allows. It acquires mu.
+func (s *service) serveQueue() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.serve(time.Now())
@@ -114,8 +114,8 @@
 	}
 	for s.queue.Len() > 0 {
 		item := s.queue.Peek()
-		candidates, later := s.candidates(&item.Value.request)
-		if len(candidates) == 0 && !later {
+		candidates, recoverable := s.candidates(&item.Value.request)
+		if len(candidates) == 0 && !recoverable {
 			s.refuse(item.Value, contract.NotRun(contract.ReasonNoBackendServer, retryNoServer, "no backend server may take the request"))
 			continue
 		}
@@ -159,9 +159,9 @@
 		return retryNoServer
 	}
 	wait := time.Duration(s.queue.Cost() / perSecond * float64(time.Second))
-	return min(max(wait, leastRetryAfter), mostRetryAfter)
+	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// waitDoubt is a safety factor on the estimated wait: requests of other
+// waitSafetyFactor multiplies the estimated wait, since requests of other
 // organisations that arrive later may be served first.
-const waitDoubt = 1.5
+const waitSafetyFactor = 1.5
