--- a/placement/placement.go
+++ b/placement/placement.go
@@ -55,9 +55,9 @@
 func (n Need) Brief() bool { return n.OutputTokens < briefTokens }
 
 // GrowthShare is the share of a generation's expected remaining output that is
-// counted as held. Generations end at different times: when one reaches its full
-// length, others have ended. If all of it were counted, engines would use only two
-// thirds of their memory while requests wait.
+// counted as held. Generations end at different times: when one reaches its
+// full length, others have ended. If all of it were counted, engines would use
+// only two thirds of their memory while requests wait.
 const GrowthShare = 0.5
 
 // Held returns the memory, in tokens, that is counted for a generation: the
@@ -80,9 +80,9 @@
 	// generations only the prompts of brief ones count: engines prefill these
 	// first.
 	UnreadTokens int
-	// QueueShare is the maximum number of requests queued on a plain server,
+	// QueuePerSlot is the maximum number of requests queued on a plain server,
 	// as a multiple of its slots.
-	QueueShare float64
+	QueuePerSlot float64
 }
 
 // DefaultLimits keep 6% of the memory free, allow 2% overcommitment for retries
@@ -90,7 +90,7 @@
 // running one. Length estimates are off by a factor of three; a generation that
 // is preempted on overflow stalls for a second and its prompt is prefilled again.
 // An engine may have 0.8 s of prefill queued.
-var DefaultLimits = Limits{Memory: 0.94, ReturningMemory: 1.02, UnreadTokens: 5500, QueueShare: 2}
+var DefaultLimits = Limits{Memory: 0.94, ReturningMemory: 1.02, UnreadTokens: 5500, QueuePerSlot: 2}
 
 const (
 	// briefTokens is the output length below which a generation is brief. An
@@ -102,12 +102,12 @@
 )
 
 const (
-	// readTokensPerMs is the prefill throughput of an engine that also runs
+	// prefillTokensPerMs is the prefill throughput of an engine that also runs
 	// generations: one chunk of 112 tokens in each step of 15 to 17 ms.
-	readTokensPerMs = 7.0
-	// patienceMs is the delay of the first token that costs as much as a full
-	// engine.
-	patienceMs = 750.0
+	prefillTokensPerMs = 7.0
+	// firstTokenDelayMs is the delay of the first token that costs as much as a
+	// full engine.
+	firstTokenDelayMs = 750.0
 	// otherDomainCost is the cost of a server in another failure domain, as a
 	// share of the server's load: traffic between domains costs more than a
 	// small difference in load and less than a large one.
@@ -116,8 +116,9 @@
 	// output token takes about 100 bytes on its way to the caller, a prompt
 	// token one.
 	otherDomainTokenCost = 0.001
-	// slowCost is the cost, as a share of the load, of a server in slow start.
-	slowCost = 0.5
+	// slowStartCost is the cost, as a share of the load, of a server in slow
+	// start.
+	slowStartCost = 0.5
 	// paceCost is the cost for long generations, as a share of the load, of an
 	// engine that takes twice as long per token as the fastest one.
 	paceCost = 0.8
@@ -125,8 +126,8 @@
 	// their prompts are to be prefilled where few long generations are slowed
 	// down.
 	briefPaceGain = 0.3
-	// maxSlower limits the effect of one wrong value of Pace.
-	maxSlower = 0.5
+	// maxSlowdown limits the effect of one wrong value of Pace.
+	maxSlowdown = 0.5
 )
 
 // OtherDomainCost returns the additional cost of a server in another failure
@@ -138,7 +139,7 @@
 // Costs returns the costs of the best servers with a free place, lowest first, at
 // most the given number. Doubtful servers are skipped.
 func Costs(need Need, candidates []Candidate, limits Limits, most int) []float64 {
-	fastest := fastestOf(candidates)
+	fastest := minPace(candidates)
 	var costs []float64
 	for i := range candidates {
 		if c := &candidates[i]; !c.Doubtful && c.hasPlace(need, limits) {
@@ -149,15 +150,15 @@
 	return costs[:min(most, len(costs))]
 }
 
-// Pick returns the index of the best candidate with a free place, or -1 if there
-// is none. draw returns a number from 0 to n-1; it breaks ties, so that hosts with
-// the same view do not all choose the same server.
+// Pick returns the index of the best candidate with a free place, or -1 if
+// there is none. draw returns a number from 0 to n-1; it breaks ties, so that
+// hosts with the same view do not all choose the same server.
 func Pick(need Need, candidates []Candidate, limits Limits, draw func(n int) int) int {
 	best, bestRank := -1, rank{}
 	if len(candidates) == 0 {
 		return best
 	}
-	start, fastest := draw(len(candidates)), fastestOf(candidates)
+	start, fastest := draw(len(candidates)), minPace(candidates)
 	for i := range candidates {
 		index := (start + i) % len(candidates)
 		candidate := &candidates[index]
@@ -231,12 +232,12 @@
 		return lacksNothing // an idle server accepts one request regardless of the limits
 	}
 	if c.MemoryTokens == 0 {
-		if float64(c.Running) < float64(c.Slots)*(1+limits.QueueShare) {
+		if float64(c.Running) < float64(c.Slots)*(1+limits.QueuePerSlot) {
 			return lacksNothing
 		}
 		return lacksSlots
 	}
-	unread := c.unreadBefore(need)
+	unread := c.prefillBefore(need)
 	switch {
 	case limits.UnreadTokens > 0 && unread > 0 && unread+need.PromptTokens > limits.UnreadTokens:
 		return lacksReading
@@ -266,17 +267,17 @@
 	return float64(promised) <= share*float64(c.MemoryTokens)
 }
 
-// unreadBefore returns the number of prompt tokens that the engine prefills
+// prefillBefore returns the number of prompt tokens that the engine prefills
 // before those of the request.
-func (c *Candidate) unreadBefore(need Need) int {
+func (c *Candidate) prefillBefore(need Need) int {
 	if need.Brief() {
 		return c.BriefUnreadTokens
 	}
 	return c.UnreadTokens
 }
 
-// fastestOf returns the lowest known pace, or zero if none is known.
-func fastestOf(candidates []Candidate) (fastest time.Duration) {
+// minPace returns the lowest known pace, or zero if none is known.
+func minPace(candidates []Candidate) (fastest time.Duration) {
 	for i := range candidates {
 		if pace := candidates[i].Pace; pace > 0 && (fastest == 0 || pace < fastest) {
 			fastest = pace
@@ -294,16 +295,16 @@
 	if c.MemoryTokens == 0 || c.Pace <= 0 || fastest <= 0 {
 		return 0
 	}
-	slower := min(maxSlower, float64(c.Pace)/float64(fastest)-1)
+	slowdown := min(maxSlowdown, float64(c.Pace)/float64(fastest)-1)
 	if need.Brief() {
-		return -briefPaceGain * slower
+		return -briefPaceGain * slowdown
 	}
-	return paceCost * slower
+	return paceCost * slowdown
 }
 
 // cost returns the cost of the server with the request placed there: its load
-// relative to its capacity, plus penalties for another failure domain and for slow
-// start.
+// relative to its capacity, plus penalties for another failure domain and for
+// slow start.
 func (c *Candidate) cost(need Need) float64 {
 	cost := 0.0
 	if c.MemoryTokens > 0 {
@@ -317,8 +318,8 @@
 		cost = held * held
 		// Prefill slows all generations on the engine, whatever the order of
 		// prompts.
-		unread := (c.UnreadTokens + c.unreadBefore(need)) / 2
-		cost += float64(unread+need.PromptTokens) / readTokensPerMs / patienceMs
+		unread := (c.UnreadTokens + c.prefillBefore(need)) / 2
+		cost += float64(unread+need.PromptTokens) / prefillTokensPerMs / firstTokenDelayMs
 	} else {
 		cost = float64(c.Running+1) / float64(max(1, c.Slots))
 	}
@@ -326,7 +327,7 @@
 		cost += OtherDomainCost(need)
 	}
 	if c.Slow {
-		cost += slowCost
+		cost += slowStartCost
 	}
 	return cost
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -18,8 +18,8 @@
 	return Candidate{ID: id, Slots: 24, MemoryTokens: 34000, Running: running, HeldTokens: held, UnreadTokens: unread, SameDomain: true}
 }
 
-// Guards against a burst of prompts that is placed entirely on the engine with the
-// most free memory.
+// Guards against a burst of prompts that is placed entirely on the engine with
+// the most free memory.
 func TestBacklogOfPromptsWeighsMoreThanMemory(t *testing.T) {
 	is := is.New(t)
 	candidates := []Candidate{engine("new", 4, 10000, 10000), engine("old", 5, 23000, 0)}
@@ -51,8 +51,8 @@
 	is.Equal(Pick(Need{PromptTokens: 9000, OutputTokens: 300}, busy, DefaultLimits, noDraw), 0) // no other prompt is queued
 }
 
-// Guards against brief generations that are refused because of the memory held for
-// the growth of long ones.
+// Guards against brief generations that are refused because of the memory held
+// for the growth of long ones.
 func TestBriefGenerationsFitBetweenLongOnes(t *testing.T) {
 	is := is.New(t)
 	full := []Candidate{engine("a", 8, 31500, 0)}
@@ -65,8 +65,8 @@
 	is.Equal(Pick(Need{PromptTokens: 2500, OutputTokens: 16}, full, DefaultLimits, noDraw), -1)
 }
 
-// Guards against brief generations that queue on an engine whose memory is in use,
-// rather than only held.
+// Guards against brief generations that queue on an engine whose memory is in
+// use, rather than only held.
 func TestBriefGenerationsGoWhereMemoryIsFreeNow(t *testing.T) {
 	is := is.New(t)
 	grown, young := engine("grown", 6, 32500, 0), engine("young", 8, 33500, 0)
@@ -93,7 +93,7 @@
 
 // Guards against overload of a cold server: it looks idle, gets too many requests
 // and crashes.
-func TestColdServersGetNoMoreThanTheyBear(t *testing.T) {
+func TestColdServerLimitIsEnforced(t *testing.T) {
 	is := is.New(t)
 	cold := Candidate{ID: "cold", Slots: 6, SameDomain: true, ColdFull: true}
 	warm := Candidate{ID: "warm", Slots: 6, SameDomain: true, Running: 9}
@@ -165,7 +165,7 @@
 	}
 }
 
-func TestShortageSaysWhatIsLacking(t *testing.T) {
+func TestShortageCountsInsufficientResources(t *testing.T) {
 	// Guards against refusals that cannot be explained: the counts distinguish
 	// full engines from engines with too many prompt tokens to prefill.
 	is := is.New(t)
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -14,16 +14,16 @@
 // them unavailable at any time, and more long generations (letters) than fit into
 // memory, mixed with brief ones. Time advances in steps of 10 ms.
 const (
-	replayEngines = 38
-	replayMemory  = 21904
-	replaySteps   = 6000
-	stepMs        = 10
-	readPerStep   = 70 // prompt tokens
-	tokensPerStep = 0.9
-	waitSteps     = 22  // queueing time until a refusal
-	returnSteps   = 60  // time until a refused caller retries
-	letterGoal    = 180 // steps to the first token
-	briefGoal     = 150
+	replayEngines  = 38
+	replayMemory   = 21904
+	replaySteps    = 6000
+	stepMs         = 10
+	prefillPerStep = 70 // prompt tokens
+	tokensPerStep  = 0.9
+	waitSteps      = 22  // queueing time until a refusal
+	returnSteps    = 60  // time until a refused caller retries
+	letterGoal     = 180 // steps to the first token
+	briefGoal      = 150
 )
 
 // replayLoad is the request load, and whether placement has the pace of engines.
@@ -40,39 +40,39 @@
 
 // replayed is one generation of the simulation.
 type replayed struct {
-	need     Need
-	output   int     // actual output length, not available to placement
-	asked    int     // step of the first attempt
-	waiting  int     // steps since this attempt
-	read     float64 // prompt tokens prefilled
-	made     float64 // output tokens produced
-	began    int     // step of its placement
-	first    int     // step of its first token
-	ended    int     // step of its end
-	preempts int
+	need      Need
+	output    int     // actual output length, not available to placement
+	arrivedAt int     // step of the first attempt
+	waiting   int     // steps since this attempt
+	prefilled float64 // prompt tokens prefilled
+	produced  float64 // output tokens produced
+	placedAt  int     // step of its placement
+	first     int     // step of its first token
+	ended     int     // step of its end
+	preempts  int
 }
 
 func (r *replayed) used() int {
-	if r.read == 0 {
+	if r.prefilled == 0 {
 		return 0
 	}
-	return int(r.read + r.made)
+	return int(r.prefilled + r.produced)
 }
 
 type replayEngine struct {
-	running []*replayed
-	slower  float64 // factor on all times; 1: full speed
+	running  []*replayed
+	slowdown float64 // factor on all times; 1: full speed
 }
 
 func (e *replayEngine) candidate(paceKnown bool) Candidate {
 	c := Candidate{Slots: 24, MemoryTokens: replayMemory, SameDomain: true, Running: len(e.running)}
 	if paceKnown {
-		c.Pace = time.Duration(e.slower * float64(8*time.Millisecond))
+		c.Pace = time.Duration(e.slowdown * float64(8*time.Millisecond))
 	}
 	for _, r := range e.running {
-		c.HeldTokens += Held(r.need.PromptTokens, int(r.made), r.need.OutputTokens)
-		c.UsedTokens += r.need.PromptTokens + int(r.made)
-		if r.made == 0 {
+		c.HeldTokens += Held(r.need.PromptTokens, int(r.produced), r.need.OutputTokens)
+		c.UsedTokens += r.need.PromptTokens + int(r.produced)
+		if r.produced == 0 {
 			c.UnreadTokens += r.need.PromptTokens
 			if r.need.Brief() {
 				c.BriefUnreadTokens += r.need.PromptTokens
@@ -90,37 +90,37 @@
 	for _, r := range e.running {
 		used += r.used()
 	}
-	budget := readPerStep / e.slower
+	budget := prefillPerStep / e.slowdown
 	for _, brief := range []bool{true, false} { // brief prompts are prefilled first
 		for _, r := range e.running {
-			left := float64(r.need.PromptTokens) - r.read
-			if r.need.Brief() != brief || left <= 0 || budget <= 0 || r.read == 0 && used+r.need.PromptTokens > replayMemory {
+			left := float64(r.need.PromptTokens) - r.prefilled
+			if r.need.Brief() != brief || left <= 0 || budget <= 0 || r.prefilled == 0 && used+r.need.PromptTokens > replayMemory {
 				continue
 			}
 			part := min(left, budget)
-			r.read += part
+			r.prefilled += part
 			budget -= part
 		}
 	}
 	used = 0
 	for _, r := range e.running {
-		if r.read >= float64(r.need.PromptTokens) {
-			if r.made == 0 {
+		if r.prefilled >= float64(r.need.PromptTokens) {
+			if r.produced == 0 {
 				r.first = now
 			}
-			r.made += tokensPerStep / e.slower
+			r.produced += tokensPerStep / e.slowdown
 		}
 		used += r.used()
 	}
 	for i := len(e.running) - 1; i >= 0 && used > replayMemory; i-- {
-		if r := e.running[i]; !r.need.Brief() && r.read > 0 {
+		if r := e.running[i]; !r.need.Brief() && r.prefilled > 0 {
 			used -= r.used()
-			r.read = 0
+			r.prefilled = 0
 			r.preempts++
 		}
 	}
 	e.running = slices.DeleteFunc(e.running, func(r *replayed) bool {
-		over := r.made >= float64(r.output)
+		over := r.produced >= float64(r.output)
 		if over {
 			ended = append(ended, r)
 		}
@@ -141,9 +141,9 @@
 	var result replayResult
 	engines := make([]*replayEngine, replayEngines)
 	for i := range engines {
-		engines[i] = &replayEngine{slower: 1}
+		engines[i] = &replayEngine{slowdown: 1}
 		if i%3 == 2 {
-			engines[i].slower = 1.3
+			engines[i].slowdown = 1.3
 		}
 	}
 	var waiting []*replayed
@@ -152,11 +152,11 @@
 		if random.Float64() < load.letters {
 			output := lognormal(520, 1.1, 16, 1768)
 			// Callers' length estimates are off by a factor of three.
-			waiting = append(waiting, &replayed{asked: now, output: output,
+			waiting = append(waiting, &replayed{arrivedAt: now, output: output,
 				need: Need{PromptTokens: lognormal(2900, 0.35, 800, 6000), OutputTokens: max(briefTokens, lognormal(float64(output), 1.2, 1, 1768))}})
 		}
 		if random.Float64() < load.briefs {
-			waiting = append(waiting, &replayed{asked: now, output: lognormal(6, 1, 1, 40),
+			waiting = append(waiting, &replayed{arrivedAt: now, output: lognormal(6, 1, 1, 40),
 				need: Need{PromptTokens: lognormal(1900, 0.6, 300, 6000), OutputTokens: 12}})
 		}
 		waiting = append(waiting, later[now]...)
@@ -172,15 +172,15 @@
 	return result
 }
 
-// place tries to place a request. It reports whether the request leaves the queue:
-// placed, refused, or to be retried later.
+// place tries to place a request. It reports whether the request leaves the
+// queue: placed, refused, or to be retried later.
 func place(engines []*replayEngine, r *replayed, load replayLoad, limits Limits, now int, later map[int][]*replayed, result *replayResult) bool {
 	candidates := make([]Candidate, len(engines))
 	for i, e := range engines {
 		candidates[i] = e.candidate(load.paceKnown)
 	}
 	if i := Pick(r.need, candidates, limits, func(n int) int { return now % n }); i >= 0 {
-		r.began = now
+		r.placedAt = now
 		engines[i].running = append(engines[i].running, r)
 		return true
 	}
@@ -197,10 +197,10 @@
 }
 
 func count(r *replayed, result *replayResult) {
-	served := r.made > 0
+	served := r.produced > 0
 	if r.need.Brief() {
 		result.briefs++
-		if served && r.first-r.asked <= briefGoal {
+		if served && r.first-r.arrivedAt <= briefGoal {
 			result.briefsOnTime++
 		}
 		return
@@ -214,7 +214,7 @@
 	switch {
 	case !served:
 		result.refused++
-	case r.preempts > 0 || r.first-r.asked > letterGoal:
+	case r.preempts > 0 || r.first-r.arrivedAt > letterGoal:
 		result.late++
 	default:
 		result.onTime++
@@ -240,7 +240,7 @@
 
 // Guards against preemptions in running streams under overload, when engines run
 // out of memory.
-func TestOverloadKeepsWhatItBegan(t *testing.T) {
+func TestLimitsPreventPreemptionsUnderOverload(t *testing.T) {
 	is := is.New(t)
 	promised := replayAll(overload, Limits{Memory: 1, ReturningMemory: 1.1, UnreadTokens: DefaultLimits.UnreadTokens})
 	kept := replayAll(overload, DefaultLimits)
