--- a/retry/class.go
+++ b/retry/class.go
@@ -73,25 +73,25 @@
 	match  func(Evidence) bool
 }
 
-// catalogue is the ordered list of rules; the first match applies. Evidence that
+// rules is the ordered list of rules; the first match applies. Evidence that
 // matches none fails closed.
-var catalogue = []rule{
+var rules = []rule{
 	{"cancelled", ClassHard, EffectUnknown, func(e Evidence) bool { return e.Cancelled && e.Stage != StageDial }},
 	{"cancelled_before_sending", ClassHard, EffectNone, func(e Evidence) bool { return e.Cancelled }},
 	{"mismatch", ClassUnclassified, EffectUnknown, func(e Evidence) bool { return e.Mismatch }},
 	{"delivered", ClassTransient, EffectUnknown, func(e Evidence) bool { return e.Stage == StageDelivered }},
 	{"dial", ClassTransient, EffectNone, func(e Evidence) bool { return e.Stage == StageDial }},
-	{"refused_not_run", ClassTransient, EffectNone, func(e Evidence) bool { return e.answered() && e.NotRun && e.passing() }},
+	{"refused_not_run", ClassTransient, EffectNone, func(e Evidence) bool { return e.answered() && e.NotRun && e.transientStatus() }},
 	{"refused_for_good", ClassHard, EffectNone, func(e Evidence) bool { return e.answered() && e.NotRun }},
-	{"overloaded", ClassTransient, EffectUnknown, func(e Evidence) bool { return e.answered() && e.passing() }},
+	{"overloaded", ClassTransient, EffectUnknown, func(e Evidence) bool { return e.answered() && e.transientStatus() }},
 	{"client_error", ClassHard, EffectUnknown, func(e Evidence) bool { return e.answered() && e.Status >= 400 && e.Status < 500 }},
 	{"lost", ClassTransient, EffectUnknown, func(e Evidence) bool { return e.Stage == StageSent && e.Status == 0 }},
 }
 
 func (e Evidence) answered() bool { return e.Stage == StageAnswered }
 
-// passing reports whether the status code indicates a transient failure.
-func (e Evidence) passing() bool {
+// transientStatus reports whether the status code indicates a transient failure.
+func (e Evidence) transientStatus() bool {
 	switch e.Status {
 	case http.StatusTooManyRequests, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		return true
@@ -101,7 +101,7 @@
 
 // Classify returns the verdict of the first matching rule.
 func Classify(evidence Evidence) Verdict {
-	for _, rule := range catalogue {
+	for _, rule := range rules {
 		if rule.match(evidence) {
 			return Verdict{Class: rule.class, Effect: rule.effect, Rule: rule.id}
 		}
--- a/retry/evaluator.go
+++ b/retry/evaluator.go
@@ -86,13 +86,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	share := float64(e.policy.BudgetPercent) / 100
-	e.budget(wholeService).earn(share)
-	e.budget(organisation).earn(share)
+	e.budget(wholeService).deposit(share)
+	e.budget(organisation).deposit(share)
 }
 
-// Decide decides whether and when to retry after a failed attempt. The effect gate
-// is checked before the policy, so that no setting can cause a retry of a request
-// that must not run twice.
+// Decide decides whether and when to retry after a failed attempt. The effect
+// gate is checked before the policy, so that no setting can cause a retry of a
+// request that must not run twice.
 func (e *Evaluator) Decide(evidence Evidence, subject Subject, attempts *Attempts) Decision {
 	verdict := Classify(evidence)
 	decision := e.decide(verdict, evidence, subject, attempts)
@@ -102,7 +102,7 @@
 }
 
 func (e *Evaluator) decide(verdict Verdict, evidence Evidence, subject Subject, attempts *Attempts) Decision {
-	if !gate(verdict, subject) {
+	if !effectGate(verdict, subject) {
 		return Decision{Reason: ReasonEffect}
 	}
 	if verdict.Class != ClassTransient {
@@ -110,14 +110,14 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	decision := e.wait(evidence, attempts)
+	decision := e.nextWait(evidence, attempts)
 	if !decision.Retry {
 		return decision
 	}
 	if !subject.Deadline.IsZero() && time.Now().Add(decision.After).After(subject.Deadline) {
 		return Decision{Reason: ReasonDeadline}
 	}
-	if !e.spend(subject.Organisation) {
+	if !e.withdraw(subject.Organisation) {
 		return Decision{Reason: ReasonBudget}
 	}
 	if decision.Reason == ReasonReset {
@@ -128,19 +128,19 @@
 	return decision
 }
 
-// gate is the effect gate: a request that may have run is retried only if it is
-// idempotent and no part of the response was delivered to the caller.
-func gate(verdict Verdict, subject Subject) bool {
+// effectGate is the effect gate: a request that may have run is retried only if
+// it is idempotent and no part of the response was delivered to the caller.
+func effectGate(verdict Verdict, subject Subject) bool {
 	if subject.Delivered {
 		return false
 	}
 	return verdict.Effect == EffectNone || subject.Idempotent
 }
 
-// wait determines the time until the retry: the time advised by the server, once
-// and if it is at most MaxResetWait, else the next step of the exponential backoff
-// with jitter. Called with mu held.
-func (e *Evaluator) wait(evidence Evidence, attempts *Attempts) Decision {
+// nextWait determines the time until the retry: the time advised by the server,
+// once and if it is at most MaxResetWait, else the next step of the exponential
+// backoff with jitter. Called with mu held.
+func (e *Evaluator) nextWait(evidence Evidence, attempts *Attempts) Decision {
 	if evidence.RetryAfter > 0 && !attempts.reset && evidence.RetryAfter <= e.policy.MaxResetWait {
 		return Decision{Retry: true, After: evidence.RetryAfter, Reason: ReasonReset}
 	}
@@ -154,9 +154,9 @@
 	return Decision{Retry: true, After: step, Reason: ReasonBackoff}
 }
 
-// spend takes the cost of one retry from both budgets, or from neither. It returns
-// false if either one is used up. Called with mu held.
-func (e *Evaluator) spend(organisation string) bool {
+// withdraw takes the cost of one retry from both budgets, or from neither. It
+// returns false if either one is used up. Called with mu held.
+func (e *Evaluator) withdraw(organisation string) bool {
 	service, own := e.budget(wholeService), e.budget(organisation)
 	if service.tokens < 1 || own.tokens < 1 {
 		return false
@@ -181,7 +181,7 @@
 // which keeps the server overloaded.
 type budget struct{ tokens float64 }
 
-func (b *budget) earn(share float64) { b.tokens = min(budgetBurst, b.tokens+share) }
+func (b *budget) deposit(share float64) { b.tokens = min(budgetBurst, b.tokens+share) }
 
 // budget returns the budget of an organisation and creates it if needed: full, or
 // empty if the policy grants no retry budget. Called with mu held.
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -28,7 +28,8 @@
 }
 
 // Guards against running a non-idempotent request twice: the connection breaks
-// before the response to a request that may have run, and the policy allows retries.
+// before the response to a request that may have run, and the policy allows
+// retries.
 func TestWorkThatMayHaveRunIsNeverRepeated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := evidence(t)
@@ -45,7 +46,7 @@
 
 // Guards against mixed output: an engine fails after some tokens were delivered,
 // and a second run would append other tokens to them.
-func TestNothingIsRepeatedBehindDeliveredTokens(t *testing.T) {
+func TestNoRetryAfterTokensWereDelivered(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		subject := Subject{Organisation: "a", Idempotent: true, Delivered: true}
 		if NewEvaluator(policy, 1).Decide(evidence(t), subject, &Attempts{}).Retry {
