--- a/migration/queue.go
+++ b/migration/queue.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	// gather is the delay between the first move queued for a leaving engine and
-	// the first turn: hosts receive the notice within 10 ms of each other, and
-	// all moves have to be queued before they can be ordered.
-	gather = 15 * time.Millisecond
+	// gatherDelay is the delay between the first move queued for a leaving engine
+	// and the first turn: hosts receive the notice within 10 ms of each other,
+	// and all moves have to be queued before they can be ordered.
+	gatherDelay = 15 * time.Millisecond
 	// turnLease is the maximum duration of a turn, so that a host that fails
 	// during its turn does not block the others. The longest copies, to another
 	// failure domain, take about 500 ms.
 	turnLease = 1200 * time.Millisecond
-	// fullMemory and overfull are the shares of an engine's memory that migrated
-	// runs may fill; overfull applies if no engine has room within fullMemory. A
-	// preemption later costs less than a lost run now.
-	fullMemory = 1.0
-	overfull   = 1.3
+	// memoryLimit and overcommitLimit are the shares of an engine's memory that
+	// migrated runs may fill; overcommitLimit applies if no engine has room
+	// within memoryLimit. A preemption later costs less than a lost run now.
+	memoryLimit     = 1.0
+	overcommitLimit = 1.3
 )
 
 // Move is a run to migrate.
@@ -45,14 +45,14 @@
 	Need placement.Need
 }
 
-// endsSoon is the number of tokens that a run produces in about 1 s. A run with
-// fewer tokens left ends before its server has left.
-const endsSoon = 120
+// shortRunTokens is the number of tokens that a run produces in about 1 s. A
+// run with fewer tokens left ends before its server has left.
+const shortRunTokens = 120
 
 // density returns the work saved per copied token, by which moves are ordered. If
 // there is not enough time for all, this order saves the most work.
 func (m Move) density() float64 {
-	if m.Need.OutputTokens < endsSoon {
+	if m.Need.OutputTokens < shortRunTokens {
 		return 0
 	}
 	return float64(m.Size) / float64(max(1, m.Need.PromptTokens))
@@ -62,21 +62,21 @@
 // not migrated.
 type Grant struct{ Destination string }
 
-// Candidates returns the possible destinations for runs of a source. SameDomain is
-// set for those in the source's failure domain.
+// Candidates returns the possible destinations for runs of a source. SameDomain
+// is set for those in the source's failure domain.
 type Candidates func(source string) []placement.Candidate
 
-// Queue schedules moves so that at any time each engine sends at most one copy and
-// receives at most one. The run that saves the most work per copied token is
-// migrated first; runs that end soon are migrated last.
+// Queue schedules moves so that at any time each engine sends at most one copy
+// and receives at most one. The run that saves the most work per copied token
+// is migrated first; runs that end soon are migrated last.
 type Queue struct {
 	candidates Candidates
 	now        func() time.Time
 
-	mu      sync.Mutex // guards the fields below
-	waiting []*waitingMove
-	turns   map[string]turn      // by source
-	first   map[string]time.Time // time of the first move, by source
+	mu          sync.Mutex // guards the fields below
+	waiting     []*waitingMove
+	turns       map[string]turn      // by source
+	firstQueued map[string]time.Time // time of the first move, by source
 }
 
 type waitingMove struct {
@@ -93,24 +93,24 @@
 
 // NewQueue returns an empty queue. now returns the current time.
 func NewQueue(candidates Candidates, now func() time.Time) *Queue {
-	return &Queue{candidates: candidates, now: now, turns: map[string]turn{}, first: map[string]time.Time{}}
+	return &Queue{candidates: candidates, now: now, turns: map[string]turn{}, firstQueued: map[string]time.Time{}}
 }
 
 // Enter queues a move. The channel receives its grant. cancel removes the move
-// from the queue; if it was granted in the meantime, the turn has to be ended with
-// End.
+// from the queue; if it was granted in the meantime, the turn has to be ended
+// with End.
 func (q *Queue) Enter(move Move) (granted <-chan Grant, cancel func()) {
 	w := &waitingMove{move: move, granted: make(chan Grant, 1)}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if _, known := q.first[move.Source]; !known {
-		q.first[move.Source] = q.now()
+	if _, known := q.firstQueued[move.Source]; !known {
+		q.firstQueued[move.Source] = q.now()
 	}
 	q.waiting = append(q.waiting, w)
-	return w.granted, func() { q.drop(w) }
+	return w.granted, func() { q.remove(w) }
 }
 
-func (q *Queue) drop(w *waitingMove) {
+func (q *Queue) remove(w *waitingMove) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.waiting = slices.DeleteFunc(q.waiting, func(other *waitingMove) bool { return other == w })
@@ -139,7 +139,7 @@
 	if len(q.waiting) == 0 {
 		return 0
 	}
-	return gather
+	return gatherDelay
 }
 
 func (q *Queue) expire(now time.Time) {
@@ -148,9 +148,9 @@
 			delete(q.turns, source)
 		}
 	}
-	for source, at := range q.first {
+	for source, at := range q.firstQueued {
 		if now.Sub(at) > time.Minute {
-			delete(q.first, source)
+			delete(q.firstQueued, source)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 // Called with mu held.
 func (q *Queue) grant(w *waitingMove, now time.Time) bool {
 	source := w.move.Source
-	if _, busy := q.turns[source]; busy || now.Sub(q.first[source]) < gather {
+	if _, busy := q.turns[source]; busy || now.Sub(q.firstQueued[source]) < gatherDelay {
 		return false
 	}
 	all := q.candidates(source)
@@ -181,15 +181,15 @@
 // copies to other domains take twice as long: if one of them has room but is
 // receiving a copy, the run waits for it.
 func (q *Queue) destination(need placement.Need, all []placement.Candidate) string {
-	near := slices.DeleteFunc(slices.Clone(all), func(c placement.Candidate) bool { return !c.SameDomain })
-	for _, memory := range []float64{fullMemory, overfull} {
+	sameDomain := slices.DeleteFunc(slices.Clone(all), func(c placement.Candidate) bool { return !c.SameDomain })
+	for _, memory := range []float64{memoryLimit, overcommitLimit} {
 		limits := placement.Limits{Memory: memory}
-		for _, some := range [][]placement.Candidate{near, all} {
-			if placement.Pick(need, some, limits, noDraw) < 0 {
+		for _, subset := range [][]placement.Candidate{sameDomain, all} {
+			if placement.Pick(need, subset, limits, noDraw) < 0 {
 				continue // none has room, whether it is receiving a copy or not
 			}
-			if i := placement.Pick(need, q.idle(some), limits, noDraw); i >= 0 {
-				return q.idle(some)[i].ID
+			if i := placement.Pick(need, q.notReceiving(subset), limits, noDraw); i >= 0 {
+				return q.notReceiving(subset)[i].ID
 			}
 			return ""
 		}
@@ -197,9 +197,9 @@
 	return ""
 }
 
-// idle returns the candidates that are not receiving a copy.
-func (q *Queue) idle(some []placement.Candidate) []placement.Candidate {
-	return slices.DeleteFunc(slices.Clone(some), func(c placement.Candidate) bool {
+// notReceiving returns the candidates that are not receiving a copy.
+func (q *Queue) notReceiving(subset []placement.Candidate) []placement.Candidate {
+	return slices.DeleteFunc(slices.Clone(subset), func(c placement.Candidate) bool {
 		for _, t := range q.turns {
 			if t.destination == c.ID {
 				return true
--- a/migration/queue_test.go
+++ b/migration/queue_test.go
@@ -45,7 +45,7 @@
 		b1, _ := q.Enter(move("b", "3", 3000, 500))
 		q.Step()
 		is.Equal(granted(a2), "") // waits for other moves first
-		time.Sleep(gather)
+		time.Sleep(gatherDelay)
 		q.Step()
 		is.Equal(granted(a2), "y") // saves more work for the same copy
 		is.Equal(granted(a1), "")  // its engine is sending already
@@ -64,14 +64,14 @@
 		q := NewQueue(func(string) []placement.Candidate { return []placement.Candidate{engine("x", true, 0)} }, time.Now)
 		short, _ := q.Enter(move("a", "short", 1000, 40))
 		long, _ := q.Enter(move("a", "long", 3500, 800))
-		time.Sleep(gather)
+		time.Sleep(gatherDelay)
 		q.Step()
 		is.Equal(granted(long), "x")
 		is.Equal(granted(short), "")
 	})
 }
 
-func TestTurnOfADeadHostEnds(t *testing.T) {
+func TestTurnOfFailedHostExpires(t *testing.T) {
 	// Guards against a host that fails during its turn and blocks the other
 	// generations on the same engine until the engine has left.
 	synctest.Test(t, func(t *testing.T) {
@@ -79,7 +79,7 @@
 		q := NewQueue(func(string) []placement.Candidate { return []placement.Candidate{engine("x", true, 0)} }, time.Now)
 		first, _ := q.Enter(move("a", "1", 3000, 900))
 		second, _ := q.Enter(move("a", "2", 3000, 500))
-		time.Sleep(gather)
+		time.Sleep(gatherDelay)
 		q.Step()
 		is.Equal(granted(first), "x")
 		time.Sleep(turnLease + time.Millisecond)
@@ -98,7 +98,7 @@
 		}, time.Now)
 		a, _ := q.Enter(move("a", "1", 3000, 500))
 		b, _ := q.Enter(move("b", "2", 3000, 500))
-		time.Sleep(gather)
+		time.Sleep(gatherDelay)
 		q.Step()
 		is.Equal(granted(a), "near")
 		is.Equal(granted(b), "")
