--- a/routing/lengths.go
+++ b/routing/lengths.go
@@ -5,43 +5,44 @@
 const (
 	bucketsPerOctave = 4
 	lengthBuckets    = 17*bucketsPerOctave + 1 // up to 131,072 tokens
-	// priorSamples is how many samples the assumption before any sample counts for.
+	// priorSamples is the weight of the prior distribution, in samples.
 	priorSamples = 4
-	// sharedSamples is how many samples the service's lengths count for in an
-	// organisation's own.
+	// sharedSamples is the maximum weight, in samples, of the lengths of the
+	// whole service in the table of an organisation.
 	sharedSamples = 50
-	// memorySamples is how many samples it takes for an old one to lose half
-	// of its weight, so that a changed prompt or model is learned again.
-	memorySamples = 4000
-	// rebuildEvery is how many samples go into a histogram between two
+	// halfLifeSamples is the half-life of a sample's weight, in samples, so
+	// that the distribution adapts to a changed prompt or model.
+	halfLifeSamples = 4000
+	// rebuildInterval is the number of samples added to a histogram between two
 	// computations of its survival table.
-	rebuildEvery = 32
+	rebuildInterval = 32
 )
 
-// horizons are the moments, in tokens from now, at which an engine's memory
-// is forecast. A generation that has ended by then has given its memory back.
+// horizons are the points, in tokens from now, for which the memory of an engine
+// is forecast. A generation that has ended by then has released its memory.
 var horizons = [...]int{0, 32, 64, 128, 256, 512, 1024, 2048}
 
 const horizonCount = len(horizons)
 
-// lengths learns how long outputs are at one service, by organisation, as
-// log-bucketed histograms. It is not safe for concurrent use.
+// lengths estimates the distribution of output lengths of one service, by
+// organisation, in log-bucketed histograms. It is not safe for concurrent use.
 type lengths struct {
 	service       *histogram
 	organisations map[string]*histogram
-	prompt        float64 // average prompt, tokens
-	// unfinished counts an organisation's generations that still run, by what
-	// they have produced; see survival.compute.
+	prompt        float64 // average prompt length, tokens
+	// unfinished counts an organisation's running generations (empty name: all
+	// organisations), by bucket of the tokens produced; see survival.compute.
 	unfinished func(organisation string) [lengthBuckets]float64
 }
 
 func newLengths(unfinished func(string) [lengthBuckets]float64) *lengths {
 	l := &lengths{service: newHistogram(), organisations: map[string]*histogram{}, unfinished: unfinished}
-	l.all()
+	l.forService()
 	return l
 }
 
-// add learns the lengths of a generation that ended by itself.
+// add adds the prompt and output length, in tokens, of a generation that ended
+// by itself or at its token limit.
 func (l *lengths) add(organisation string, prompt, tokens int) {
 	const weight = 0.01
 	if l.prompt == 0 {
@@ -55,15 +56,16 @@
 	}
 	l.service.add(tokens)
 	own.add(tokens)
-	l.all()
+	l.forService()
 }
 
-// of returns the survival table of an organisation's lengths: its own as far
-// as there are samples, the service's besides.
-func (l *lengths) of(organisation string) *survival {
+// forOrganisation returns the survival table of an organisation: its own
+// lengths combined with those of the whole service, which dominate while it has
+// few samples.
+func (l *lengths) forOrganisation(organisation string) *survival {
 	own := l.organisations[organisation]
 	if own == nil {
-		return l.all()
+		return l.forService()
 	}
 	if own.outdated() {
 		own.table.compute(own, l.service, l.unfinished(organisation))
@@ -72,8 +74,8 @@
 	return &own.table
 }
 
-// all returns the survival table of the whole service.
-func (l *lengths) all() *survival {
+// forService returns the survival table of the whole service.
+func (l *lengths) forService() *survival {
 	if l.service.outdated() {
 		l.service.table.compute(l.service, nil, l.unfinished(""))
 		l.service.pending = 0
@@ -81,28 +83,29 @@
 	return &l.service.table
 }
 
-// mean returns the expected output length, tokens.
+// mean returns the expected output length in tokens, at most maxTokens (0: no
+// limit).
 func (l *lengths) mean(organisation string, maxTokens int) float64 {
-	mean := l.of(organisation).mean
+	mean := l.forOrganisation(organisation).mean
 	if maxTokens > 0 {
 		return min(mean, float64(maxTokens))
 	}
 	return mean
 }
 
-// histogram counts lengths in buckets whose bounds grow by a constant factor.
+// histogram counts lengths in buckets with exponentially growing bounds.
 type histogram struct {
 	counts  [lengthBuckets]float64
 	total   float64
-	pending int // samples since the table was computed; -1: never computed
+	pending int // samples since the table was computed; -1: not computed yet
 	table   survival
 }
 
 func newHistogram() *histogram { return &histogram{pending: -1} }
 
 func (h *histogram) add(tokens int) {
-	const keep = 1 - math.Ln2/memorySamples
-	if h.total > memorySamples {
+	const keep = 1 - math.Ln2/halfLifeSamples
+	if h.total > halfLifeSamples {
 		for i := range h.counts {
 			h.counts[i] *= keep
 		}
@@ -115,12 +118,14 @@
 	}
 }
 
-// outdated reports whether enough samples came to compute the table again.
+// outdated reports whether the table has to be computed again: after each new
+// sample while there are fewer than 2*rebuildInterval, then after
+// rebuildInterval new ones.
 func (h *histogram) outdated() bool {
-	return h.pending < 0 || h.pending >= rebuildEvery || (h.pending > 0 && h.total < 2*rebuildEvery)
+	return h.pending < 0 || h.pending >= rebuildInterval || (h.pending > 0 && h.total < 2*rebuildInterval)
 }
 
-// bucketOf returns the bucket that holds a length.
+// bucketOf returns the bucket of a length.
 func bucketOf(tokens int) int {
 	if tokens <= 1 {
 		return 0
@@ -128,7 +133,7 @@
 	return min(lengthBuckets-1, int(math.Ceil(math.Log2(float64(tokens))*bucketsPerOctave)))
 }
 
-// bounds holds the upper bound of each bucket, tokens.
+// bounds contains the upper bound of each bucket, in tokens.
 var bounds = func() (bounds [lengthBuckets]float64) {
 	for i := range bounds {
 		bounds[i] = math.Exp2(float64(i) / bucketsPerOctave)
@@ -136,21 +141,22 @@
 	return bounds
 }()
 
-// survival is the distribution of lengths as chances to be longer than a bound.
+// survival is the distribution of output lengths as a survival function: the
+// probability of being longer than each bound.
 type survival struct {
-	mean   float64
-	longer [lengthBuckets]float64 // chance to be longer than bounds[i]
-	fresh  [horizonCount]float64  // chance that one which begins now runs for horizons[i]
-	random [horizonCount]float64  // chance that a generation met at random runs on for horizons[i]
+	mean      float64
+	longer    [lengthBuckets]float64 // probability of being longer than bounds[i]
+	fromStart [horizonCount]float64  // probability that a new generation is longer than horizons[i]
+	residual  [horizonCount]float64  // probability that a running generation has more than horizons[i] to go
 }
 
-// compute fills the table from a histogram, mixed with a shared one and with
-// the assumption that all orders of magnitude up to 2,048 tokens are alike.
+// compute fills the table from a histogram, a shared histogram and a prior that
+// is uniform over the logarithm of lengths up to 2,048 tokens.
 //
-// Cold start: short generations end first, so that a host which has just
-// started sees short ones only, takes all lengths for short and fills engines'
-// memory. Those still running therefore count as "longer than this" (the
-// Kaplan-Meier estimate).
+// Cold start: short generations end first. A host that has just started has seen
+// only these, would underestimate all lengths and overfill the memory of engines.
+// Running generations therefore count as censored samples, longer than their
+// output so far (Kaplan-Meier estimator).
 func (s *survival) compute(own, shared *histogram, unfinished [lengthBuckets]float64) {
 	var weights [lengthBuckets]float64
 	const assumed = 11 * bucketsPerOctave
@@ -166,12 +172,13 @@
 	for i, count := range own.counts {
 		weights[i] += count
 	}
-	s.fill(spread(weights, unfinished))
+	s.fill(kaplanMeier(weights, unfinished))
 }
 
-// spread turns ended and unfinished counts into shares of lengths: of those
-// that reached a bucket, ended ones say how many end in it.
-func spread(ended, unfinished [lengthBuckets]float64) (shares [lengthBuckets]float64) {
+// kaplanMeier returns the Kaplan-Meier estimate of the share of lengths in each
+// bucket. The share that ends in a bucket is estimated from all generations,
+// ended or unfinished, that reached it.
+func kaplanMeier(ended, unfinished [lengthBuckets]float64) (shares [lengthBuckets]float64) {
 	reached := 0.0
 	for i := range ended {
 		reached += ended[i] + unfinished[i]
@@ -186,8 +193,8 @@
 		chance -= shares[i]
 		reached -= ended[i] + unfinished[i]
 	}
-	// Nothing is known beyond the longest one that still runs: what is left is
-	// taken to be up to twice as long.
+	// There are no samples beyond the longest generation. The remaining
+	// probability is assigned to the bucket of twice that length.
 	shares[min(last+bucketsPerOctave, lengthBuckets-1)] += max(0, chance)
 	return shares
 }
@@ -207,15 +214,16 @@
 		below = bounds[i]
 	}
 	for k, horizon := range horizons {
-		s.random[k] = s.equilibrium(float64(horizon))
-		s.fresh[k] = s.after(float64(horizon))
+		s.residual[k] = s.residualSurvival(float64(horizon))
+		s.fromStart[k] = s.longerThan(float64(horizon))
 	}
 }
 
-// equilibrium returns the chance that a generation that is met at a random
-// moment of its run has more than so many tokens to go: the integral of the
-// survival from there on, over the mean.
-func (s *survival) equilibrium(tokens float64) float64 {
+// residualSurvival returns the probability that a generation observed at a random
+// point of its run has more than the given number of tokens to go: the integral
+// of the survival function from there on, divided by the mean (the residual life
+// distribution).
+func (s *survival) residualSurvival(tokens float64) float64 {
 	area, whole, below, chance := 0.0, 0.0, 0.0, 1.0
 	for i, bound := range bounds {
 		slab := (chance + s.longer[i]) / 2
@@ -231,9 +239,10 @@
 	return area / whole
 }
 
-// after returns the chance to be longer than so many tokens, linear within a
-// bucket.
-func (s *survival) after(tokens float64) float64 {
+// longerThan returns the probability of a length above the given number of
+// tokens, interpolated linearly within a bucket, over the logarithm of the
+// length.
+func (s *survival) longerThan(tokens float64) float64 {
 	if tokens <= 1 {
 		return 1
 	}
@@ -242,6 +251,6 @@
 	if i >= lengthBuckets-1 {
 		return s.longer[lengthBuckets-1]
 	}
-	part := position - float64(i)
-	return s.longer[i]*(1-part) + s.longer[i+1]*part
+	fraction := position - float64(i)
+	return s.longer[i]*(1-fraction) + s.longer[i+1]*fraction
 }
--- a/routing/waiter.go
+++ b/routing/waiter.go
@@ -8,32 +8,33 @@
 	"github.com/papayasail/papayasail/organisation"
 )
 
-// waiter is one request that waits in Acquire.
+// waiter is a queued request, waiting in Acquire.
 type waiter struct {
 	request Request
 	item    organisation.Item[*waiter]
-	// result gets the grant or the refusal; its one slot lets the sender go on
-	// when the waiter has just given up.
+	// result receives the grant, or is closed on a refusal. Its buffer of one
+	// keeps the sender from blocking on a waiter that has just given up.
 	result  chan *grant
 	refusal *contract.Refusal // set before result is closed
 }
 
-// hopeless reports whether a request that joined the queue now would miss its
-// deadline, and when it may come back.
+// missesDeadline reports whether a request that joined the queue now would miss
+// its deadline, and the time after which it may be retried.
 //
-// Overload: without this every request waits out its deadline before it is
-// refused, callers hold on to hosts for nothing, and those that could be
-// served in time stand behind those that cannot. Called with mu held.
-func (s *service) hopeless(request *Request, now time.Time) (wait time.Duration, hopeless bool) {
+// Without this check, each request under overload would wait until its deadline
+// before it is refused, callers would occupy hosts in vain, and requests that
+// could be served in time would queue behind requests that cannot. Called with
+// mu held.
+func (s *service) missesDeadline(request *Request, now time.Time) (wait time.Duration, missesDeadline bool) {
 	if s.queue.Len() == 0 {
 		return 0, false
 	}
 	perSecond := s.served.perSecond(now)
 	if perSecond <= 0 {
-		return 0, false // nothing is known of how fast the queue moves
+		return 0, false // the queue's service rate is not known
 	}
 	wait = time.Duration(s.queue.Ahead(request.Organisation) / perSecond * float64(time.Second))
-	return max(wait, leastRetryAfter), now.Add(time.Duration(waitDoubt * float64(wait))).After(request.Deadline)
+	return max(wait, minRetryAfter), now.Add(time.Duration(waitSafetyFactor * float64(wait))).After(request.Deadline)
 }
 
 // enqueue queues a request. Called with mu held.
@@ -50,14 +51,14 @@
 	return w
 }
 
-// wait blocks until the waiter is granted, refused, past its deadline or
-// abandoned by its caller.
+// wait blocks until the waiter is granted or refused, its deadline passes or ctx
+// is done.
 func (s *service) wait(ctx context.Context, w *waiter) (Grant, error) {
 	timer := time.NewTimer(time.Until(w.request.Deadline))
 	defer timer.Stop()
 	select {
 	case g := <-w.result:
-		return s.waited(w, g)
+		return s.finishWait(w, g)
 	case <-timer.C:
 		return s.giveUp(w, contract.NotRun(contract.ReasonDeadline, s.retryAfter(), "no backend server was free before the deadline"))
 	case <-ctx.Done():
@@ -66,17 +67,19 @@
 	}
 }
 
-func (s *service) waited(w *waiter, g *grant) (Grant, error) {
+// finishWait records the result of a waiter and returns it; a nil grant means
+// that the waiter was refused.
+func (s *service) finishWait(w *waiter, g *grant) (Grant, error) {
 	if g == nil {
-		return nil, counted(w.refusal)
+		return nil, countRefusal(w.refusal)
 	}
 	grantsTotal.WithLabelValues("after_waiting").Inc()
 	waitSeconds.Observe(time.Since(w.item.QueuedAt).Seconds())
 	return g, nil
 }
 
-// giveUp takes a waiter out of the queue. A grant that came at the same moment
-// is returned unused: otherwise its place on the server would leak.
+// giveUp removes a waiter from the queue. A grant that arrived concurrently is
+// released unused; otherwise its slot on the server would leak.
 func (s *service) giveUp(w *waiter, refusal *contract.Refusal) (Grant, error) {
 	s.mu.Lock()
 	s.queue.Remove(&w.item)
@@ -84,7 +87,7 @@
 	select {
 	case g := <-w.result:
 		if g == nil {
-			return nil, counted(w.refusal)
+			return nil, countRefusal(w.refusal)
 		}
 		g.Done(Result{NotRun: true})
 	default:
@@ -92,27 +95,27 @@
 		s.limits.Leave(w.request.Organisation)
 		s.mu.Unlock()
 	}
-	return nil, counted(refusal)
+	return nil, countRefusal(refusal)
 }
 
-// pump serves the queue as far as the policy allows.
-func (s *service) pump() {
+// serveQueue serves the queue as far as the policy allows. It acquires mu.
+func (s *service) serveQueue() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.serve(time.Now())
 }
 
-// serve grants queued requests in fair order. A large request that has to wait
-// is not overtaken by small ones behind it, which could go on for ever.
-// Called with mu held.
+// serve grants queued requests in fair order. If the first one has to wait, the
+// requests behind it are not considered: a stream of small requests could starve
+// a large one. Called with mu held.
 func (s *service) serve(now time.Time) {
 	if s.queue.Len() == 0 || !s.refresh(now) {
 		return
 	}
 	for s.queue.Len() > 0 {
 		item := s.queue.Peek()
-		candidates, later := s.candidates(&item.Value.request)
-		if len(candidates) == 0 && !later {
+		candidates, recoverable := s.candidates(&item.Value.request)
+		if len(candidates) == 0 && !recoverable {
 			s.refuse(item.Value, contract.NotRun(contract.ReasonNoBackendServer, retryNoServer, "no backend server may take the request"))
 			continue
 		}
@@ -128,7 +131,7 @@
 	}
 }
 
-// refuse ends a queued request. Called with mu held.
+// refuse removes a request from the queue and refuses it. Called with mu held.
 func (s *service) refuse(w *waiter, refusal *contract.Refusal) {
 	s.queue.Remove(&w.item)
 	s.limits.Leave(w.request.Organisation)
@@ -136,6 +139,7 @@
 	close(w.result)
 }
 
+// refuseAll closes the service and refuses all queued requests.
 func (s *service) refuseAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,8 +149,8 @@
 	}
 }
 
-// retryAfter estimates when a request that was not placed may come back: when
-// what is queued now has been served.
+// retryAfter estimates the time after which a request that was not placed may be
+// retried: the time to serve all requests queued now.
 func (s *service) retryAfter() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,9 +159,9 @@
 		return retryNoServer
 	}
 	wait := time.Duration(s.queue.Cost() / perSecond * float64(time.Second))
-	return min(max(wait, leastRetryAfter), mostRetryAfter)
+	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// waitDoubt is by how much the estimate of a wait is doubted: requests of
-// others that come later may be served first.
-const waitDoubt = 1.5
+// waitSafetyFactor multiplies the estimated wait, since requests of other
+// organisations that arrive later may be served first.
+const waitSafetyFactor = 1.5
