--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// Budget bounds how many requests are sent once more, so that hosts together
-// keep to what the operator allows without asking each other: each spends an
-// equal part of the fixed allowance and its own share of the traffic.
+// Budget limits retries so that all hosts together stay within the operator's
+// limit without coordination: each host may use an equal part of the fixed
+// allowance plus a ratio of its own requests.
 //
-// Failure: a service slows down, every request is sent twice, and the load
-// that slowed it doubles.
+// Without a limit, every request to a service that has slowed down is sent twice,
+// which doubles the load that slowed it.
 type Budget struct {
-	// Ratio is how many repeats each request of a window earns.
+	// Ratio is the number of retries allowed per request in a window.
 	Ratio float64
-	// Allowance is how many repeats the fleet may make a window besides.
+	// Allowance is the number of additional retries per window for all hosts
+	// together.
 	Allowance float64
-	// Window is the span over which the operator counts.
+	// Window is the period over which the operator counts requests and retries.
 	Window time.Duration
-	// Hosts returns how many entry hosts share the allowance.
+	// Hosts returns the number of entry hosts that share the allowance.
 	Hosts func() int
 
 	mu       sync.Mutex // guards all below
 	services map[string]*ring
-	began    time.Time // of the first slot; the time of day may jump, this does not
+	began    time.Time // start of the first slot; monotonic, unlike the wall clock, which may jump
 }
 
 const (
-	// budgetMargin leaves room for windows that the operator counts from
-	// other moments than this host.
+	// budgetMargin is the fraction of the limit that is used. The rest is headroom
+	// because the operator's windows start at other times than this host's.
 	budgetMargin = 0.8
 	ringSlots    = 10
 )
 
-// ring counts requests and repeats in slots of a tenth of the window.
+// ring counts requests and retries in slots of one tenth of the window.
 type ring struct {
 	requests, repeats [ringSlots]int
-	slot              int64
+	slot              int64 // newest slot, counted from Budget.began
 }
 
 // Request counts the first send of a request to a service.
@@ -47,7 +48,7 @@
 	r.requests[r.slot%ringSlots]++
 }
 
-// Spend reports whether a request may be sent once more, and counts it.
+// Spend reports whether a request may be retried and, if so, counts the retry.
 func (b *Budget) Spend(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -65,7 +66,8 @@
 	return true
 }
 
-// at returns a service's ring turned to the present. Called with mu held.
+// at returns the ring of a service, advanced to the current time. Called with mu
+// held.
 func (b *Budget) at(service string) *ring {
 	if b.services == nil {
 		b.services, b.began = map[string]*ring{}, time.Now()
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	// maxDials bounds how many servers one request finds unreachable before
-	// it is refused.
+	// maxDials is how many servers may be unreachable for one request before it
+	// is refused.
 	maxDials = 3
-	// maxAnswerBytes bounds an answer that is held whole before it is passed on.
+	// maxAnswerBytes bounds an answer that is buffered whole before it is relayed.
 	maxAnswerBytes = 8 << 20
-	// firstTryShare is the part of an idempotent call's time that its first
-	// server gets, where a second may be tried: a hung server costs half of
-	// the time, not all of it.
+	// firstTryShare divides the remaining time of an idempotent call while
+	// another attempt is allowed: a hung server then uses up half of the time
+	// instead of all of it.
 	firstTryShare = 2
 )
 
-// try is what became of one send.
+// try is the result of sending a request to one server.
 type try struct {
 	outcome Outcome
-	// again says that another server may get the request.
+	// again is set if the request may be sent to another server.
 	again bool
-	// sent says that the server may have read it.
+	// sent is set if the server may have read the request.
 	sent bool
-	// misdirected says that another server has the address, and said so.
+	// misdirected is set if another server has the address and reported that.
 	misdirected bool
 }
 
-// call serves a request whose answer is passed on whole.
+// call serves a request whose answer is buffered whole before it is relayed.
 func (t *task) call(ctx context.Context) Outcome {
-	var last, ran *try // ran: the last that may have run
+	var last, ran *try // ran: the last attempt that may have run
 	for dials := 0; ; {
 		if last != nil && !t.mayGoOn(last) {
 			return last.outcome
@@ -54,7 +54,7 @@
 		}
 		result := t.send(ctx, work)
 		work.End()
-		// A refusal after a send that may have run must not say "not run".
+		// Once an attempt may have run, a later refusal must not report "not run".
 		if result.outcome.NotRun && ran != nil {
 			result.outcome = ran.outcome
 		} else if !result.outcome.NotRun {
@@ -71,11 +71,13 @@
 	}
 }
 
-// mayGoOn reports whether the request may be sent to another server after a try.
+// mayGoOn reports whether the request may be sent to another server after the
+// given attempt.
 //
-// Failure: engines start again behind a cut, other servers have their addresses,
-// and every host sends to each of them and on to the next. What a server answers
-// at all counts as an arrival, so that it is taken from the budget.
+// A misdirected attempt is charged to the retry budget because the operator
+// counts any request that a server answers. Otherwise, when engines restart
+// behind a network partition and other servers get their addresses, every host
+// sends each request to one stale address after the other.
 func (t *task) mayGoOn(last *try) bool {
 	switch {
 	case last.sent:
@@ -86,8 +88,8 @@
 	return true
 }
 
-// mayRepeat reports whether the request, which a server has read, may be sent
-// to another one.
+// mayRepeat reports whether a request that a server may have read may be sent
+// to another server.
 func (t *task) mayRepeat() bool {
 	return t.sends < t.route.Attempts && t.gateway.options.Budget.Spend(t.service.Name)
 }
@@ -130,8 +132,9 @@
 	return try{outcome: answer, again: failing && t.route.Kind == Idempotent, sent: true}
 }
 
-// tryContext bounds one send. Only requests that may be repeated are taken
-// back early: for all others a server's silence is no reason to end sooner.
+// tryContext bounds one attempt. Only an idempotent request with another attempt
+// left gets a shorter timeout: ending any other request early gains nothing,
+// because it may not be sent again.
 func (t *task) tryContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	if t.route.Kind != Idempotent || t.sends+1 >= t.route.Attempts {
 		return context.WithCancel(ctx)
@@ -139,10 +142,11 @@
 	return context.WithTimeout(ctx, time.Until(t.until)/firstTryShare)
 }
 
-// heed takes in what an answer says of its server besides the answer itself.
+// heed records the state that a server reports with its answer.
 //
-// Failure: a server's entry cannot say that it leaves while the store is away.
-// Its answers do, and hosts that pass them on go on sending to it.
+// While the store is unavailable, the entry of a leaving server cannot be marked
+// as leaving, but its answers report it. Hosts that ignore them keep sending
+// requests to it.
 func (t *task) heed(server fleet.Server, reply *Reply) {
 	switch {
 	case reply.WrongServer:
@@ -154,19 +158,19 @@
 	}
 }
 
-// took reports whether the server took the request.
+// took reports whether the server accepted the request.
 func took(reply *Reply) bool { return !reply.NotRun && !reply.WrongServer }
 
-// notRun is a try that the server refused as not run.
+// notRun returns the result of an attempt that the server refused as not run.
 func (t *task) notRun(reply *Reply) try {
 	if reply.WrongServer {
-		t.sends-- // the server that was meant has not had it
+		t.sends-- // the intended server did not receive it
 		return try{outcome: refused(ReasonWrongServer, retryNoServer), again: true, misdirected: true}
 	}
 	return try{outcome: refused(ReasonServerFull, retryFull), again: true, sent: true}
 }
 
-// brokenTry is a try without an answer.
+// brokenTry returns the result of an attempt without an answer.
 func (t *task) brokenTry(ctx context.Context, work *fleet.Work, err error) try {
 	var failure *backend.CallError
 	if errors.As(err, &failure) && failure.Evidence == backend.NothingSent {
@@ -187,7 +191,7 @@
 	return t.mayHaveRun(ctx, ReasonBroken)
 }
 
-// unreached is the answer when no server has read anything.
+// unreached returns the outcome of a request whose last attempt sent nothing.
 func (t *task) unreached(ctx context.Context) Outcome {
 	if ctx.Err() == context.Canceled {
 		return abandoned()
@@ -198,7 +202,8 @@
 	return refused(ReasonUnreachable, retryNoServer)
 }
 
-// mayHaveRun is a try after which the server may have run the request.
+// mayHaveRun returns the result of an attempt after which the server may have
+// run the request.
 func (t *task) mayHaveRun(ctx context.Context, reason Reason) try {
 	switch ctx.Err() {
 	case context.Canceled:
--- a/gateway/call_test.go
+++ b/gateway/call_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
+// Guards against reads that fail although only one server failed or interrupted its
+// answer; a second attempt succeeds at another server.
 func TestReadsGoToASecondServer(t *testing.T) {
-	// A server fails a read by itself, or breaks off its answer. Another one
-	// has it; with two attempts the caller sees no failure.
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
 		n := 0
@@ -70,9 +70,9 @@
 	})
 }
 
+// Guards against waiting for a hung server until the route's timeout, which fails
+// every read that is sent to it.
 func TestHungServerCostsAReadHalfItsTime(t *testing.T) {
-	// A faulty server takes a read and never answers. Waiting for it until
-	// the route's timeout would fail every such read.
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
 		w.send = func(ctx context.Context, _ Call) (*Reply, error) {
@@ -88,9 +88,9 @@
 	})
 }
 
+// Guards against callers that wait beyond the route's timeout for a server that
+// does not answer.
 func TestAnswerAtTheTimeout(t *testing.T) {
-	// A server is silent beyond the route's timeout. The caller gets its
-	// answer at the timeout, not when the server has thought about it.
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
 		w.send = func(ctx context.Context, _ Call) (*Reply, error) {
@@ -104,9 +104,9 @@
 	})
 }
 
+// Guards against refusals without "not run" or a retry delay when all servers report
+// that they are full or none accepts a connection.
 func TestRefusalsThatRanNothing(t *testing.T) {
-	// All servers are full and say so, or none takes a connection. Only then
-	// is the caller told "not run", and when to come back.
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
 		w.send = func(context.Context, Call) (*Reply, error) { return notRunReply(), nil }
@@ -124,9 +124,9 @@
 	})
 }
 
+// Guards against reporting "not run" when the second server refused a read as full
+// but the first, whose connection broke, may have run it.
 func TestNotRunIsNotSaidAfterASendThatMayHaveRun(t *testing.T) {
-	// The first server broke off a read, the second one refused it as full.
-	// "Not run" would be false: the first may have run it.
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
 		w.send = func(context.Context, Call) (*Reply, error) {
@@ -141,7 +141,7 @@
 	})
 }
 
-// Guards against requests to an address that has another server.
+// Guards against more requests to an address that now belongs to another server.
 func TestAddressWithAnotherServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
@@ -164,9 +164,9 @@
 	})
 }
 
+// Guards against a 401 or 404 for a key or route that was just added and has not
+// reached this host: the caller would give up permanently.
 func TestHostThatIsBehindDeniesNothing(t *testing.T) {
-	// A key or route was just added, and this host has not heard of it. A 401
-	// or 404 would make the caller give up for good on a proper request.
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
 		w.send = func(context.Context, Call) (*Reply, error) { return answer(http.StatusOK, "ok"), nil }
@@ -182,7 +182,7 @@
 		is.Equal(w.serve("/none/1").Status, http.StatusNotFound)
 		w.gateway.SetConfiguration(w.configuration(2, "new"))
 		is.Equal(w.gateway.Serve(context.Background(), r, &recorder{}).Status, http.StatusOK)
-		is.Equal(w.serve("/write/1").Status, http.StatusUnauthorized) // its key was taken away
+		is.Equal(w.serve("/write/1").Status, http.StatusUnauthorized) // its key was removed
 	})
 }
 
@@ -194,9 +194,9 @@
 	is.True(o.NotRun)
 }
 
+// Guards against servers that work on after the caller has disconnected: the send
+// is cancelled, which closes the connection to the server.
 func TestCallerThatLeavesEndsTheSend(t *testing.T) {
-	// The caller closes its connection while a server works. The send ends at
-	// once, which closes the server's connection and stops its work.
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
 		w.send = func(ctx context.Context, _ Call) (*Reply, error) {
@@ -213,9 +213,9 @@
 	})
 }
 
+// Guards against retries that double the load of a failing service: the hosts may
+// add one fifth of the requests plus 54 together.
 func TestBudgetOfRepeats(t *testing.T) {
-	// A service fails everything. Sending each read twice would double the
-	// load that makes it fail; the hosts together may add a fifth and 54.
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
 		w.send = func(context.Context, Call) (*Reply, error) { return answer(http.StatusInternalServerError, ""), nil }
@@ -232,7 +232,7 @@
 	})
 }
 
-// Guards against repeats beyond the budget while servers have changed their addresses.
+// Guards against retries beyond the budget while servers have changed addresses.
 func TestMisdirectedSendsKeepToTheBudget(t *testing.T) {
 	for _, path := range []string{"/letter/1", "/write/1"} {
 		is, w := is.New(t), newWorld()
@@ -249,12 +249,12 @@
 			is.True(o.NotRun)
 			is.Equal(o.Status, http.StatusServiceUnavailable)
 		}
-		is.True(len(w.calls) > requests)                // some are sent on
+		is.True(len(w.calls) > requests)                // some are sent to another server
 		is.True(len(w.calls) <= requests+requests*2/10) // within the operator's ratio
 	}
 }
 
-// Guards against callers that are held while no server may get their request.
+// Guards against callers that wait although all servers are evacuated.
 func TestEvacuatedServiceRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
@@ -274,9 +274,9 @@
 	})
 }
 
+// Guards against a second attempt in a failure domain that was evacuated after the
+// first attempt began.
 func TestSecondTryKeepsOutOfAnEvacuatedDomain(t *testing.T) {
-	// A server fails a read, and its failure domain is evacuated meanwhile. The
-	// second try must not go to another server there.
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
 		w.send = func(context.Context, Call) (*Reply, error) {
--- a/gateway/configuration.go
+++ b/gateway/configuration.go
@@ -7,38 +7,40 @@
 	"time"
 )
 
-// Kind says what of a route's requests may be repeated.
+// Kind specifies whether requests of a route may be repeated and how they are
+// answered.
 type Kind int
 
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = iota + 1
-	// AtMostOnce requests may run once at most.
+	// AtMostOnce requests may run at most once.
 	AtMostOnce
-	// Generation requests run once at most and are answered by a stream of events.
+	// Generation requests run at most once and are answered by a stream of events.
 	Generation
 )
 
-// Target is one of the services that a route's requests go to.
+// Target is one of the services to which a route sends requests.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Route says where requests of one host and path go, and within which limits.
+// Route specifies to which services the requests of one host and path prefix are
+// sent, and their limits.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string // begins and ends with a slash
 	Kind       Kind
-	// Timeout is the longest time that a request may be kept waiting.
+	// Timeout bounds the duration of a request.
 	Timeout time.Duration
-	// Goal is the time within which an answer, or its first event, is on time.
+	// Goal is the latency goal for the answer or, in a stream, its first event.
 	Goal time.Duration
-	// GapGoal is the longest pause between events that is on time.
+	// GapGoal is the latency goal for the pause between two events.
 	GapGoal  time.Duration
-	Priority int // 0: first
-	// Attempts is how many servers a request may be sent to.
+	Priority int // 0 is served first
+	// Attempts is the maximum number of servers to which a request is sent.
 	Attempts int
 	// Public routes need no key.
 	Public  bool
@@ -50,40 +52,41 @@
 	MemoryTokens  int
 	BytesPerToken int
 	LinkMbps      float64
-	// Moves says that a run's memory can be copied to another engine.
+	// Moves is set if a run's memory can be copied to another engine.
 	Moves bool
-	// TokensPerEvent is how many tokens one event of a stream holds.
+	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int
 }
 
 // Service is a set of backend servers.
 type Service struct {
 	Name string
-	// HealthPath is where its servers say whether they take requests; "": nowhere.
+	// HealthPath is the path at which its servers report whether they accept
+	// requests; "": none.
 	HealthPath string
 	// Engine is nil for plain services.
 	Engine *Engine
-	// ColdRate is how many requests a second each of its servers takes while it
-	// is cold; zero: there is no bound.
+	// ColdRate is the number of requests per second that each of its servers
+	// accepts while it is cold; zero: no limit.
 	ColdRate float64
 }
 
 // Organisation is a customer of the operator.
 type Organisation struct {
 	Name string
-	// Priority goes before that of routes; nil: the route's counts.
+	// Priority overrides that of routes; nil: the route's priority applies.
 	Priority *int
 }
 
-// ClientLimits bound what a caller may send.
+// ClientLimits are the limits on callers' requests.
 type ClientLimits struct {
 	MaxBodyBytes int64
 }
 
-// Configuration is one version of the operator's configuration. It is never
-// changed once it is in force: a request keeps the one that it began with.
+// Configuration is one version of the operator's configuration. It is immutable
+// once it is in force: a request uses the same version from start to end.
 type Configuration struct {
-	Version  uint64 // the operator's, rising in uneven steps
+	Version  uint64 // set by the operator; increases, not always by one
 	Services map[string]*Service
 	Limits   ClientLimits
 
@@ -91,8 +94,8 @@
 	keys   map[string]*Organisation
 }
 
-// NewConfiguration indexes routes and keys. Without any organisation no
-// request needs a key.
+// NewConfiguration returns a configuration with indexed routes and keys. If there
+// are no keys, no request needs one.
 func NewConfiguration(version uint64, routes []*Route, services []*Service, keys map[string]*Organisation, limits ClientLimits) *Configuration {
 	c := &Configuration{Version: version, Limits: limits, Services: map[string]*Service{}, routes: map[string][]*Route{}, keys: keys}
 	for _, service := range services {
@@ -117,7 +120,7 @@
 	return nil
 }
 
-// Organisation returns who holds a key.
+// Organisation returns the organisation to which a key belongs.
 func (c *Configuration) Organisation(key string) (*Organisation, bool) {
 	organisation, ok := c.keys[key]
 	return organisation, ok
@@ -128,8 +131,8 @@
 	return len(c.keys) > 0 && !route.Public
 }
 
-// target chooses a service of the route by weight; draw returns a number
-// below n.
+// target selects a service of the route at random by weight; draw returns a
+// random number in [0, n).
 func (r *Route) target(draw func(n int) int) string {
 	total := 0
 	for _, target := range r.Targets {
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -8,27 +8,27 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxEventBytes bounds one event.
+// maxEventBytes is the maximum size of one event.
 const maxEventBytes = 1 << 20
 
 var errEventTooLarge = errors.New("gateway: event too large")
 
-// eventReader cuts a stream of server-sent events into whole events. Only
-// whole ones are passed on: a server that breaks off in the middle of one must
-// not leave half of it before the events of the server that goes on.
+// eventReader splits a stream of server-sent events into whole events. Only whole
+// events are relayed: if a server fails in the middle of an event, the partial
+// event must not precede the events of the server that resumes the stream.
 type eventReader struct {
 	reader *bufio.Reader
 	block  bytes.Buffer
 }
 
-// event is one event as the server sent it, with its blank line.
+// event is one event as received from the server, including its blank line.
 type event struct {
 	block []byte // valid until the next call
 	id    string
 }
 
-// next returns the next whole event. At a clean end it returns what is left,
-// if anything, and io.EOF.
+// next returns the next whole event. At the regular end of the stream it returns
+// the remaining bytes, if any, and io.EOF.
 func (r *eventReader) next() (event, error) {
 	r.block.Reset()
 	id := ""
--- a/gateway/explain.go
+++ b/gateway/explain.go
@@ -7,10 +7,12 @@
 	"go.uber.org/zap"
 )
 
-// MsgRequest is the log message of each request's end.
+// MsgRequest is the message of the log line that is written at the end of each
+// request.
 const MsgRequest = "request"
 
-// passedEvent notes the times of events, for what callers see of stalls.
+// passedEvent records when events are relayed, to report the stalls that the
+// caller sees.
 func (t *task) passedEvent() {
 	now := time.Now()
 	if t.firstEvent == 0 {
@@ -21,7 +23,7 @@
 	t.lastEvent = now
 }
 
-// late reports whether a whole answer missed the goals of its route.
+// late reports whether a complete answer missed the latency goals of its route.
 func (t *task) late(o Outcome) bool {
 	switch {
 	case !o.Complete || t.route == nil:
@@ -32,7 +34,7 @@
 	return time.Since(t.request.Arrived) > t.route.Goal
 }
 
-// log writes the one line that explains the request.
+// log updates the metrics and writes the request's log line.
 func (t *task) log(o Outcome) {
 	t.gateway.options.Metrics.observe(t, o)
 	fields := []zap.Field{
--- a/gateway/explain_test.go
+++ b/gateway/explain_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// Guards against calls that cannot be followed through their callers' retries.
+// Guards against logs in which a call cannot be traced across its caller's retries.
 func TestLogNamesTheFingerprintOfACall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,8 +1,7 @@
-// Package gateway serves requests: it finds the route and the organisation,
-// chooses a backend server, sends the request there and passes the answer on,
-// moves generations off servers that leave, and says of each request that
-// fails whether it ran. It knows neither how callers nor how servers spell
-// what they say.
+// Package gateway serves requests: it looks up the route and the organisation,
+// selects a backend server, forwards the request, relays the answer, moves
+// generations off leaving servers, and reports for each failed request whether
+// it ran. It does not depend on the wire formats of callers and servers.
 package gateway
 
 import (
@@ -20,35 +19,35 @@
 )
 
 const (
-	// retryNoConfiguration is when to come back to a host that has just
-	// started; it learns the configuration within a few hundred ms.
+	// retryNoConfiguration is the retry delay at a host that has just started;
+	// it receives the configuration within a few hundred ms.
 	retryNoConfiguration = 300 * time.Millisecond
-	// retryStopping sends callers to another host at once; retryAllStopping is
-	// when to come back while no other host takes requests. A host that has
-	// stopped is back after about a second, and the shortest goal is 1.5 s.
+	// retryStopping sends callers to another host immediately; retryAllStopping
+	// is the retry delay while no other host accepts requests. A restarted host
+	// is back after about one second, and the shortest latency goal is 1.5 s.
 	retryStopping    = 20 * time.Millisecond
 	retryAllStopping = time.Second
-	// retryNoServer is when to come back while no server is known or
-	// reachable; a replaced one takes about a second.
+	// retryNoServer is the retry delay while no server is known or reachable;
+	// replacing a server takes about one second.
 	retryNoServer = 500 * time.Millisecond
 )
 
-// Options sets up a Gateway. All fields are required.
+// Options configures a Gateway. All fields are required.
 type Options struct {
 	Domain  string // failure domain of this host
 	Fleet   *fleet.Table
 	Backend Backend
-	// Allocator places generations and gives turns to their moves.
+	// Allocator places generations and grants turns to migrate them.
 	Allocator Allocator
 	Budget    *Budget
-	// Quarantine keeps requests from servers that crash them.
+	// Quarantine blocks requests that crash backend servers.
 	Quarantine *quarantine.Table
 	Logger     *zap.Logger
 	Limits     placement.Limits
-	// Confirm reports whether the configuration in force here is surely the
-	// newest that was accepted. It may ask the store.
+	// Confirm reports whether the configuration in force on this host is
+	// certainly the newest accepted one. It may query the store.
 	Confirm func(ctx context.Context) bool
-	// Others reports whether another entry host takes requests.
+	// Others reports whether another entry host accepts requests.
 	Others  func() bool
 	Metrics *Metrics
 }
@@ -57,8 +56,8 @@
 type Gateway struct {
 	options       Options
 	configuration atomic.Pointer[Configuration]
-	stopBy        atomic.Pointer[time.Time] // nil: this host does not stop
-	generations   atomic.Int64              // in work
+	stopBy        atomic.Pointer[time.Time] // nil: this host is not stopping
+	generations   atomic.Int64              // in flight
 }
 
 // New returns a gateway without a configuration.
@@ -66,7 +65,7 @@
 	return &Gateway{options: options}
 }
 
-// SetConfiguration puts a configuration in force for requests that come now.
+// SetConfiguration puts a configuration in force for new requests.
 func (g *Gateway) SetConfiguration(c *Configuration) {
 	g.configuration.Store(c)
 	for _, service := range c.Services {
@@ -82,27 +81,29 @@
 // Configuration returns the configuration in force, or nil.
 func (g *Gateway) Configuration() *Configuration { return g.configuration.Load() }
 
-// Stop makes the gateway take only requests whose time ends before the host
-// does: calls for a while, and no long generations.
+// Stop makes the gateway accept only requests whose deadline is not after by,
+// when this host cuts off its remaining requests. Short calls are still served
+// for a while, long generations are refused.
 func (g *Gateway) Stop(by time.Time) { g.stopBy.Store(&by) }
 
-// Generations returns how many generations are in work.
+// Generations returns the number of generations in flight.
 func (g *Gateway) Generations() int { return int(g.generations.Load()) }
 
-// stopsBefore reports whether this host may end before a moment.
+// stopsBefore reports whether this host may stop before the given time.
 func (g *Gateway) stopsBefore(moment time.Time) bool {
 	by := g.stopBy.Load()
 	return by != nil && moment.After(*by)
 }
 
-// ended reports whether this host has cut off what it had, at the end of its
-// stop.
+// ended reports whether the deadline of this host's stop has passed, at which
+// it cuts off its remaining requests.
 func (g *Gateway) ended() bool {
 	by := g.stopBy.Load()
 	return by != nil && !time.Now().Before(*by)
 }
 
-// stopped is the answer to a request that this host cannot finish any more.
+// stopped returns the outcome of a request that this host cannot finish before
+// it stops.
 func (g *Gateway) stopped() Outcome {
 	if g.options.Others() {
 		return refused(ReasonStopping, retryStopping)
@@ -110,7 +111,7 @@
 	return refused(ReasonStopping, retryAllStopping)
 }
 
-// task is a request in work.
+// task is a request in flight.
 type task struct {
 	gateway       *Gateway
 	request       *Request
@@ -119,20 +120,21 @@
 	organisation  string
 	priority      int
 	service       *Service
-	fingerprint   uint64          // the same when its caller sends it again
+	fingerprint   uint64          // equal for retries by the caller
 	until         time.Time       // the earlier of the route's timeout and the caller's deadline
-	sends         int             // to servers that may have run it
-	sent          quarantine.Mark // what was known of the request when it was sent last
+	sends         int             // sends to servers that may have run it
+	sent          quarantine.Mark // crash history of the request at the last send
 	server        fleet.Server
-	tried         []string // servers that it was sent to, or that took no connection
+	tried         []string // servers that it was sent to or that refused the connection
 	moves         int
 	firstEvent    time.Duration // from arrival
 	lastEvent     time.Time
 	longestPause  time.Duration // between events
-	pausedAt      time.Duration // from arrival, when the longest pause ended
+	pausedAt      time.Duration // end of the longest pause, from arrival
 }
 
-// Serve serves one request. The context ends when the caller is gone.
+// Serve serves one request. The context must be cancelled when the caller
+// disconnects.
 func (g *Gateway) Serve(ctx context.Context, request *Request, sink Sink) Outcome {
 	t := &task{gateway: g, request: request, configuration: g.configuration.Load()}
 	outcome := t.serve(ctx, sink)
@@ -169,7 +171,7 @@
 	return outcome
 }
 
-// run serves a request that is admitted.
+// run serves an admitted request.
 func (t *task) run(ctx context.Context, sink Sink) Outcome {
 	if t.route.Kind == Generation {
 		t.gateway.generations.Add(1)
@@ -179,13 +181,12 @@
 	return t.call(ctx)
 }
 
-// admit finds the route and the organisation.
+// admit looks up the route and the organisation.
 //
-// Failure: this host is behind, as it is cut off from the store or has just
-// started, and calls a route or key unknown that was added a moment ago. The
-// caller would give up for good on a proper request. Such an answer is given
-// only when the configuration is surely the newest; until then the request is
-// refused as not run.
+// A host that is cut off from the store or has just started may lack a route or
+// key that was added recently. A denial would make the caller give up a valid
+// request permanently, so it is returned only if the local configuration is
+// confirmed as the newest; otherwise the request is refused as not run.
 func (t *task) admit(ctx context.Context) (Outcome, bool) {
 	if _, ok := t.lookUp(); ok {
 		return Outcome{}, true
@@ -193,7 +194,7 @@
 	if !t.gateway.options.Confirm(ctx) {
 		return refused(ReasonStale, retryNoServer), false
 	}
-	// What was confirmed may be newer than what the request began with.
+	// The confirmed configuration may be newer than the one loaded on arrival.
 	t.configuration = t.gateway.configuration.Load()
 	return t.lookUp()
 }
--- a/gateway/life.go
+++ b/gateway/life.go
@@ -9,14 +9,14 @@
 	"github.com/papayasail/papayasail/fleet"
 )
 
-var errLifeOver = errors.New("gateway: server has started again, and keeps nothing of the run")
+var errLifeOver = errors.New("gateway: server restarted and no longer has the run")
 
-// sendTo sends a request to the server of a work. The exchange ends when that
-// life of the server does.
+// sendTo sends a request to the server on which work is reserved. It cancels the
+// exchange when that incarnation of the server has ended.
 //
-// Failure: a server crashes behind a cut and starts again under its id. Its
-// connections stay silent, and callers waited for the answer of a run that was
-// lost until their time was over.
+// A server that crashes behind a network partition and restarts under its ID
+// leaves its old connections silent. Without the cancellation, callers wait for
+// the answer of a lost run until their deadline.
 func (t *task) sendTo(ctx context.Context, work *fleet.Work, call Call) (*Reply, error) {
 	t.sent = t.gateway.options.Quarantine.Mark(t.fingerprint)
 	ctx, cancel := context.WithCancel(ctx)
@@ -35,11 +35,11 @@
 	return reply, nil
 }
 
-// resumeAt sends a run to a server that has a copy of its memory.
+// resumeAt resumes a run on a server that has a copy of its memory.
 //
-// Failure: source or destination starts again under its id, and its count of
-// copies starts anew with it: the name of this run's copy may by now be that of
-// another run's, whose tokens the caller would get.
+// It fails if source or destination has restarted under its ID. The restart also
+// resets the server's copy counter, so that the handle of this copy may now
+// identify a copy of another run, whose tokens the caller would receive.
 func (t *task) resumeAt(ctx context.Context, work *fleet.Work, call Call) (*Reply, error) {
 	if work.Life().Err() != nil || t.gateway.options.Fleet.Superseded(call.Resume.Source.Life()) {
 		return nil, errLifeOver
@@ -47,7 +47,8 @@
 	return t.sendTo(ctx, work, call)
 }
 
-// boundBody is an answer's body whose end gives up what it was bound to.
+// boundBody is an answer's body that releases the resources of its exchange when
+// it is closed.
 type boundBody struct {
 	io.ReadCloser
 	end func()
--- a/gateway/life_test.go
+++ b/gateway/life_test.go
@@ -13,7 +13,7 @@
 	"github.com/papayasail/papayasail/fleet"
 )
 
-// restart makes the server that got the first call start again under its id.
+// restart restarts the server of the first call under its ID.
 func (w *world) restart(born int64) {
 	w.mu.Lock()
 	server := w.calls[0].Server
@@ -22,7 +22,7 @@
 	w.fleet.Put(server)
 }
 
-// giveBirth lets the servers say when they were born.
+// giveBirth sets the start time of all servers.
 func (w *world) giveBirth(born int64) {
 	for _, service := range []string{"llm", "plain"} {
 		for _, server := range w.fleet.Usable(service) {
@@ -32,7 +32,8 @@
 	}
 }
 
-// Guards against callers that wait for a run which was lost with an earlier life of its engine.
+// Guards against callers that wait for a run which was lost when its engine
+// restarted.
 func TestRunThatWasLostWithALifeEndsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
@@ -43,7 +44,7 @@
 			return g.reply(), nil
 		}
 		w.copy = func(_, _ fleet.Server, _ bool) (Copied, error) {
-			t.Error("the later life was asked for a run of the earlier one")
+			t.Error("a restarted engine was asked to copy a run of its earlier incarnation")
 			return Copied{}, nil
 		}
 		time.AfterFunc(time.Second, func() { w.restart(200) })
@@ -54,11 +55,11 @@
 		is.Equal(o.Reason, ReasonMoveFailed)
 		is.True(time.Since(began) < 1100*time.Millisecond)
 		is.Equal(len(w.calls), 1)
-		time.Sleep(gap) // the engine notices that nobody reads
+		time.Sleep(gap) // until the engine's writer has failed
 	})
 }
 
-// Guards against a second run of a write whose server has started again.
+// Guards against a second run of a write whose server has restarted.
 func TestWriteSentToAnEarlierLifeIsNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
@@ -90,7 +91,8 @@
 	})
 }
 
-// Guards against another run's tokens from a copy with the name of an earlier one.
+// Guards against tokens of another run: after a restart, the handle of an earlier
+// copy may identify a different one.
 func TestCopyOfAnEarlierLifeIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
@@ -98,7 +100,7 @@
 		first := newGeneration(1, 100, gap)
 		w.send = func(_ context.Context, call Call) (*Reply, error) {
 			if call.Resume != nil {
-				t.Error("resumed from a copy of the earlier life")
+				t.Error("resumed from a copy on an earlier incarnation")
 			}
 			return first.reply(), nil
 		}
@@ -117,9 +119,9 @@
 	})
 }
 
+// Guards against a log line that blames the caller when a stopping host cuts off a
+// generation at the end of its grace period.
 func TestStopThatEndsBeforeARunSaysSo(t *testing.T) {
-	// A host is stopped, and its letter needs longer than the grace. The line
-	// that explains it blamed the caller, who had waited all the time.
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
 		first := newGeneration(1, 1000, gap)
@@ -133,6 +135,6 @@
 		o := w.gateway.Serve(ctx, w.request("/letter/1"), &recorder{})
 		is.Equal(o.Reason, ReasonHostStopped)
 		is.True(!o.NotRun)
-		time.Sleep(gap) // the engine notices that nobody reads
+		time.Sleep(gap) // until the engine's writer has failed
 	})
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics counts what became of requests.
+// Metrics holds the gateway's counters and histograms of requests.
 type Metrics struct {
 	requests   *prometheus.CounterVec
 	took       *prometheus.HistogramVec
@@ -21,16 +21,16 @@
 	m := &Metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "papayasail_gateway_requests_total",
-			Help: "Requests by status of the answer and, where it is this system's own, its reason.",
+			Help: "Requests by status of the answer and, if this system produced it, its reason.",
 		}, []string{"status", "reason"}),
 		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "papayasail_gateway_request_seconds",
-			Help:    "Time from a request's head to the end of its answer, by service.",
+			Help:    "Time from receiving a request's head to the end of its answer, by service.",
 			Buckets: prometheus.ExponentialBuckets(0.005, 2, 14),
 		}, []string{"service"}),
 		firstEvent: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "papayasail_gateway_first_event_seconds",
-			Help:    "Time from a generation's head to its first event.",
+			Help:    "Time from receiving the head of a generation request to its first event.",
 			Buckets: prometheus.ExponentialBuckets(0.05, 1.5, 14),
 		}),
 		pause: prometheus.NewHistogram(prometheus.HistogramOpts{
@@ -40,7 +40,7 @@
 		}),
 		moves: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "papayasail_gateway_moves_total",
-			Help: "Generations that were to move off a leaving server, by result.",
+			Help: "Attempts to move generations off leaving servers, by result.",
 		}, []string{"result"}),
 	}
 	registerer.MustRegister(m.requests, m.took, m.firstEvent, m.pause, m.moves)
--- a/gateway/migrate.go
+++ b/gateway/migrate.go
@@ -16,18 +16,18 @@
 	msgMove       = "run moves off a leaving server"
 	msgMoveFailed = "run could not be moved"
 
-	// turnTimeout bounds the wait for a turn; a leaving engine is mostly gone
+	// turnTimeout bounds the wait for a turn; a leaving engine has usually ended
 	// after two seconds.
 	turnTimeout = 3 * time.Second
-	// copyTimeout bounds one copy; an engine that is reclaimed is gone within
-	// about two seconds.
+	// copyTimeout bounds one move; an engine that is reclaimed ends within about
+	// two seconds.
 	copyTimeout    = 2 * time.Second
 	discardTimeout = 200 * time.Millisecond
-	// moveRetry spaces the tries of one run's move.
+	// moveRetry is the delay between attempts to move one run.
 	moveRetry = 50 * time.Millisecond
 )
 
-// guard moves a run whenever its server is leaving, until the run is over.
+// guard moves the run whenever its server is leaving, until the run has ended.
 func (g *Gateway) guard(ctx context.Context, run *run) {
 	for {
 		select {
@@ -45,7 +45,7 @@
 	}
 }
 
-// migrate waits for the run's turn and tries once to move it.
+// migrate waits for the run's turn and makes one attempt to move it.
 func (g *Gateway) migrate(ctx context.Context, run *run) {
 	if !run.started() {
 		return
@@ -70,8 +70,8 @@
 	g.move(ctx, run, source, booked)
 }
 
-// move copies the run's memory while it goes on, stops it, copies the rest and
-// hands over to the reader of the stream.
+// move copies the run's memory while the run continues, stops the run, copies the
+// remaining memory and passes the result to the reader of the stream.
 func (g *Gateway) move(ctx context.Context, run *run, source fleet.Server, booked *fleet.Work) {
 	target, id := booked.Server(), run.task.request.ID
 	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
@@ -97,7 +97,7 @@
 	if err == nil && last.Gone {
 		run.setMoving(false)
 		booked.End()
-		run.hand(transfer{}) // for a reader that waits already
+		run.hand(transfer{}) // the reader may already be waiting
 		g.discard(source, first.Handle)
 		g.moved(run, source, "ended_before", nil)
 		return
@@ -112,7 +112,8 @@
 		booked.End()
 	}
 	if !last.Done && !run.lost() {
-		// The source has stopped the run and keeps its memory: it may go on there.
+		// The source has stopped the run but retains its memory, so it may be
+		// resumed there.
 		if back := g.options.Fleet.Begin(source.ID, fleet.Work{ID: id, PromptTokens: run.tokens(), Copied: true}, true); back != nil {
 			to.works = append(to.works, back)
 		}
@@ -126,8 +127,8 @@
 	}
 }
 
-// discard frees a copy that will not be used. Where the call is lost, engines
-// free it by themselves some seconds later.
+// discard frees a copy that will not be used. If the call is lost, the engine
+// frees the copy by itself some seconds later.
 func (g *Gateway) discard(source fleet.Server, handle string) {
 	ctx, cancel := context.WithTimeout(context.Background(), discardTimeout)
 	defer cancel()
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// retryFull is the least time after which a place may be free: short
-	// generations take half a second. Up to as much again is drawn, so that
-	// callers do not return together.
+	// retryFull is the minimum retry delay while all servers are full: short
+	// generations take half a second. Jitter of up to the same amount is added
+	// so that callers do not retry at the same time.
 	retryFull = 400 * time.Millisecond
-	// waitShare is the part of a route's goal for which a request waits for a
-	// place; one that waited longer would rarely be answered in time, and the
-	// caller is better off elsewhere.
+	// waitShare divides a route's latency goal; the quotient is how long a
+	// request waits for capacity. After a longer wait it would rarely be answered
+	// in time, and the caller is better served by another host.
 	waitShare = 8
-	// placeAgain is when to ask again for a place: short generations end at a
-	// service every 50 to 100 ms.
+	// placeAgain is the interval between placement attempts: on one service, a
+	// short generation ends every 50 to 100 ms.
 	placeAgain = 40 * time.Millisecond
-	// retryEvacuated is when to come back while all servers are in evacuated
-	// failure domains; evacuations last for seconds.
+	// retryEvacuated is the retry delay while all servers are in evacuated failure
+	// domains; evacuations last several seconds.
 	retryEvacuated = 2 * time.Second
 )
 
-// place books the request on a server, waiting a little for a place. The
-// second result says why there is none.
+// place reserves capacity for the request on a server and waits for a short time
+// until there is some. If it returns nil, the second result is the reason.
 func (t *task) place(ctx context.Context) (*fleet.Work, Reason) {
 	table := t.gateway.options.Fleet
 	need := t.request.Prompt.need(t.route.Kind)
@@ -61,8 +61,8 @@
 	}
 }
 
-// whyNone says why no server may get the request, or "" if one will within the
-// time for which it may wait.
+// whyNone returns the reason why there is no candidate server, or "" if one will
+// accept requests again within the given wait.
 func (t *task) whyNone(wait time.Duration) Reason {
 	table := t.gateway.options.Fleet
 	if table.EvacuatedOnly(t.service.Name) {
@@ -77,8 +77,9 @@
 	return ""
 }
 
-// query asks for the servers that may get the request. Hosts share evenly what
-// cold servers of plain services bear; generations are placed by an allocator.
+// query returns the query for candidate servers. Each host uses an equal share of
+// the request rate that cold servers of plain services accept; generations are
+// placed by the allocator.
 func (t *task) query() fleet.Query {
 	q := fleet.Query{Service: t.service.Name, Domain: t.gateway.options.Domain, Except: t.tried}
 	if t.service.ColdRate > 0 {
@@ -87,7 +88,7 @@
 	return q
 }
 
-// choose returns the server for the request, or "".
+// choose returns the ID of the server for the request, or "" if none has capacity.
 func (t *task) choose(ctx context.Context, need placement.Need, candidates []placement.Candidate) string {
 	if t.service.Engine != nil && t.route.Kind == Generation {
 		asked := allocation.Asked{Request: t.request.ID, Fingerprint: t.fingerprint, Need: need}
@@ -99,7 +100,7 @@
 	return ""
 }
 
-// unplaced is the answer when there was no place and nothing ran.
+// unplaced returns the outcome of a request that was not placed and did not run.
 func (t *task) unplaced(ctx context.Context, reason Reason) Outcome {
 	if ctx.Err() == context.Canceled {
 		return abandoned()
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -12,14 +12,15 @@
 	"github.com/papayasail/papayasail/quarantine"
 )
 
-// earlyRun is how long after a generation's first event its run still counts as
-// just begun.
+// earlyRun is the time after a generation's first event during which its run
+// still counts as just started.
 const earlyRun = time.Second
 
 var errQuarantined = errors.New("gateway: request was quarantined while it ran")
 
-// untilQuarantined returns a context that ends when the request is quarantined,
-// or with over. Left says for how much longer the request is quarantined already.
+// untilQuarantined returns a context that is cancelled when the request is
+// quarantined or over is called. If the request is already quarantined, left is
+// the remaining time of the quarantine.
 func (t *task) untilQuarantined(ctx context.Context) (bounded context.Context, over func(), left time.Duration) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	end, left := t.gateway.options.Quarantine.Admit(t.fingerprint, func() { cancel(errQuarantined) })
@@ -29,8 +30,8 @@
 	}, left
 }
 
-// quarantined is the answer to a request that was quarantined while it waited
-// or ran.
+// quarantined returns the outcome of a request that was quarantined while it
+// waited or ran.
 func (t *task) quarantined(before Outcome) Outcome {
 	switch {
 	case before.Streamed:
@@ -42,11 +43,11 @@
 	return refused(ReasonQuarantined, t.gateway.options.Quarantine.Quarantined(t.fingerprint))
 }
 
-// blame suspects the request of having crashed its server, whose connection
-// broke before the end of the answer.
+// blame reports the request as suspected of having crashed its server, whose
+// connection broke before the end of the answer.
 //
-// Failure: a request crashes each server that runs it, and its caller repeats
-// it at one host after the other. Each crash ends all other runs on the server.
+// A request that crashes every server that runs it is retried by its caller at
+// one host after the other, and each crash ends all other runs on the server.
 func (t *task) blame(work *fleet.Work) {
 	server, life, backend := work.Server(), work.Life(), t.gateway.options.Backend
 	run := quarantine.Run{
@@ -58,7 +59,8 @@
 	})
 }
 
-// blameIfBroken is blame for an exchange that ended with an error.
+// blameIfBroken calls blame if err is evidence of a broken connection and the
+// request has not been cancelled.
 func (t *task) blameIfBroken(ctx context.Context, work *fleet.Work, err error) {
 	var failure *backend.CallError
 	if ctx.Err() == nil && errors.As(err, &failure) && failure.Evidence == backend.Broken {
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -16,15 +16,15 @@
 	"github.com/papayasail/papayasail/quarantine"
 )
 
-// crash ends the server of a call, which breaks off its answer.
+// crash ends the server of a call, which interrupts its answer.
 func (w *world) crash(call Call) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ended[call.Server.ID] = true
 }
 
-// Guards against a generation that crashes one engine after the other before
-// its first event.
+// Guards against retries of a generation that crashes one engine after the other
+// before its first event.
 func TestGenerationThatCrashesEnginesIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
@@ -49,8 +49,8 @@
 	})
 }
 
-// Guards against a call whose second send within one attempt crashes the next
-// server, too.
+// Guards against retries of a call that has crashed a second server within one
+// attempt of its caller.
 func TestCallThatCrashesServersIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
@@ -69,7 +69,7 @@
 	})
 }
 
-// Guards against a request that is cleared by half of an answer.
+// Guards against a partial answer that clears a suspected request.
 func TestAnswerThatIsNotWholeClearsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
@@ -91,7 +91,7 @@
 	})
 }
 
-// Guards against crashes that are not seen as the server's port outlives its
+// Guards against missed crashes of servers whose port closes after their
 // connections.
 func TestCrashIsSeenWhenThePortClosesLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -110,7 +110,8 @@
 	})
 }
 
-// Guards against a quarantine for answers that live servers break off.
+// Guards against a quarantine because of interrupted answers of servers that are
+// still running.
 func TestBrokenAnswersOfLiveServersAreNoCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
@@ -121,7 +122,7 @@
 	})
 }
 
-// Guards against engines lost to runs that began before the quarantine.
+// Guards against servers that crash under runs that began before the quarantine.
 func TestQuarantineEndsWhatRuns(t *testing.T) {
 	for path, streamed := range map[string]bool{"/letter/1": true, "/write/1": false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -145,7 +146,7 @@
 			is.Equal(o.Streamed, streamed)
 			is.True(!o.NotRun)
 			is.Equal(time.Since(began), 100*time.Millisecond)
-			time.Sleep(time.Second) // the stream's writer ends
+			time.Sleep(time.Second) // until the stream's writer has ended
 		})
 	}
 }
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -8,18 +8,17 @@
 	"github.com/papayasail/papayasail/placement"
 )
 
-// Request is one attempt of a caller. Whoever decodes it from the wire has
-// read its body whole and taken out the headers that concern one connection
-// and those that only this system sets.
+// Request is one attempt of a caller. The decoder has already read the whole
+// body and removed hop-by-hop headers and headers that only this system may set.
 type Request struct {
-	ID     string // of this attempt; never used again
+	ID     string // of this attempt, unique
 	Method string
 	Host   string
 	Path   string // as sent, without the query
 	Query  string // as sent, with the question mark
 	Header http.Header
 	Body   []byte
-	Key    string // of the organisation; "": none
+	Key    string // credential of the organisation; "": none
 	// Arrived is when the request's head was read.
 	Arrived time.Time
 	// Deadline is when the caller stops waiting.
@@ -27,8 +26,8 @@
 	Prompt   Prompt
 }
 
-// fingerprint is the same for a request that its caller sends again with
-// another id.
+// fingerprint returns a hash that is equal for retries of the same request,
+// which have different IDs.
 func (r *Request) fingerprint(organisation string) uint64 {
 	d := xxhash.New()
 	for _, part := range []string{organisation, r.Method, r.Host, r.Path, r.Query} {
@@ -39,18 +38,20 @@
 	return d.Sum64()
 }
 
-// Prompt is what a request says of the generation that it asks for.
+// Prompt describes the requested generation.
 type Prompt struct {
 	Tokens    int
 	MaxOutput int // tokens
-	// HintedOutput is the caller's estimate, right at the median only; zero: none.
+	// HintedOutput is the caller's estimate of the output in tokens, accurate
+	// only at the median; zero: none.
 	HintedOutput int
 }
 
-// fallbackOutput is expected of generations that say nothing of their length.
+// fallbackOutput is the expected output, in tokens, of a generation without a
+// length hint.
 const fallbackOutput = 256
 
-// expectedOutput returns how many tokens a generation is expected to make.
+// expectedOutput returns the expected output of a generation in tokens.
 func (p Prompt) expectedOutput() int {
 	expected := p.HintedOutput
 	if expected <= 0 {
@@ -69,70 +70,72 @@
 	return placement.Need{PromptTokens: p.Tokens, OutputTokens: p.expectedOutput()}
 }
 
-// Reason says why a request was not answered by a backend server.
+// Reason names why a request was not answered by a backend server.
 type Reason string
 
 // Reasons.
 const (
-	ReasonNoConfiguration Reason = "no_configuration"       // none known yet
-	ReasonStale           Reason = "configuration_unsure"   // unknown here, but this host may be behind
-	ReasonNoRoute         Reason = "no_route"               // the newest configuration has none
-	ReasonBadKey          Reason = "unknown_key"            // the newest configuration has no such key
+	ReasonNoConfiguration Reason = "no_configuration"       // none received yet
+	ReasonStale           Reason = "configuration_unsure"   // no such route or key here, but the configuration may be stale
+	ReasonNoRoute         Reason = "no_route"               // not in the newest configuration
+	ReasonBadKey          Reason = "unknown_key"            // key not in the newest configuration
 	ReasonMalformed       Reason = "malformed"              // cannot be forwarded
-	ReasonTooLarge        Reason = "too_large"              // over the configured limit
-	ReasonStopping        Reason = "stopping"               // this host is being stopped
-	ReasonHostStopped     Reason = "host_stopped"           // this host's stop ended before the request did
-	ReasonNoServer        Reason = "no_backend_server"      // none is known
+	ReasonTooLarge        Reason = "too_large"              // body over the configured limit
+	ReasonStopping        Reason = "stopping"               // this host is stopping
+	ReasonHostStopped     Reason = "host_stopped"           // this host's stop deadline passed before the request ended
+	ReasonNoServer        Reason = "no_backend_server"      // no server is known
 	ReasonEvacuated       Reason = "evacuated"              // all servers are in evacuated failure domains
-	ReasonQuarantined     Reason = "quarantined"            // servers crash under it
-	ReasonFull            Reason = "full"                   // no server has a place in time
-	ReasonServerFull      Reason = "refused_by_server"      // the server said that it did not run
-	ReasonUnreachable     Reason = "server_unreachable"     // no connection
-	ReasonTimeout         Reason = "timeout"                // the route's or the caller's
-	ReasonBroken          Reason = "answer_broken"          // lost or spoiled on its way
-	ReasonCallerGone      Reason = "caller_gone"            // nobody waits any more
-	ReasonMoveFailed      Reason = "run_lost_with_server"   // its server left before it could move
-	ReasonWrongServer     Reason = "address_has_new_server" // another server answered
+	ReasonQuarantined     Reason = "quarantined"            // servers crash while running it
+	ReasonFull            Reason = "full"                   // no server has capacity in time
+	ReasonServerFull      Reason = "refused_by_server"      // the server reported that it did not run the request
+	ReasonUnreachable     Reason = "server_unreachable"     // no connection to a server
+	ReasonTimeout         Reason = "timeout"                // of the route or the caller
+	ReasonBroken          Reason = "answer_broken"          // lost or corrupted in transit
+	ReasonCallerGone      Reason = "caller_gone"            // the caller disconnected
+	ReasonMoveFailed      Reason = "run_lost_with_server"   // its server left before the run could move
+	ReasonWrongServer     Reason = "address_has_new_server" // another server answered at the address
 )
 
-// Outcome is how a request ended.
+// Outcome is the result of a request.
 type Outcome struct {
-	// Status of the answer. Zero: the answer had begun and was cut off, or
-	// nobody waits for it.
+	// Status is the HTTP status of the answer. Zero: the answer was cut off
+	// after it had begun, or the caller has disconnected.
 	Status int
-	// Header and Body of a whole answer; unused once a stream has begun.
+	// Header and Body are those of a whole answer; unused once a stream has begun.
 	Header http.Header
 	Body   []byte
-	// Streamed says that events were passed on; Complete, that the end was too.
+	// Streamed is set if the answer is a stream of events. Complete is set if the
+	// answer is complete; for a stream, if its end was relayed too.
 	Streamed bool
 	Complete bool
-	// Reason is set where the answer is this system's own.
+	// Reason is set if this system, not a backend server, produced the answer.
 	Reason Reason
-	// NotRun promises that no server runs the request, now or later.
+	// NotRun guarantees that no server has run or will run the request.
 	NotRun     bool
 	RetryAfter time.Duration
 }
 
-// refused is a request that did not run and never will.
+// refused returns the outcome of a request that has not run and will not run;
+// the caller may retry it after the given delay.
 func refused(reason Reason, after time.Duration) Outcome {
 	return Outcome{Status: http.StatusServiceUnavailable, Reason: reason, NotRun: true, RetryAfter: after}
 }
 
-// denied is a request that the configuration does not allow.
+// denied returns the outcome of a request that the configuration does not allow.
 func denied(status int, reason Reason) Outcome {
 	return Outcome{Status: status, Reason: reason, NotRun: true}
 }
 
-// failed is a request that may have run.
+// failed returns the outcome of a request that may have run.
 func failed(status int, reason Reason) Outcome { return Outcome{Status: status, Reason: reason} }
 
-// abandoned is a request for which nobody waits.
+// abandoned returns the outcome of a request whose caller has disconnected.
 func abandoned() Outcome { return Outcome{Reason: ReasonCallerGone} }
 
-// Sink takes a streamed answer.
+// Sink receives a streamed answer.
 type Sink interface {
-	// Begin passes on the head of the answer.
+	// Begin writes the head of the answer.
 	Begin(status int, header http.Header) error
-	// Event passes on whole events at once.
+	// Event writes whole events without buffering.
 	Event(block []byte) error
 }
--- a/gateway/rest_test.go
+++ b/gateway/rest_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against callers that are held until a server's word on when it wants
-// requests again is over, or are refused just before it is.
+// Guards against callers that wait for servers which refuse requests for longer
+// than a caller may wait, or that are refused just before the servers accept again.
 func TestAllServersWantNothingForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -6,12 +6,12 @@
 	"github.com/papayasail/papayasail/fleet"
 )
 
-// run is a generation in progress on this host.
+// run is a generation in progress that this host relays.
 type run struct {
 	task        *task
-	transfers   chan transfer // the result of the move under way
-	settled     chan struct{} // a token for each transfer that was taken or given up
-	lastEventID string        // of the reader's goroutine
+	transfers   chan transfer // the result of the move in progress
+	settled     chan struct{} // a token for each transfer that the reader has finished with
+	lastEventID string        // used by the reader's goroutine only
 
 	perEvent     int // tokens
 	promptTokens int
@@ -19,7 +19,7 @@
 	mu       sync.Mutex // guards all below
 	work     *fleet.Work
 	produced int  // events
-	inMove   bool // a move is under way or its result not taken yet
+	inMove   bool // a move is in progress or its result was not received yet
 	ended    bool
 }
 
@@ -27,8 +27,8 @@
 type transfer struct {
 	source fleet.Server
 	handle string
-	// works are the servers that may take the run up, in order, with the run
-	// booked on them. None: the run is lost.
+	// works are reservations on the servers that may resume the run, in order of
+	// preference. None: the run is lost.
 	works []*fleet.Work
 }
 
@@ -43,7 +43,7 @@
 	return r
 }
 
-// passed notes that an event went on to the caller.
+// passed records that an event was relayed to the caller.
 func (r *run) passed(id string) {
 	if id != "" {
 		r.lastEventID = id
@@ -57,13 +57,14 @@
 
 func (r *run) outcome(failed bool) { r.current().Outcome(failed) }
 
-// end closes the stream at its present server.
+// end closes the stream from the current server and releases the reservation
+// there.
 func (r *run) end(reply *Reply) {
 	reply.Body.Close()
 	r.current().End()
 }
 
-// current is the run's work on its present server.
+// current returns the run's reservation on its current server.
 func (r *run) current() *fleet.Work {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,25 +83,26 @@
 	r.inMove = moving
 }
 
-// tokens is the memory that the run holds.
+// tokens returns the engine memory that the run occupies, in tokens.
 func (r *run) tokens() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.promptTokens + r.produced*r.perEvent
 }
 
-// server is where the run is.
+// server returns the run's current server.
 func (r *run) server() fleet.Server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.work.Server()
 }
 
-// outliving is the part of what a run has made that it is expected to make yet
-// once it has outlived the caller's estimate, which is right at the median only.
+// outliving estimates the remaining output of a run that has outgrown the
+// caller's estimate, as a fraction of the output so far. The estimate is accurate
+// only at the median.
 const outliving = 0.25
 
-// expectedMore is how many tokens the run is expected to make yet.
+// expectedMore returns the expected remaining output in tokens.
 func (r *run) expectedMore() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,17 +110,19 @@
 	return max(r.task.request.Prompt.expectedOutput()-produced, int(outliving*float64(produced)))
 }
 
-// size is the work that is lost with the run, in tokens.
+// size returns the work that is lost if the run is lost, in prompt tokens.
 func (r *run) size() int {
 	produced := r.tokens() - r.promptTokens
 	return r.promptTokens + outputWeight*(produced+r.expectedMore())
 }
 
-// outputWeight is how many tokens of a prompt one generated token is worth: an
-// engine reads some 7,000 tokens a second, and makes 125 for each stream.
+// outputWeight is the work of one generated token in prompt tokens: an engine
+// reads about 7,000 prompt tokens per second and generates 125 tokens per second
+// for each stream.
 const outputWeight = 10
 
-// gone is closed when the run's server is known to be leaving.
+// gone returns a channel that is closed when the run's server is known to be
+// leaving.
 func (r *run) gone() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,22 +139,22 @@
 	}
 }
 
-// lost reports whether the run's server has started again: nothing of the run
-// is there any more.
+// lost reports whether the run's server has restarted, so that it no longer has
+// the run.
 func (r *run) lost() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.work.Life().Err() != nil
 }
 
-// started reports whether the caller has events of the run.
+// started reports whether an event of the run was relayed to the caller.
 func (r *run) started() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.produced > 0
 }
 
-// moveTo puts the run on the server where it goes on.
+// moveTo makes the server on which the run was resumed its current one.
 func (r *run) moveTo(work *fleet.Work) {
 	r.mu.Lock()
 	before, produced := r.work, r.produced*r.perEvent
@@ -160,7 +164,7 @@
 	work.Produced(produced)
 }
 
-// settle notes that a transfer was taken or given up.
+// settle records that a transfer was used or abandoned.
 func (r *run) settle() {
 	select {
 	case r.settled <- struct{}{}:
@@ -168,7 +172,8 @@
 	}
 }
 
-// dropTransfer drops what an earlier move left and nobody took.
+// dropTransfer discards the result of an earlier move that was not received,
+// with its reservations.
 func (r *run) dropTransfer() {
 	select {
 	case old := <-r.transfers:
@@ -181,8 +186,8 @@
 	}
 }
 
-// finish notes that the run needs no move any more, and gives up what a move
-// has left for it.
+// finish records that the run has ended and needs no further moves, and discards
+// the result of a move that was not received.
 func (r *run) finish() {
 	r.mu.Lock()
 	r.ended = true
@@ -192,9 +197,9 @@
 
 // hand passes the result of a move to the stream's reader.
 //
-// Failure: the reader has ended meanwhile, and the result keeps its bookings
-// on servers for good. finish drops what came before it; what comes after it
-// is dropped here.
+// If the reader has ended meanwhile, the result must not keep its reservations
+// on servers forever: finish discards a result that came earlier, hand one that
+// comes later.
 func (r *run) hand(to transfer) {
 	r.transfers <- to
 	if r.over() {
@@ -202,6 +207,7 @@
 	}
 }
 
+// over reports whether the run has ended.
 func (r *run) over() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -16,12 +16,12 @@
 	msgResumed      = "run goes on at another server"
 	msgResumeFailed = "run could not go on at another server"
 
-	// moveResultWait bounds the wait for the result of a move whose source
-	// has ended the stream; callers leave after gaps of two seconds.
+	// moveResultWait bounds the wait for the result of a move whose source has
+	// ended the stream; callers disconnect after gaps of two seconds.
 	moveResultWait = 2 * time.Second
 )
 
-// generate serves a request that is answered by a stream.
+// generate serves a request that is answered by a stream of events.
 func (t *task) generate(ctx context.Context, sink Sink) Outcome {
 	for dials := 0; ; {
 		work, reason := t.place(ctx)
@@ -57,7 +57,8 @@
 	}
 }
 
-// relay passes a stream on, from server to server where its run moves.
+// relay forwards the stream to the caller and follows its run from server to
+// server.
 func (t *task) relay(ctx context.Context, sink Sink, work *fleet.Work, reply *Reply) Outcome {
 	if reply.Status != http.StatusOK {
 		return t.whole(ctx, work, reply)
@@ -91,7 +92,7 @@
 	}
 }
 
-// whole passes on an answer that is no stream.
+// whole returns the outcome of an answer that is not a stream.
 func (t *task) whole(ctx context.Context, work *fleet.Work, reply *Reply) Outcome {
 	defer work.End()
 	defer reply.Body.Close()
@@ -107,8 +108,8 @@
 	return Outcome{Status: reply.Status, Header: reply.Header, Body: body, Complete: true}
 }
 
-// pass passes events on until the stream ends. It is not done where the
-// stream ended without its end.
+// pass relays events until the stream ends. It reports false if the stream was
+// interrupted, so that the run may be resumed elsewhere.
 func (t *task) pass(ctx context.Context, sink Sink, run *run, reply *Reply) (Outcome, bool) {
 	events := newEventReader(reply.Body)
 	for {
@@ -134,7 +135,8 @@
 
 func (t *task) callerGone() Outcome { return Outcome{Streamed: true, Reason: t.goneReason()} }
 
-// goneReason says why nobody waits any more.
+// goneReason returns the reason why the caller's connection has ended: the
+// caller disconnected, or this host cut it off at the end of its stop.
 func (t *task) goneReason() Reason {
 	if t.gateway.ended() {
 		return ReasonHostStopped
@@ -142,8 +144,8 @@
 	return ReasonCallerGone
 }
 
-// follow takes up a run that has moved. It waits for the result of a move
-// that is under way.
+// follow resumes a run that has moved. It waits for the result of a move in
+// progress.
 func (t *task) follow(ctx context.Context, run *run) (*Reply, bool) {
 	if ctx.Err() != nil || !run.moving() {
 		return nil, false
@@ -175,7 +177,7 @@
 	}
 }
 
-// resume sends the request to a server that has the run's memory.
+// resume sends the request to a server that has a copy of the run's memory.
 func (t *task) resume(ctx context.Context, run *run, work *fleet.Work, to transfer) (*Reply, bool) {
 	call := t.callTo(work.Server())
 	call.Resume = &Resume{Source: to.source, Handle: to.handle, LastEventID: run.lastEventID}
@@ -201,7 +203,7 @@
 	return reply, true
 }
 
-// cutOff is a stream that ended without its end and does not go on.
+// cutOff returns the outcome of a stream that was interrupted and not resumed.
 func (t *task) cutOff(ctx context.Context, run *run) Outcome {
 	o := Outcome{Streamed: true, Reason: ReasonBroken}
 	switch {
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -18,7 +18,7 @@
 
 const gap = 40 * time.Millisecond
 
-// Guards against events lost, doubled or torn as a run moves.
+// Guards against events that are lost, duplicated or truncated when a run moves.
 func TestStreamMovesOffALeavingEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
@@ -53,7 +53,7 @@
 	})
 }
 
-// Guards against places that stay booked for runs whose callers have left.
+// Guards against reservations that remain for runs whose callers have disconnected.
 func TestMoveOfACallerThatLeftBooksNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
@@ -77,8 +77,8 @@
 	})
 }
 
-// Guards against a destination whose place is freed while a run's memory is
-// still on its way there.
+// Guards against a reservation on the destination that is released while a run's
+// memory is still being copied there.
 func TestSlowCopyKeepsItsPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
@@ -95,7 +95,8 @@
 	})
 }
 
-// Guards against failures that are told to others seconds after what they show.
+// Guards against reporting a failure to other hosts seconds after it occurred,
+// although the server has answered others meanwhile.
 func TestGenerationThatTimesOutOnASilentConnectionIsNoEvidence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
@@ -109,9 +110,9 @@
 	})
 }
 
+// Guards against losing a run whose last increment the destination has no room for:
+// the source has stopped the run but retains its memory, so it resumes there.
 func TestRefusedCopyGoesOnAtItsSource(t *testing.T) {
-	// The last part of a move finds no room: the engine has stopped the run
-	// and keeps its memory. The letter goes on there rather than be lost.
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
 		first := newGeneration(1, 60, gap)
@@ -140,9 +141,9 @@
 	})
 }
 
+// Guards against an answer that looks complete, or continues with a second
+// generation, after an engine has crashed in the middle of a stream.
 func TestBrokenStreamNeverLooksWhole(t *testing.T) {
-	// An engine dies in the middle of a letter, without notice. The caller's
-	// answer is cut off; nothing of a second generation follows.
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
 		first := newGeneration(1, 60, gap)
@@ -157,9 +158,9 @@
 	})
 }
 
+// Guards against a second run of a generation whose connection broke before the
+// first event: the engine may already have begun.
 func TestLetterIsNeverGeneratedTwice(t *testing.T) {
-	// The connection breaks before the first event. The engine may have begun:
-	// a second one would write the letter again.
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
 		w.send = func(context.Context, Call) (*Reply, error) { return nil, broken(backend.Broken) }
@@ -170,9 +171,9 @@
 	})
 }
 
+// Guards against failing a generation whose engine has ended before its entry was
+// removed: nothing was sent, so another engine can run it.
 func TestEngineThatTakesNoConnection(t *testing.T) {
-	// An engine is gone before its entry is. Nothing was sent; another engine
-	// gets the letter.
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
 		w.send = func(context.Context, Call) (*Reply, error) {
@@ -187,9 +188,9 @@
 	})
 }
 
+// Guards against callers that wait long for engines without free memory. They are
+// refused as not run, with a retry delay that has jitter.
 func TestFullEnginesRefuseWithinAnEighthOfTheGoal(t *testing.T) {
-	// Engines have no memory left. The caller hears at once that nothing ran,
-	// and when to come back; callers come back at different times.
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
 		for _, id := range []string{"e1", "e2"} {
@@ -217,9 +218,9 @@
 	})
 }
 
+// Guards against a generation that outlasts the grace period of a stopping host. It
+// is refused as not run while short calls are still served.
 func TestStoppingHostSendsLettersElsewhere(t *testing.T) {
-	// A host gets SIGTERM. A letter would outlast its grace; it is refused as
-	// not run while short calls are still served.
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
 		w.send = func(context.Context, Call) (*Reply, error) { return answer(http.StatusOK, "ok"), nil }
@@ -229,18 +230,18 @@
 		is.True(o.NotRun)
 		is.Equal(o.RetryAfter, retryStopping)
 		is.Equal(w.serve("/write/1").Status, http.StatusOK)
-		// All hosts stop: the next one that is back is a second away.
+		// If all hosts stop, the first is back after about one second.
 		w.alone = true
 		is.Equal(w.serve("/letter/1").RetryAfter, retryAllStopping)
-		// A call that the host may not live to answer is refused as well.
+		// A call that may outlast the host is refused as well.
 		time.Sleep(6500 * time.Millisecond)
 		is.Equal(w.serve("/write/1").Reason, ReasonStopping)
 	})
 }
 
+// Guards against a stopping host that refuses a request whose deadline is before
+// its own stop, which would use up the caller's only retry.
 func TestStoppingHostTakesWhatEndsBeforeIt(t *testing.T) {
-	// A caller gives a verdict five seconds, and the host lives for seven. Sent
-	// elsewhere it would have used up its caller's only retry.
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
 		w.send = func(context.Context, Call) (*Reply, error) { return newGeneration(1, 3, gap).reply(), nil }
@@ -256,9 +257,9 @@
 	})
 }
 
+// Guards against a new configuration that changes the route of a generation in
+// progress.
 func TestRunningRequestKeepsItsConfiguration(t *testing.T) {
-	// A configuration comes while a letter runs, and moves its route. The
-	// letter goes on as it began.
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
 		w.send = func(context.Context, Call) (*Reply, error) { return newGeneration(1, 30, gap).reply(), nil }
@@ -297,11 +298,11 @@
 	return n
 }
 
-// everywhere says that a host reports of all servers.
+// everywhere makes a host's report cover all servers.
 func everywhere(fleet.Server) bool { return true }
 
-// Guards against generations sent on to an engine whose answers say that it
-// leaves, and against a cut of the one that was told so.
+// Guards against more generations on an engine whose answers report that it is
+// leaving, and against interrupting the one whose answer reported it.
 func TestGenerationsHeedAnAnswerThatSaysLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newWorld()
--- a/gateway/world_test.go
+++ b/gateway/world_test.go
@@ -26,14 +26,14 @@
 	gateway *Gateway
 	fleet   *fleet.Table
 	sure    bool
-	alone   bool // no other host takes requests
+	alone   bool // no other host accepts requests
 
 	mu    sync.Mutex      // guards all below
-	ended map[string]bool // servers that take no connection any more
+	ended map[string]bool // servers whose process has ended
 	calls []Call
 	send  func(ctx context.Context, call Call) (*Reply, error)
 	copy  func(source, destination fleet.Server, last bool) (Copied, error)
-	turns int // turns not ended
+	turns int // turns that have not ended
 }
 
 func newWorld() *world {
@@ -139,7 +139,7 @@
 	return &backend.CallError{Evidence: evidence, Err: errors.New("broken")}
 }
 
-// recorder is a caller that reads everything.
+// recorder is a Sink that records all events.
 type recorder struct {
 	mu    sync.Mutex // guards body
 	body  strings.Builder
@@ -164,12 +164,12 @@
 	return strings.Count(r.body.String(), "\n\n")
 }
 
-// generation is a stream of events with ids from first to last, one each gap,
-// that a move or a death can break off.
+// generation is a stream of events with IDs from first to last, one per gap. Closing
+// broke interrupts it, as a move or a crash does.
 type generation struct {
 	first, last int
 	gap         time.Duration
-	tail        string // bytes after the last event, before the end
+	tail        string // bytes that are sent when the stream is interrupted
 	broke       chan struct{}
 	reader      *io.PipeReader
 }
@@ -204,7 +204,7 @@
 	return &Reply{Status: http.StatusOK, Header: http.Header{}, Body: g.reader, Whole: true}
 }
 
-// wholeStream is what a caller must have read of events 1 to last.
+// wholeStream returns the bytes of events 1 to last.
 func wholeStream(last int) string {
 	var b strings.Builder
 	for id := 1; id <= last; id++ {
