--- a/quarantine/broken.go
+++ b/quarantine/broken.go
@@ -10,29 +10,29 @@
 const (
 	msgNotWatched = "broken connection not watched for a crash: too many are"
 
-	// lookTimeout bounds one look whether a server has ended; the request's caller
-	// waits for the first one.
+	// lookTimeout bounds one check whether a server has ended; the request's
+	// caller waits for the first one.
 	lookTimeout = 100 * time.Millisecond
-	// mostWatched bounds the broken runs that are watched at a time.
+	// mostWatched is the maximum number of broken runs watched at a time.
 	mostWatched = 256
 )
 
-// lookPauses are the times between the looks whether a server has ended.
+// lookPauses are the delays between the checks whether a server has ended.
 var lookPauses = []time.Duration{10 * time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond, 600 * time.Millisecond}
 
 // Run is one run of a request on a backend server.
 type Run struct {
 	Fingerprint uint64
-	Sent        Mark   // what was known when it was sent
-	Early       bool   // it had just begun
-	Request     string // id, for logs; empty: none
+	Sent        Mark   // crash history of the request when it was sent
+	Early       bool   // the run had just started
+	Request     string // request ID, for logs; empty: none
 	Server      string
 }
 
-// Broken takes in that the connection to the server of a run broke before the
-// end of the answer. Ended looks whether the server has ended; one that lives
-// has not crashed. A server that crashes may close its connections before its
-// port, so it is looked at again for a while.
+// Broken records that the connection to the server of a run broke before the end
+// of the answer. It reports a crash if ended, which checks whether the server's
+// process has ended, returns true. A crashing server may close its connections
+// before its port, so the check is repeated for about one second.
 func (t *Table) Broken(run Run, ended func(context.Context) bool) {
 	if look(ended) {
 		t.Crashed(run)
@@ -47,7 +47,7 @@
 	t.watch(run, ended, lookPauses)
 }
 
-// watch looks at the server after each of the pauses, until it has ended.
+// watch checks the server after each of the pauses until it has ended.
 func (t *Table) watch(run Run, ended func(context.Context) bool, pauses []time.Duration) {
 	if len(pauses) == 0 {
 		<-t.watched
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -7,18 +7,19 @@
 )
 
 const (
-	// retransmits is how often one host tells a record as news; fewer where the
-	// request is only suspected, as are all that were on a crashed server.
+	// retransmits is how often one host gossips a changed record. It is lower for
+	// requests that are only suspected, because each crash makes all requests on
+	// the server suspects.
 	retransmits        = 12
 	suspectRetransmits = 4
-	// newsLimit bounds the news in one message.
+	// newsLimit is the maximum number of changed records in one message.
 	newsLimit = 8
-	// repeated is how many quarantined requests each message names besides its
-	// news, so that a host that missed the news still hears of them.
+	// repeated is how many quarantined requests each message contains besides the
+	// changed records, so that a host that missed a change still receives it.
 	repeated = 2
 )
 
-// News returns the records for one message to another host.
+// News returns the records for one gossip message to another host.
 func (t *Table) News() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -38,8 +39,9 @@
 	return news
 }
 
-// untold returns what is still to be told, quarantined requests first and among
-// them the newest, newsLimit at most. Called with mu held.
+// untold returns the changed records that are still to be gossiped, newsLimit at
+// most. Records with more crashes come first, and among those the ones sent least
+// often. It deletes expired records. Called with mu held.
 func (t *Table) untold(now time.Time) []*entry {
 	var untold []*entry
 	for fingerprint, e := range t.requests {
@@ -56,7 +58,7 @@
 	return untold[:min(len(untold), newsLimit)]
 }
 
-// nextRepeated returns the quarantined request whose turn it is, or nil. Called
+// nextRepeated returns the next quarantined request in rotation, or nil. Called
 // with mu held.
 func (t *Table) nextRepeated() *entry {
 	if len(t.rotation) == 0 {
@@ -91,6 +93,7 @@
 	return all
 }
 
+// told returns the record with its remaining time.
 func (e *entry) told(now time.Time) Record {
 	r := e.Record
 	r.Left = e.expires.Sub(now)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -1,6 +1,6 @@
-// Package quarantine finds requests that crash the backend servers that run
-// them, and keeps them from being sent again. A request is known by its
-// fingerprint, which is the same when its caller repeats it at any entry host.
+// Package quarantine detects requests that crash the backend servers that run
+// them and blocks further sends. A request is identified by its fingerprint, which
+// is equal for retries by its caller at any entry host.
 package quarantine
 
 import (
@@ -17,35 +17,37 @@
 	msgQuarantined = "request is quarantined: backend servers crash under it"
 	msgCleared     = "request is cleared: it ran to its end"
 
-	// sourceOwn says that this host knows a record by its own requests.
+	// sourceOwn is the source of records that come from this host's own requests.
 	sourceOwn = "own"
 
-	// crashesNeeded is how many servers have to crash one after the other: the
-	// second one under a run that was sent when the first crash was known. A
-	// request that was merely on a server that another one crashed is hardly
-	// ever on two in a row.
+	// crashesNeeded is the number of consecutive server crashes that quarantine a
+	// request: the second must occur under a run that was sent after the first
+	// crash was known. A request that happens to be on a server crashed by
+	// another request is hardly ever on two such servers in a row.
 	crashesNeeded = 2
-	// quarantineFor is how long a request is kept from servers. It is not known
-	// when a server's fault is mended, and each trial costs a server.
+	// quarantineFor is how long a request is quarantined. Hosts cannot detect when
+	// the servers' fault is fixed, and each trial may crash a server.
 	quarantineFor = 30 * time.Minute
-	// suspectFor is how long one crash counts.
+	// suspectFor is how long a single crash is remembered.
 	suspectFor = 10 * time.Minute
-	// clearedFor is how long news of a cleared request overrides older news.
+	// clearedFor is how long the record of a cleared request is kept to override
+	// older records at other hosts.
 	clearedFor = time.Minute
-	// mostRequests bounds the table; the one that expires first makes room.
+	// mostRequests bounds the table; the entry that expires first is evicted.
 	mostRequests = 4096
 )
 
-// Record is what is known of one request. Between two of a request the one with
-// the higher Epoch holds, and in one epoch the one with more Crashes.
+// Record is the crash history of one request. Of two records of a request, the one
+// with the higher Epoch takes precedence; in the same epoch, the one with more
+// Crashes.
 type Record struct {
 	Fingerprint uint64
-	Epoch       uint32 // rises each time that the request runs to its end
-	Crashes     uint32 // servers that crashed one after the other in this epoch
-	Left        time.Duration
+	Epoch       uint32        // incremented when the request runs to its end after a crash
+	Crashes     uint32        // consecutive server crashes in this epoch
+	Left        time.Duration // remaining time until the record expires
 }
 
-// Quarantined reports whether the request is kept from servers.
+// Quarantined reports whether the request is quarantined.
 func (r Record) Quarantined() bool { return r.Crashes >= crashesNeeded }
 
 func (r Record) newerThan(other Record) bool {
@@ -55,34 +57,34 @@
 	return r.Crashes > other.Crashes
 }
 
-// Mark is what was known of a request when it was sent.
+// Mark is the crash history of a request at the time when it was sent.
 type Mark struct{ epoch, crashes uint32 }
 
-// Table holds what one entry host knows. All methods may be called from any
-// goroutine.
+// Table is an entry host's table of suspected, quarantined and cleared requests.
+// All methods may be called from any goroutine.
 type Table struct {
-	// Changed is called when there is news for other hosts; nil: with none. It
-	// must not block.
+	// Changed is called when there are changed records to gossip to other hosts;
+	// nil: no call. It must not block.
 	Changed func()
-	// Kept is called when this host, by what it saw itself, has quarantined a
-	// request or ended a quarantine: what is kept of them is to be written anew;
-	// nil: nothing is kept. It must not block.
+	// Kept is called when this host's own requests have started or ended a
+	// quarantine, so that the stored quarantined requests must be rewritten; nil:
+	// no call. It must not block.
 	Kept func()
 
 	logger  *zap.Logger
 	changes *prometheus.CounterVec
-	watched chan struct{} // holds a token for each broken run that is watched
+	watched chan struct{} // contains one token per watched broken run
 
 	mu       sync.Mutex // guards all below
 	requests map[uint64]*entry
-	runs     map[uint64]map[*func()]struct{} // what ends the runs of a request
-	rotation []uint64                        // quarantined requests still to be told in this round
+	runs     map[uint64]map[*func()]struct{} // functions that cancel the runs in flight, by fingerprint
+	rotation []uint64                        // quarantined requests not yet repeated in this round
 }
 
 type entry struct {
 	Record  // without Left
 	expires time.Time
-	passOn  int // how often it is still to be told as news
+	passOn  int // remaining retransmits of the changed record
 }
 
 // NewTable returns an empty table.
@@ -92,14 +94,14 @@
 		watched: make(chan struct{}, mostWatched),
 		changes: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "papayasail_quarantine_changes_total",
-			Help: "Requests that were suspected of crashing backend servers, quarantined or cleared, as known on this host.",
+			Help: "Requests that became suspected of crashing backend servers, quarantined or cleared, as known to this host.",
 		}, []string{"change"}),
 	}
 	registerer.MustRegister(t.changes)
 	return t
 }
 
-// Mark returns what is known of a request that is about to be sent.
+// Mark returns the crash history of a request that is about to be sent.
 func (t *Table) Mark(fingerprint uint64) Mark {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,15 +111,15 @@
 	return Mark{}
 }
 
-// Quarantined returns for how much longer a request is kept from servers; zero:
-// it is not.
+// Quarantined returns the remaining time of a request's quarantine; zero: it is
+// not quarantined.
 func (t *Table) Quarantined(fingerprint uint64) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.quarantinedFor(fingerprint)
 }
 
-// quarantinedFor is called with mu held.
+// quarantinedFor is Quarantined, called with mu held.
 func (t *Table) quarantinedFor(fingerprint uint64) time.Duration {
 	if e := t.get(fingerprint); e != nil && e.Quarantined() {
 		return time.Until(e.expires)
@@ -125,9 +127,10 @@
 	return 0
 }
 
-// Admit notes a run of a request, which end has to stop if the request is
-// quarantined meanwhile; over ends the note. Of a request that is quarantined
-// already nothing is noted, and left says for how much longer it is.
+// Admit registers a run of a request. If the request is quarantined while the run
+// is registered, end is called and must cancel the run; over unregisters it. A
+// run of a request that is already quarantined is not registered, and left is the
+// remaining time of the quarantine.
 func (t *Table) Admit(fingerprint uint64, end func()) (over func(), left time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -149,11 +152,11 @@
 	}, 0
 }
 
-// Crashed takes in that a server crashed under a run. If the run had not just
-// begun, the crash is told to other hosts only if it is not the first one.
+// Crashed records that a server crashed under a run. If the run had not just
+// started, a first crash is not gossiped to other hosts.
 //
-// A crash adds to those that were known when the run was sent, so that servers
-// which fall at the same time count as one.
+// The crash is added to those that were known when the run was sent, so that
+// servers that crash at the same time count once.
 func (t *Table) Crashed(run Run) {
 	t.mu.Lock()
 	now := Record{Fingerprint: run.Fingerprint, Epoch: run.Sent.epoch, Crashes: run.Sent.crashes + 1}
@@ -172,7 +175,8 @@
 	t.after(ends, changed, changed && now.Quarantined())
 }
 
-// Completed takes in that a request ran to its end: it does not crash servers.
+// Completed records that a request ran to its end and clears it of earlier
+// crashes.
 func (t *Table) Completed(fingerprint uint64) {
 	t.mu.Lock()
 	known := t.get(fingerprint)
@@ -186,8 +190,9 @@
 	t.after(nil, changed, wasQuarantined)
 }
 
-// Merge takes in what others know, and reports whether any of it was news.
-// Whoever tells what is no more so is told better with the next message.
+// Merge merges records from other hosts or the store and reports whether any of
+// them was new. If a record is outdated, the current one is sent with the next
+// gossip message.
 func (t *Table) Merge(records []Record, source string) bool {
 	t.mu.Lock()
 	var ends []*func()
@@ -204,12 +209,13 @@
 		}
 	}
 	t.mu.Unlock()
-	t.after(ends, false, false) // who told it is told nothing; the caller passes it on
+	t.after(ends, false, false) // Changed is not called: the caller of Merge forwards new records
 	return changed
 }
 
-// set puts a record in force and returns what ends the runs that it forbids.
-// Called with mu held.
+// set stores a record and returns the functions that cancel the runs of a newly
+// quarantined request. The record is gossiped if tell is set or it is
+// quarantined. Called with mu held.
 func (t *Table) set(r Record, lasts time.Duration, tell bool, source string) (ends []*func()) {
 	known := t.get(r.Fingerprint)
 	wasQuarantined := known != nil && known.Quarantined()
@@ -239,7 +245,7 @@
 	return ends
 }
 
-// after does what must not be done with mu held.
+// after cancels runs and calls the callbacks, which must not happen with mu held.
 func (t *Table) after(ends []*func(), changed, kept bool) {
 	for _, end := range ends {
 		(*end)()
@@ -252,8 +258,7 @@
 	}
 }
 
-// get returns what is known of a request and has not expired, or nil. Called
-// with mu held.
+// get returns the unexpired entry of a request, or nil. Called with mu held.
 func (t *Table) get(fingerprint uint64) *entry {
 	e := t.requests[fingerprint]
 	if e != nil && !time.Now().Before(e.expires) {
@@ -263,7 +268,8 @@
 	return e
 }
 
-// makeRoom is called with mu held.
+// makeRoom evicts the entry that expires first if the table is full. Called with
+// mu held.
 func (t *Table) makeRoom() {
 	if len(t.requests) < mostRequests {
 		return
@@ -277,6 +283,7 @@
 	delete(t.requests, first.Fingerprint)
 }
 
+// lifetime returns the time until a new record expires.
 func lifetime(r Record) time.Duration {
 	switch {
 	case r.Quarantined():
@@ -287,6 +294,7 @@
 	return clearedFor
 }
 
+// change returns the metric label of a change to the record.
 func change(r Record) string {
 	switch {
 	case r.Quarantined():
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -20,7 +20,7 @@
 	return Run{Fingerprint: fingerprint, Sent: sent, Early: early, Request: "r", Server: "i"}
 }
 
-// crash sends the request and has the server crash under it.
+// crash records a run of the suspect request, sent now, whose server crashes.
 func (t *Table) crash() { t.Crashed(run(suspect, t.Mark(suspect), true)) }
 
 func inBubble(t *testing.T, test func(is *is.I)) {
@@ -45,7 +45,7 @@
 	})
 }
 
-// Guards against blaming a popular request for an outage of all servers at once.
+// Guards against a quarantine of a frequent request when all servers fail at once.
 func TestCrashesAtTheSameTimeCountOnce(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table := newTable()
@@ -57,7 +57,7 @@
 	})
 }
 
-// Guards against blaming a request that was on two crashed servers by chance.
+// Guards against a quarantine of a request that was on two crashed servers by chance.
 func TestCompletionClears(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table, other := newTable(), newTable()
@@ -68,13 +68,13 @@
 		is.True(other.Merge(table.News(), "peer"))
 		other.crash()
 		is.Equal(other.Quarantined(suspect), time.Duration(0))
-		// The run was sent before the other one ended well.
+		// This run was sent before the other one completed.
 		table.Crashed(run(suspect, sent, true))
 		is.Equal(table.Quarantined(suspect), time.Duration(0))
 	})
 }
 
-// Guards against a quarantine that a host which missed its end brings back.
+// Guards against a quarantine that is restored by a host that missed its end.
 func TestEndOfAQuarantineIsToldToWhoMissedIt(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table, late := newTable(), newTable()
@@ -84,7 +84,7 @@
 		table.crash()
 		late.Merge(table.News(), "peer")
 		table.Completed(suspect)
-		is.Equal(kept, 2) // what is stored has to change, too
+		is.Equal(kept, 2) // the stored requests must be rewritten, too
 		for len(table.News()) > 0 {
 		}
 		is.True(!table.Merge(late.News(), "peer"))
@@ -103,7 +103,7 @@
 	})
 }
 
-// Guards against servers lost to runs that were sent before the quarantine.
+// Guards against servers that crash under runs sent before the quarantine.
 func TestQuarantineEndsRuns(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table := newTable()
@@ -119,8 +119,8 @@
 	})
 }
 
-// Guards against a run that is noted after its request was quarantined, and that
-// nothing ends.
+// Guards against a run that is registered after its request was quarantined and
+// that is therefore never cancelled.
 func TestQuarantinedRequestIsNotAdmitted(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table := newTable()
@@ -134,7 +134,7 @@
 	})
 }
 
-// Guards against one crashed server whose many old runs flood the news.
+// Guards against one crashed server whose many older runs flood the gossip.
 func TestLateCrashIsNoNewsAtFirst(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table := newTable()
@@ -145,7 +145,8 @@
 	})
 }
 
-// Guards against a host that was paused while the news went round.
+// Guards against a host that misses a quarantine because it was paused while the
+// record was gossiped.
 func TestQuarantineIsToldAgainAndAgain(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table, late := newTable(), newTable()
@@ -160,7 +161,7 @@
 	})
 }
 
-// Guards against news of a quarantine that waits behind that of suspects.
+// Guards against a quarantined request that is gossiped only after suspects.
 func TestQuarantineIsToldFirst(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table := newTable()
@@ -175,7 +176,7 @@
 	})
 }
 
-// Guards against memory that grows with the requests that crash servers.
+// Guards against memory that grows with the number of requests that crash servers.
 func TestTableIsBounded(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table := newTable()
@@ -187,7 +188,8 @@
 	})
 }
 
-// Guards against hosts that end up with different records after the same news.
+// Guards against hosts that diverge after receiving the same records in another
+// order.
 func TestMergeIsOrderFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Record {
