--- a/contract/document.go
+++ b/contract/document.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Kind says what stands behind a service.
+// Kind is the type of a service's backend servers.
 type Kind string
 
 const (
@@ -15,8 +15,8 @@
 	KindPlain Kind = "plain"
 )
 
-// Document describes one service. Its owning team writes it in YAML; see
-// ParseDocument for the checks.
+// Document describes one service. The team that owns the service writes it in
+// YAML; ParseDocument validates it.
 type Document struct {
 	Service        string          `yaml:"service"`
 	Owner          string          `yaml:"owner"`
@@ -31,14 +31,14 @@
 	Placement      Placement       `yaml:"placement"`
 }
 
-// ModelSpec says which model a service of KindModel generates with.
+// ModelSpec specifies the model of a service of KindModel.
 type ModelSpec struct {
 	Name       string `yaml:"name"`
 	Version    string `yaml:"version"`
-	MinWorkers int    `yaml:"min_workers"` // workers that must keep it loaded
+	MinWorkers int    `yaml:"min_workers"` // minimum number of workers that keep it loaded
 	MaxTokens  int    `yaml:"max_tokens"`  // longest output of one generation, tokens
-	// Idempotent says whether a generation may be started again by us when no
-	// token of it was delivered. Narratives are, reminder letters are not.
+	// Idempotent allows entry hosts to restart a generation of which no token was
+	// delivered. Narratives are idempotent, reminder letters are not.
 	Idempotent bool `yaml:"idempotent"`
 }
 
@@ -47,31 +47,31 @@
 	Name          string `yaml:"name"`
 	Address       string `yaml:"address"` // IP:port
 	FailureDomain string `yaml:"failure_domain"`
-	// ChecksOrders says that the server authenticates who gives it an order.
+	// ChecksOrders is set if the server authenticates the sender of an order.
 	ChecksOrders bool `yaml:"checks_orders,omitempty"`
-	// HonoursFence says that the server refuses an order with an old fencing number.
+	// HonoursFence is set if the server refuses orders with a stale fencing number.
 	HonoursFence bool `yaml:"honours_fence,omitempty"`
-	// Role is the role that the server is to have; empty: as it is.
+	// Role is the desired role of the server; empty: the role is left unchanged.
 	Role string `yaml:"role,omitempty"`
 }
 
-// OrderLink allows orders over the links from the entry hosts of a failure
-// domain to backend servers.
+// OrderLink allows the entry hosts of a failure domain to send orders to the named
+// backend servers.
 type OrderLink struct {
 	From           string   `yaml:"from"`            // failure domain
 	BackendServers []string `yaml:"backend_servers"` // names
 }
 
-// CallRule says for one method and path prefix of a plain service whether its
-// calls are idempotent. The longest matching prefix decides; without a match
-// only GET and HEAD count as idempotent.
+// CallRule specifies whether calls with one method and path prefix of a plain
+// service are idempotent. The rule with the longest matching prefix applies;
+// without a match only GET and HEAD are idempotent.
 type CallRule struct {
 	Method     string `yaml:"method"`
 	PathPrefix string `yaml:"path_prefix"`
 	Idempotent bool   `yaml:"idempotent"`
 }
 
-// Limit bounds and weighs one organisation at one service.
+// Limit is the limits and the weight of one organisation at one service.
 type Limit struct {
 	Organisation    string `yaml:"organisation"`
 	Weight          int    `yaml:"weight"`            // share under contention
@@ -80,28 +80,29 @@
 	Priority        int    `yaml:"priority"`          // higher is served first by engines
 }
 
-// Deadlines bounds how long a request may take.
+// Deadlines bounds the phases of a request.
 type Deadlines struct {
 	Queue      time.Duration `yaml:"queue"`       // longest wait for a backend server
 	FirstToken time.Duration `yaml:"first_token"` // model: longest wait for the first token
 	Gap        time.Duration `yaml:"gap"`         // model: silence after which a link is suspect
-	Total      time.Duration `yaml:"total"`       // plain: whole call
+	Total      time.Duration `yaml:"total"`       // plain: longest duration of a call
 }
 
-// RetryPolicy bounds retries that the effect gate allows.
+// RetryPolicy limits retries. Only requests that are safe to repeat are retried.
 type RetryPolicy struct {
 	MaxRetries    int           `yaml:"max_retries"`
-	Initial       time.Duration `yaml:"initial"`        // first backoff, doubles
-	BudgetPercent int           `yaml:"budget_percent"` // retries as share of requests
+	Initial       time.Duration `yaml:"initial"`        // first backoff, doubled for each retry
+	BudgetPercent int           `yaml:"budget_percent"` // retries as a percentage of requests
 	MaxResetWait  time.Duration `yaml:"max_reset_wait"` // longest Retry-After honoured
 }
 
-// Placement holds the knobs of admission to engines.
+// Placement configures the admission of generations to engines.
 type Placement struct {
-	// Risk is the highest accepted chance that the engine's memory fills
-	// while the generation runs, 0 to 1.
+	// Risk is the highest accepted probability, 0 to 1, that the engine's memory
+	// fills up while the generation runs.
 	Risk float64 `yaml:"risk"`
-	// TargetGap is the gap between tokens that limits running work per engine.
+	// TargetGap is the target for the time between tokens; it limits the number of
+	// generations that run on an engine.
 	TargetGap time.Duration `yaml:"target_gap"`
 }
 
@@ -119,10 +120,10 @@
 	return idempotent
 }
 
-// AllowsOrders reports whether an entry host in a failure domain may give a
-// backend server orders. A server that does not check the caller obeys whoever
-// reaches it, so the document has to allow each link to it. To one that does
-// check, all links are allowed unless the document names some.
+// AllowsOrders reports whether entry hosts of a failure domain may send orders to
+// a backend server. A server that does not authenticate senders obeys anyone who
+// can reach it, so the document must allow each link to it. For a server that
+// does, all links are allowed unless the document lists some to it.
 func (d *Document) AllowsOrders(from string, server BackendServer) bool {
 	named := false
 	for _, link := range d.OrderLinks {
@@ -137,8 +138,8 @@
 	return server.ChecksOrders && !named
 }
 
-// LimitOf returns the limit of an organisation; an organisation that the
-// document does not name gets weight 1 and no bounds.
+// LimitOf returns the limit of an organisation. An organisation that is not in the
+// document has weight 1 and no limits.
 func (d *Document) LimitOf(organisation string) Limit {
 	for _, limit := range d.Organisations {
 		if limit.Organisation == organisation {
--- a/contract/document_test.go
+++ b/contract/document_test.go
@@ -22,7 +22,7 @@
 	is := is.New(t)
 	open, checked := BackendServer{Name: "w1"}, BackendServer{Name: "w2", ChecksOrders: true}
 	d := &Document{}
-	is.True(!d.AllowsOrders("north", open)) // checks nobody, and no link is allowed
+	is.True(!d.AllowsOrders("north", open)) // no authentication, and no link is listed
 	is.True(d.AllowsOrders("north", checked))
 	d.OrderLinks = []OrderLink{{From: "north", BackendServers: []string{"w1", "w2"}}}
 	is.True(d.AllowsOrders("north", open))
--- a/contract/model.go
+++ b/contract/model.go
@@ -5,15 +5,17 @@
 	"strings"
 )
 
-// Target is the model that a service's workers are to have, as name@version.
+// Target returns the model that the service's workers should have loaded, as
+// name@version.
 func (m *ModelSpec) Target() string { return m.Name + "@" + m.Version }
 
-// Names reports whether loaded, a name@version, is some version of the model.
+// Names reports whether loaded, a name@version, is any version of the model.
 func (m *ModelSpec) Names(loaded string) bool { return strings.HasPrefix(loaded, m.Name+"@") }
 
-// Served returns the version that a worker with these models loaded serves:
-// the target, or while a new version is being rolled out the one that it still
-// has. False: none, so the worker cannot serve the model now.
+// Served returns the name@version that a worker with the given loaded models
+// serves: the target if loaded, otherwise another version of the model, which the
+// worker still has during a rollout. It returns false if the worker cannot serve
+// the model.
 func (m *ModelSpec) Served(loaded []string) (string, bool) {
 	if slices.Contains(loaded, m.Target()) {
 		return m.Target(), true
--- a/contract/outcome.go
+++ b/contract/outcome.go
@@ -1,5 +1,6 @@
-// Package contract holds what papayasail promises to callers and what service
-// owners ask of it: service documents, outcomes, refusals and idempotency.
+// Package contract defines the interface of papayasail to callers and service
+// owners: service documents, outcomes and refusals of requests, and which calls
+// are idempotent.
 package contract
 
 import (
@@ -8,22 +9,23 @@
 	"time"
 )
 
-// Outcome says what became of a request. Every request ends in exactly one.
+// Outcome is the result of a request. Every request ends with exactly one.
 type Outcome string
 
 const (
 	// OutcomeDone means that the caller received the whole answer.
 	OutcomeDone Outcome = "done"
-	// OutcomeNotRun promises that no backend server ran any part of the request.
+	// OutcomeNotRun guarantees that no backend server ran any part of the request.
 	OutcomeNotRun Outcome = "not_run"
-	// OutcomeUnknown means that the request may have run, in part or whole.
+	// OutcomeUnknown means that the request may have run, partly or completely.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Reason names why a request was refused or ended without its whole answer.
-// It is stable and part of the caller API.
+// Reason is the code for why a request was refused or ended without its whole
+// answer. Codes are stable and part of the caller API.
 type Reason string
 
+// Reasons.
 const (
 	ReasonBadRequest      Reason = "bad_request"
 	ReasonBodyTooLarge    Reason = "body_too_large"
@@ -34,7 +36,7 @@
 	ReasonKeyInvalid      Reason = "idempotency_key_invalid"
 	ReasonKeyReused       Reason = "idempotency_key_reused"
 	ReasonHomeUnreachable Reason = "home_unreachable"
-	ReasonNotHolder       Reason = "not_holder" // between entry hosts only
+	ReasonNotHolder       Reason = "not_holder" // used between entry hosts only
 	ReasonHomeGone        Reason = "home_gone"
 	ReasonInProgress      Reason = "in_progress"
 	ReasonEventIDInvalid  Reason = "event_id_invalid"
@@ -48,24 +50,24 @@
 	ReasonAnswerMismatch  Reason = "answer_mismatch"
 	ReasonHostLeaving     Reason = "entry_host_leaving"
 	ReasonRecordsFull     Reason = "records_full"
-	ReasonQuarantined     Reason = "quarantined" // backend servers crash under the request
+	ReasonQuarantined     Reason = "quarantined" // backend servers crash while running the request
 	ReasonCallerGone      Reason = "caller_gone"
 )
 
-// Refusal is the error that ends a request without its whole answer. It is
-// rendered to callers as an RFC 9457 problem document.
+// Refusal is the error of a request that ended without its whole answer. Callers
+// receive it as an RFC 9457 problem document.
 type Refusal struct {
 	Outcome Outcome
 	Reason  Reason
 	Status  int // HTTP status code
-	// RetryAfter tells the caller when to come back; zero means that coming
-	// back with the same request is of no use.
+	// RetryAfter is the delay after which the caller may retry; zero means that
+	// retrying the same request is of no use.
 	RetryAfter time.Duration
 	Detail     string
 	Err        error // cause, for logs only; never shown to callers
 }
 
-// Error renders the refusal for logs.
+// Error formats the refusal for logs.
 func (r *Refusal) Error() string {
 	if r.Err != nil {
 		return fmt.Sprintf("%s (%s): %s: %v", r.Outcome, r.Reason, r.Detail, r.Err)
@@ -76,13 +78,13 @@
 // Unwrap returns the cause.
 func (r *Refusal) Unwrap() error { return r.Err }
 
-// NotRun builds a refusal for a request that did not run. Status is 503 when
-// a later try may succeed and is to be overridden otherwise.
+// NotRun returns a refusal for a request that did not run, with status 503. If a
+// retry cannot succeed, the status must be replaced using WithStatus.
 func NotRun(reason Reason, retryAfter time.Duration, detail string) *Refusal {
 	return &Refusal{Outcome: OutcomeNotRun, Reason: reason, Status: http.StatusServiceUnavailable, RetryAfter: retryAfter, Detail: detail}
 }
 
-// Unknown builds a refusal for a request that may have run.
+// Unknown returns a refusal for a request that may have run, with status 502.
 func Unknown(reason Reason, retryAfter time.Duration, detail string) *Refusal {
 	return &Refusal{Outcome: OutcomeUnknown, Reason: reason, Status: http.StatusBadGateway, RetryAfter: retryAfter, Detail: detail}
 }
@@ -93,7 +95,7 @@
 	return r
 }
 
-// WithCause records the error behind the refusal and returns the refusal.
+// WithCause sets the error that caused the refusal and returns the refusal.
 func (r *Refusal) WithCause(err error) *Refusal {
 	r.Err = err
 	return r
--- a/contract/parse.go
+++ b/contract/parse.go
@@ -9,11 +9,11 @@
 	"github.com/papayasail/papayasail/internal/strictyaml"
 )
 
-// MaxDocumentBytes is the largest service document. It keeps the document and
-// its audit entries well below the platform's limit for one object.
+// MaxDocumentBytes is the maximum size of a service document. It keeps the
+// document and its audit entries well below the platform's limit for one object.
 const MaxDocumentBytes = 256 << 10
 
-// Values of fields that a document leaves out.
+// Defaults of optional fields.
 const (
 	DefaultQueueDeadline      = 5 * time.Second
 	DefaultFirstTokenDeadline = 10 * time.Second
@@ -38,23 +38,23 @@
 	maxNameLength = 63
 )
 
-// References holds the names that a document may refer to. A nil list leaves
-// that kind of reference unchecked, as papayasail check does without settings.
+// References are the names to which a document may refer. References of a kind
+// whose list is nil are not checked, as in "papayasail check" without settings.
 type References struct {
 	FailureDomains []string
 	Organisations  []string
 }
 
-// ParseDocument reads and checks a service document. All mistakes are
-// collected and returned as one findings.List; fields that are left out get
-// the defaults above. Names in data are checked against nothing but the
-// document itself; see ParseDocumentFor.
+// ParseDocument parses and validates a service document. All findings are
+// returned together as one findings.List. Optional fields that are missing get
+// their defaults. References to names outside the document are not checked; see
+// ParseDocumentFor.
 func ParseDocument(file string, data []byte) (*Document, error) {
 	return ParseDocumentFor(file, data, References{})
 }
 
-// ParseDocumentFor is ParseDocument with references checked against the names
-// that exist.
+// ParseDocumentFor is like ParseDocument and also checks references against the
+// existing names.
 func ParseDocumentFor(file string, data []byte, references References) (*Document, error) {
 	reader, root := strictyaml.Read(file, data, MaxDocumentBytes)
 	p := documentParser{references: references}
@@ -240,7 +240,7 @@
 	}
 }
 
-// name reads a name that also stands in URLs, object names and event ids.
+// name reads a name that is also used in URLs, object names and event IDs.
 func name(m *strictyaml.Mapping, field string) string {
 	text := m.Text(field, strictyaml.Required)
 	if text != "" && !ValidName(text) {
@@ -250,8 +250,9 @@
 	return text
 }
 
-// ValidName reports whether text can name a service, backend server or entry
-// host: lower-case letters, digits, - and _, beginning with a letter.
+// ValidName reports whether text is a valid name of a service, backend server or
+// entry host: at most 63 lower-case letters, digits, - and _, beginning with a
+// letter.
 func ValidName(text string) bool {
 	if text == "" || len(text) > maxNameLength || text[0] < 'a' || text[0] > 'z' {
 		return false
@@ -264,7 +265,7 @@
 	return true
 }
 
-// once adds a finding when value was seen before.
+// once adds a finding if value was seen before.
 func once(m *strictyaml.Mapping, field string, seen map[string]bool, value, holder string) {
 	if value == "" {
 		return
@@ -275,14 +276,14 @@
 	seen[value] = true
 }
 
-// known adds a finding when value is a dangling reference.
+// known adds a finding if value is not among names; nil names are not checked.
 func known(m *strictyaml.Mapping, field string, names []string, value, where string) {
 	if value != "" && names != nil && !slices.Contains(names, value) {
 		m.Find(field, "%q is not known in the %s", value, where)
 	}
 }
 
-// clash adds a finding for each field that has no meaning for the kind.
+// clash adds a finding for each given field that the kind does not use.
 func clash(m *strictyaml.Mapping, kind Kind, fields ...string) {
 	for _, field := range fields {
 		if m.Has(field) {
--- a/contract/parse_test.go
+++ b/contract/parse_test.go
@@ -48,9 +48,8 @@
 	is.Equal(d.LimitOf("dsi").Weight, 4)
 }
 
-// A team changes five things at once and gets each of them wrong. A decoder
-// that stops at the first mistake would cost it five tries, so all five have
-// to be named at once, each with its place.
+// Guards against a parser that stops at the first of several mistakes, which costs
+// the author one attempt per mistake. Each is reported with its position.
 func TestParseDocumentReportsAllMistakesTogether(t *testing.T) {
 	is := is.New(t)
 	broken := strings.NewReplacer(
