--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -28,62 +28,62 @@
 }
 
 const (
-	// budgetMargin is the fraction of the limit that is used. The rest is headroom
+	// budgetFraction is the fraction of the limit that is used. The rest is headroom
 	// because the operator's windows start at other times than this host's.
-	budgetMargin = 0.8
-	ringSlots    = 10
+	budgetFraction = 0.8
+	windowSlots    = 10
 )
 
 // ring counts requests and retries in slots of one tenth of the window.
 type ring struct {
-	requests, repeats [ringSlots]int
+	requests, retries [windowSlots]int
 	slot              int64 // newest slot, counted from Budget.began
 }
 
-// Request counts the first send of a request to a service.
-func (b *Budget) Request(service string) {
+// RecordRequest counts the first send of a request to a service.
+func (b *Budget) RecordRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.at(service)
-	r.requests[r.slot%ringSlots]++
+	r := b.currentRing(service)
+	r.requests[r.slot%windowSlots]++
 }
 
-// Spend reports whether a request may be retried and, if so, counts the retry.
-func (b *Budget) Spend(service string) bool {
+// Withdraw reports whether a request may be retried and, if so, counts the retry.
+func (b *Budget) Withdraw(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.at(service)
-	requests, repeats := 0, 0
-	for i := range ringSlots {
+	r := b.currentRing(service)
+	requests, retries := 0, 0
+	for i := range windowSlots {
 		requests += r.requests[i]
-		repeats += r.repeats[i]
+		retries += r.retries[i]
 	}
-	allowed := budgetMargin * (b.Allowance/float64(max(1, b.Hosts())) + b.Ratio*float64(requests))
-	if float64(repeats+1) > allowed {
+	allowed := budgetFraction * (b.Allowance/float64(max(1, b.Hosts())) + b.Ratio*float64(requests))
+	if float64(retries+1) > allowed {
 		return false
 	}
-	r.repeats[r.slot%ringSlots]++
+	r.retries[r.slot%windowSlots]++
 	return true
 }
 
-// at returns the ring of a service, advanced to the current time. Called with mu
-// held.
-func (b *Budget) at(service string) *ring {
+// currentRing returns the ring of a service, advanced to the current time. Called
+// with mu held.
+func (b *Budget) currentRing(service string) *ring {
 	if b.services == nil {
 		b.services, b.began = map[string]*ring{}, time.Now()
 	}
-	now := int64(time.Since(b.began) / (b.Window / ringSlots))
+	now := int64(time.Since(b.began) / (b.Window / windowSlots))
 	r := b.services[service]
 	if r == nil {
 		r = &ring{slot: now}
 		b.services[service] = r
 	}
-	if now-r.slot > ringSlots {
+	if now-r.slot > windowSlots {
 		*r = ring{slot: now}
 	}
 	for r.slot < now {
 		r.slot++
-		r.requests[r.slot%ringSlots], r.repeats[r.slot%ringSlots] = 0, 0
+		r.requests[r.slot%windowSlots], r.retries[r.slot%windowSlots] = 0, 0
 	}
 	return r
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -18,17 +18,17 @@
 	maxDials = 3
 	// maxAnswerBytes bounds an answer that is buffered whole before it is relayed.
 	maxAnswerBytes = 8 << 20
-	// firstTryShare divides the remaining time of an idempotent call while
+	// firstAttemptDivisor divides the remaining time of an idempotent call while
 	// another attempt is allowed: a hung server then uses up half of the time
 	// instead of all of it.
-	firstTryShare = 2
+	firstAttemptDivisor = 2
 )
 
-// try is the result of sending a request to one server.
-type try struct {
+// attempt is the result of sending a request to one server.
+type attempt struct {
 	outcome Outcome
-	// again is set if the request may be sent to another server.
-	again bool
+	// retryable is set if the request may be sent to another server.
+	retryable bool
 	// sent is set if the server may have read the request.
 	sent bool
 	// misdirected is set if another server has the address and reported that.
@@ -37,9 +37,9 @@
 
 // call serves a request whose answer is buffered whole before it is relayed.
 func (t *task) call(ctx context.Context) Outcome {
-	var last, ran *try // ran: the last attempt that may have run
+	var last, ran *attempt // ran: the last attempt that may have run
 	for dials := 0; ; {
-		if last != nil && !t.mayGoOn(last) {
+		if last != nil && !t.mayTryNextServer(last) {
 			return last.outcome
 		}
 		work, reason := t.place(ctx)
@@ -47,10 +47,10 @@
 			if last != nil {
 				return last.outcome
 			}
-			return t.unplaced(ctx, reason)
+			return t.unplacedOutcome(ctx, reason)
 		}
 		if t.sends == 0 {
-			t.gateway.options.Budget.Request(t.service.Name)
+			t.gateway.options.Budget.RecordRequest(t.service.Name)
 		}
 		result := t.send(ctx, work)
 		work.End()
@@ -65,56 +65,56 @@
 		if !result.sent {
 			dials++
 		}
-		if !result.again || dials >= maxDials || ctx.Err() != nil {
+		if !result.retryable || dials >= maxDials || ctx.Err() != nil {
 			return result.outcome
 		}
 	}
 }
 
-// mayGoOn reports whether the request may be sent to another server after the
-// given attempt.
+// mayTryNextServer reports whether the request may be sent to another server
+// after the given attempt.
 //
 // A misdirected attempt is charged to the retry budget because the operator
 // counts any request that a server answers. Otherwise, when engines restart
 // behind a network partition and other servers get their addresses, every host
 // sends each request to one stale address after the other.
-func (t *task) mayGoOn(last *try) bool {
+func (t *task) mayTryNextServer(last *attempt) bool {
 	switch {
 	case last.sent:
-		return t.mayRepeat()
+		return t.mayRetry()
 	case last.misdirected:
-		return t.gateway.options.Budget.Spend(t.service.Name)
+		return t.gateway.options.Budget.Withdraw(t.service.Name)
 	}
 	return true
 }
 
-// mayRepeat reports whether a request that a server may have read may be sent
+// mayRetry reports whether a request that a server may have read may be sent
 // to another server.
-func (t *task) mayRepeat() bool {
-	return t.sends < t.route.Attempts && t.gateway.options.Budget.Spend(t.service.Name)
+func (t *task) mayRetry() bool {
+	return t.sends < t.route.Attempts && t.gateway.options.Budget.Withdraw(t.service.Name)
 }
 
 // send sends the request to one server and reads the whole answer.
-func (t *task) send(ctx context.Context, work *fleet.Work) try {
-	tryCtx, cancel := t.tryContext(ctx)
+func (t *task) send(ctx context.Context, work *fleet.Work) attempt {
+	attemptCtx, cancel := t.attemptContext(ctx)
 	defer cancel()
-	reply, err := t.sendTo(tryCtx, work, t.callTo(work.Server()))
+	reply, err := t.sendTo(attemptCtx, work, t.callTo(work.Server()))
 	if err != nil {
-		return t.brokenTry(ctx, work, err)
+		return t.failedAttempt(ctx, work, err)
 	}
 	defer reply.Body.Close()
 	t.sends++
 	if reply.Load != nil {
 		work.Says(*reply.Load)
 	}
-	if !took(reply) {
-		return t.notRun(reply)
+	if !accepted(reply) {
+		return t.refusedAttempt(reply)
 	}
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxAnswerBytes+1))
 	if err != nil || len(body) > maxAnswerBytes {
 		work.Outcome(true)
-		if err != nil && tryCtx.Err() == nil {
-			t.blame(work)
+		if err != nil && attemptCtx.Err() == nil {
+			t.reportSuspectedCrash(work)
 		}
 		return t.mayHaveRun(ctx, ReasonBroken)
 	}
@@ -129,25 +129,25 @@
 		return t.mayHaveRun(ctx, ReasonBroken)
 	}
 	t.gateway.options.Quarantine.Completed(t.fingerprint)
-	return try{outcome: answer, again: failing && t.route.Kind == Idempotent, sent: true}
+	return attempt{outcome: answer, retryable: failing && t.route.Kind == Idempotent, sent: true}
 }
 
-// tryContext bounds one attempt. Only an idempotent request with another attempt
-// left gets a shorter timeout: ending any other request early gains nothing,
-// because it may not be sent again.
-func (t *task) tryContext(ctx context.Context) (context.Context, context.CancelFunc) {
+// attemptContext bounds one attempt. Only an idempotent request with another
+// attempt left gets a shorter timeout: ending any other request early gains
+// nothing, because it may not be sent again.
+func (t *task) attemptContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	if t.route.Kind != Idempotent || t.sends+1 >= t.route.Attempts {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, time.Until(t.until)/firstTryShare)
+	return context.WithTimeout(ctx, time.Until(t.deadline)/firstAttemptDivisor)
 }
 
-// heed records the state that a server reports with its answer.
+// recordServerState records the state that a server reports with its answer.
 //
 // While the store is unavailable, the entry of a leaving server cannot be marked
 // as leaving, but its answers report it. Hosts that ignore them keep sending
 // requests to it.
-func (t *task) heed(server fleet.Server, reply *Reply) {
+func (t *task) recordServerState(server fleet.Server, reply *Reply) {
 	switch {
 	case reply.WrongServer:
 		t.gateway.options.Fleet.MarkLeaving(server.Life(), fleet.SourceReplaced)
@@ -158,27 +158,28 @@
 	}
 }
 
-// took reports whether the server accepted the request.
-func took(reply *Reply) bool { return !reply.NotRun && !reply.WrongServer }
+// accepted reports whether the server accepted the request.
+func accepted(reply *Reply) bool { return !reply.NotRun && !reply.WrongServer }
 
-// notRun returns the result of an attempt that the server refused as not run.
-func (t *task) notRun(reply *Reply) try {
+// refusedAttempt returns the result of an attempt that the server refused as not
+// run.
+func (t *task) refusedAttempt(reply *Reply) attempt {
 	if reply.WrongServer {
 		t.sends-- // the intended server did not receive it
-		return try{outcome: refused(ReasonWrongServer, retryNoServer), again: true, misdirected: true}
+		return attempt{outcome: refused(ReasonWrongServer, retryNoServer), retryable: true, misdirected: true}
 	}
-	return try{outcome: refused(ReasonServerFull, retryFull), again: true, sent: true}
+	return attempt{outcome: refused(ReasonServerFull, retryFull), retryable: true, sent: true}
 }
 
-// brokenTry returns the result of an attempt without an answer.
-func (t *task) brokenTry(ctx context.Context, work *fleet.Work, err error) try {
+// failedAttempt returns the result of an attempt without an answer.
+func (t *task) failedAttempt(ctx context.Context, work *fleet.Work, err error) attempt {
 	var failure *backend.CallError
 	if errors.As(err, &failure) && failure.Evidence == backend.NothingSent {
 		if ctx.Err() == nil {
 			work.Unreachable()
 			work.Outcome(true)
 		}
-		return try{outcome: t.unreached(ctx), again: true}
+		return attempt{outcome: t.unreachedOutcome(ctx), retryable: true}
 	}
 	t.sends++
 	switch ctx.Err() {
@@ -187,12 +188,13 @@
 	case context.DeadlineExceeded:
 		work.TimedOut()
 	}
-	t.blameIfBroken(ctx, work, err)
+	t.reportIfBroken(ctx, work, err)
 	return t.mayHaveRun(ctx, ReasonBroken)
 }
 
-// unreached returns the outcome of a request whose last attempt sent nothing.
-func (t *task) unreached(ctx context.Context) Outcome {
+// unreachedOutcome returns the outcome of a request whose last attempt sent
+// nothing.
+func (t *task) unreachedOutcome(ctx context.Context) Outcome {
 	if ctx.Err() == context.Canceled {
 		return abandoned()
 	}
@@ -204,12 +206,12 @@
 
 // mayHaveRun returns the result of an attempt after which the server may have
 // run the request.
-func (t *task) mayHaveRun(ctx context.Context, reason Reason) try {
+func (t *task) mayHaveRun(ctx context.Context, reason Reason) attempt {
 	switch ctx.Err() {
 	case context.Canceled:
-		return try{outcome: abandoned(), sent: true}
+		return attempt{outcome: abandoned(), sent: true}
 	case context.DeadlineExceeded:
-		return try{outcome: failed(http.StatusGatewayTimeout, ReasonTimeout), sent: true}
+		return attempt{outcome: failed(http.StatusGatewayTimeout, ReasonTimeout), sent: true}
 	}
-	return try{outcome: failed(http.StatusBadGateway, reason), again: t.route.Kind == Idempotent, sent: true}
+	return attempt{outcome: failed(http.StatusBadGateway, reason), retryable: t.route.Kind == Idempotent, sent: true}
 }
--- a/gateway/call_test.go
+++ b/gateway/call_test.go
@@ -21,7 +21,7 @@
 func TestWritesAreNeverSentTwice(t *testing.T) {
 	for _, evidence := range []backend.Evidence{backend.Broken, backend.Silent, backend.Mismatch} {
 		synctest.Test(t, func(t *testing.T) {
-			is, w := is.New(t), newWorld()
+			is, w := is.New(t), newHarness()
 			w.send = func(context.Context, Call) (*Reply, error) { return nil, broken(evidence) }
 			o := w.serve("/write/1")
 			is.Equal(o.Status, http.StatusBadGateway)
@@ -35,7 +35,7 @@
 // answer; a second attempt succeeds at another server.
 func TestReadsGoToASecondServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		n := 0
 		w.send = func(context.Context, Call) (*Reply, error) {
 			n++
@@ -62,7 +62,7 @@
 
 func TestReadsStopAtTheirAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.put("p3", "plain")
 		w.send = func(context.Context, Call) (*Reply, error) { return answer(http.StatusInternalServerError, "no"), nil }
 		is.Equal(w.serve("/read/1").Status, http.StatusInternalServerError)
@@ -74,7 +74,7 @@
 // every read that is sent to it.
 func TestHungServerCostsAReadHalfItsTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(ctx context.Context, _ Call) (*Reply, error) {
 			if len(w.calls) == 1 {
 				<-ctx.Done()
@@ -92,7 +92,7 @@
 // does not answer.
 func TestAnswerAtTheTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(ctx context.Context, _ Call) (*Reply, error) {
 			<-ctx.Done()
 			return nil, broken(backend.Silent)
@@ -108,7 +108,7 @@
 // that they are full or none accepts a connection.
 func TestRefusalsThatRanNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return notRunReply(), nil }
 		o := w.serve("/write/1")
 		is.Equal(o.Status, http.StatusServiceUnavailable)
@@ -116,7 +116,7 @@
 		is.True(o.RetryAfter > 0)
 		is.Equal(len(w.calls), 2) // a second server may have room
 
-		w = newWorld()
+		w = newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return nil, broken(backend.NothingSent) }
 		o = w.serve("/write/1")
 		is.Equal(o.Reason, ReasonUnreachable)
@@ -126,9 +126,9 @@
 
 // Guards against reporting "not run" when the second server refused a read as full
 // but the first, whose connection broke, may have run it.
-func TestNotRunIsNotSaidAfterASendThatMayHaveRun(t *testing.T) {
+func TestNotRunIsNotReportedAfterASendThatMayHaveRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) {
 			if len(w.calls) == 1 {
 				return nil, broken(backend.Broken)
@@ -144,7 +144,7 @@
 // Guards against more requests to an address that now belongs to another server.
 func TestAddressWithAnotherServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) {
 			if len(w.calls) == 1 {
 				r := answer(http.StatusMisdirectedRequest, "")
@@ -166,18 +166,18 @@
 
 // Guards against a 401 or 404 for a key or route that was just added and has not
 // reached this host: the caller would give up permanently.
-func TestHostThatIsBehindDeniesNothing(t *testing.T) {
+func TestStaleHostDeniesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return answer(http.StatusOK, "ok"), nil }
-		w.sure = false
+		w.configurationConfirmed = false
 		r := w.request("/write/1")
 		r.Key = "new"
 		o := w.gateway.Serve(context.Background(), r, &recorder{})
 		is.Equal(o.Status, http.StatusServiceUnavailable)
 		is.True(o.NotRun)
 		is.Equal(w.serve("/none/1").Status, http.StatusServiceUnavailable)
-		w.sure = true
+		w.configurationConfirmed = true
 		is.Equal(w.gateway.Serve(context.Background(), r, &recorder{}).Status, http.StatusUnauthorized)
 		is.Equal(w.serve("/none/1").Status, http.StatusNotFound)
 		w.gateway.SetConfiguration(w.configuration(2, "new"))
@@ -187,7 +187,7 @@
 }
 
 func TestWithoutConfigurationNothingIsDenied(t *testing.T) {
-	is, w := is.New(t), newWorld()
+	is, w := is.New(t), newHarness()
 	empty := New(w.gateway.options)
 	o := empty.Serve(context.Background(), w.request("/write/1"), &recorder{})
 	is.Equal(o.Status, http.StatusServiceUnavailable)
@@ -196,9 +196,9 @@
 
 // Guards against servers that work on after the caller has disconnected: the send
 // is cancelled, which closes the connection to the server.
-func TestCallerThatLeavesEndsTheSend(t *testing.T) {
+func TestDisconnectedCallerCancelsTheSend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(ctx context.Context, _ Call) (*Reply, error) {
 			<-ctx.Done()
 			return nil, broken(backend.Broken)
@@ -215,9 +215,9 @@
 
 // Guards against retries that double the load of a failing service: the hosts may
 // add one fifth of the requests plus 54 together.
-func TestBudgetOfRepeats(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return answer(http.StatusInternalServerError, ""), nil }
 		for range 200 {
 			w.serve("/read/1")
@@ -235,7 +235,7 @@
 // Guards against retries beyond the budget while servers have changed addresses.
 func TestMisdirectedSendsKeepToTheBudget(t *testing.T) {
 	for _, path := range []string{"/letter/1", "/write/1"} {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.gateway.options.Budget = &Budget{Ratio: 0.2, Allowance: 0, Window: time.Minute, Hosts: func() int { return 1 }}
 		w.send = func(_ context.Context, call Call) (*Reply, error) {
 			w.fleet.Put(fleet.Server{ID: "new" + strconv.Itoa(len(w.calls)), Service: call.Server.Service, Address: strconv.Itoa(len(w.calls)), Domain: "d1", Slots: 6})
@@ -257,7 +257,7 @@
 // Guards against callers that wait although all servers are evacuated.
 func TestEvacuatedServiceRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.fleet.SetEvacuated("d1", true)
 		for _, path := range []string{"/read/1", "/write/1", "/letter/1"} {
 			began := time.Now()
@@ -276,9 +276,9 @@
 
 // Guards against a second attempt in a failure domain that was evacuated after the
 // first attempt began.
-func TestSecondTryKeepsOutOfAnEvacuatedDomain(t *testing.T) {
+func TestSecondAttemptAvoidsEvacuatedDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) {
 			w.fleet.SetEvacuated("d1", true)
 			return answer(http.StatusInternalServerError, "no"), nil
--- a/gateway/explain.go
+++ b/gateway/explain.go
@@ -11,9 +11,9 @@
 // request.
 const MsgRequest = "request"
 
-// passedEvent records when events are relayed, to report the stalls that the
+// recordEventTime records when events are relayed, to report the stalls that the
 // caller sees.
-func (t *task) passedEvent() {
+func (t *task) recordEventTime() {
 	now := time.Now()
 	if t.firstEvent == 0 {
 		t.firstEvent = now.Sub(t.request.Arrived)
--- a/gateway/explain_test.go
+++ b/gateway/explain_test.go
@@ -15,7 +15,7 @@
 // Guards against logs in which a call cannot be traced across its caller's retries.
 func TestLogNamesTheFingerprintOfACall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		core, logs := observer.New(zapcore.InfoLevel)
 		w.gateway.options.Logger = zap.New(core)
 		w.send = func(context.Context, Call) (*Reply, error) { return answer(http.StatusOK, "ok"), nil }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -56,7 +56,7 @@
 type Gateway struct {
 	options       Options
 	configuration atomic.Pointer[Configuration]
-	stopBy        atomic.Pointer[time.Time] // nil: this host is not stopping
+	stopDeadline  atomic.Pointer[time.Time] // nil: this host is not stopping
 	generations   atomic.Int64              // in flight
 }
 
@@ -84,27 +84,27 @@
 // Stop makes the gateway accept only requests whose deadline is not after by,
 // when this host cuts off its remaining requests. Short calls are still served
 // for a while, long generations are refused.
-func (g *Gateway) Stop(by time.Time) { g.stopBy.Store(&by) }
+func (g *Gateway) Stop(by time.Time) { g.stopDeadline.Store(&by) }
 
 // Generations returns the number of generations in flight.
 func (g *Gateway) Generations() int { return int(g.generations.Load()) }
 
 // stopsBefore reports whether this host may stop before the given time.
 func (g *Gateway) stopsBefore(moment time.Time) bool {
-	by := g.stopBy.Load()
+	by := g.stopDeadline.Load()
 	return by != nil && moment.After(*by)
 }
 
-// ended reports whether the deadline of this host's stop has passed, at which
-// it cuts off its remaining requests.
-func (g *Gateway) ended() bool {
-	by := g.stopBy.Load()
+// stopDeadlinePassed reports whether the deadline of this host's stop has passed,
+// at which it cuts off its remaining requests.
+func (g *Gateway) stopDeadlinePassed() bool {
+	by := g.stopDeadline.Load()
 	return by != nil && !time.Now().Before(*by)
 }
 
-// stopped returns the outcome of a request that this host cannot finish before
-// it stops.
-func (g *Gateway) stopped() Outcome {
+// stoppingOutcome returns the outcome of a request that this host cannot finish
+// before it stops.
+func (g *Gateway) stoppingOutcome() Outcome {
 	if g.options.Others() {
 		return refused(ReasonStopping, retryStopping)
 	}
@@ -121,9 +121,9 @@
 	priority      int
 	service       *Service
 	fingerprint   uint64          // equal for retries by the caller
-	until         time.Time       // the earlier of the route's timeout and the caller's deadline
+	deadline      time.Time       // the earlier of the route's timeout and the caller's deadline
 	sends         int             // sends to servers that may have run it
-	sent          quarantine.Mark // crash history of the request at the last send
+	sentMark      quarantine.Mark // crash history of the request at the last send
 	server        fleet.Server
 	tried         []string // servers that it was sent to or that refused the connection
 	moves         int
@@ -149,24 +149,24 @@
 	if denial, ok := t.admit(ctx); !ok {
 		return denial
 	}
-	t.until = t.request.Arrived.Add(t.route.Timeout)
-	if t.request.Deadline.Before(t.until) {
-		t.until = t.request.Deadline
+	t.deadline = t.request.Arrived.Add(t.route.Timeout)
+	if t.request.Deadline.Before(t.deadline) {
+		t.deadline = t.request.Deadline
 	}
-	if t.gateway.stopsBefore(t.until) {
-		return t.gateway.stopped()
+	if t.gateway.stopsBefore(t.deadline) {
+		return t.gateway.stoppingOutcome()
 	}
-	ctx, cancel := context.WithDeadline(ctx, t.until)
+	ctx, cancel := context.WithDeadline(ctx, t.deadline)
 	defer cancel()
 	t.fingerprint = t.request.fingerprint(t.organisation)
-	ctx, over, left := t.untilQuarantined(ctx)
+	ctx, over, left := t.withQuarantine(ctx)
 	defer over()
 	if left > 0 {
 		return refused(ReasonQuarantined, left)
 	}
 	outcome := t.run(ctx, sink)
 	if context.Cause(ctx) == errQuarantined && !outcome.Complete {
-		return t.quarantined(outcome)
+		return t.quarantinedOutcome(outcome)
 	}
 	return outcome
 }
@@ -226,6 +226,6 @@
 func (t *task) callTo(server fleet.Server) Call {
 	return Call{
 		Server: server, Request: t.request, Organisation: t.organisation, Priority: t.priority,
-		Until: t.until, Stream: t.route.Kind == Generation,
+		Until: t.deadline, Stream: t.route.Kind == Generation,
 	}
 }
--- a/gateway/world_test.go
+++ b/gateway/harness_test.go
@@ -21,28 +21,28 @@
 	"github.com/papayasail/papayasail/quarantine"
 )
 
-// world is a gateway with a scripted Backend and Allocator.
-type world struct {
-	gateway *Gateway
-	fleet   *fleet.Table
-	sure    bool
-	alone   bool // no other host accepts requests
-
-	mu    sync.Mutex      // guards all below
-	ended map[string]bool // servers whose process has ended
-	calls []Call
-	send  func(ctx context.Context, call Call) (*Reply, error)
-	copy  func(source, destination fleet.Server, last bool) (Copied, error)
-	turns int // turns that have not ended
-}
-
-func newWorld() *world {
-	w := &world{fleet: fleet.NewTable("me", zap.NewNop()), sure: true, ended: map[string]bool{}}
+// harness is a gateway with a scripted Backend and Allocator.
+type harness struct {
+	gateway                *Gateway
+	fleet                  *fleet.Table
+	configurationConfirmed bool
+	noOtherHosts           bool // no other host accepts requests
+
+	mu           sync.Mutex      // guards all below
+	endedServers map[string]bool // servers whose process has ended
+	calls        []Call
+	send         func(ctx context.Context, call Call) (*Reply, error)
+	copy         func(source, destination fleet.Server, last bool) (Copied, error)
+	turns        int // turns that have not ended
+}
+
+func newHarness() *harness {
+	w := &harness{fleet: fleet.NewTable("me", zap.NewNop()), configurationConfirmed: true, endedServers: map[string]bool{}}
 	w.gateway = New(Options{
 		Domain: "d1", Fleet: w.fleet, Backend: w, Allocator: w, Logger: zap.NewNop(), Limits: placement.DefaultLimits,
 		Quarantine: quarantine.NewTable(zap.NewNop(), prometheus.NewRegistry()),
 		Budget:     &Budget{Ratio: 0.2, Allowance: 54, Window: 10 * time.Second, Hosts: func() int { return 7 }},
-		Confirm:    func(context.Context) bool { return w.sure }, Others: func() bool { return !w.alone }, Metrics: NewMetrics(prometheus.NewRegistry()),
+		Confirm:    func(context.Context) bool { return w.configurationConfirmed }, Others: func() bool { return !w.noOtherHosts }, Metrics: NewMetrics(prometheus.NewRegistry()),
 	})
 	w.put("e1", "llm")
 	w.put("e2", "llm")
@@ -52,11 +52,11 @@
 	return w
 }
 
-func (w *world) put(id, service string) {
+func (w *harness) put(id, service string) {
 	w.fleet.Put(fleet.Server{ID: id, Service: service, Address: id + ":1", Domain: "d1", Slots: 6})
 }
 
-func (w *world) configuration(version uint64, key string) *Configuration {
+func (w *harness) configuration(version uint64, key string) *Configuration {
 	route := func(name, service string, kind Kind, timeout time.Duration) *Route {
 		return &Route{
 			Name: name, Host: "h", PathPrefix: "/" + name + "/", Kind: kind, Timeout: timeout, Goal: 400 * time.Millisecond,
@@ -75,26 +75,26 @@
 	return NewConfiguration(version, routes, services, map[string]*Organisation{key: {Name: "o"}}, ClientLimits{})
 }
 
-func (w *world) Send(ctx context.Context, call Call) (*Reply, error) {
+func (w *harness) Send(ctx context.Context, call Call) (*Reply, error) {
 	w.mu.Lock()
 	w.calls = append(w.calls, call)
 	w.mu.Unlock()
 	return w.send(ctx, call)
 }
 
-func (w *world) Copy(_ context.Context, source, destination fleet.Server, _ string, last bool) (Copied, error) {
+func (w *harness) Copy(_ context.Context, source, destination fleet.Server, _ string, last bool) (Copied, error) {
 	return w.copy(source, destination, last)
 }
 
-func (w *world) Ended(_ context.Context, server fleet.Server) bool {
+func (w *harness) Ended(_ context.Context, server fleet.Server) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.ended[server.ID]
+	return w.endedServers[server.ID]
 }
 
-func (w *world) Discard(context.Context, fleet.Server, string) error { return nil }
+func (w *harness) Discard(context.Context, fleet.Server, string) error { return nil }
 
-func (w *world) Place(_ context.Context, service string, asked allocation.Asked, except []string) string {
+func (w *harness) Place(_ context.Context, service string, asked allocation.Asked, except []string) string {
 	candidates := w.fleet.Candidates(service, "d1", except...)
 	if i := placement.Pick(asked.Need, candidates, placement.DefaultLimits, func(int) int { return 0 }); i >= 0 {
 		return candidates[i].ID
@@ -102,7 +102,7 @@
 	return ""
 }
 
-func (w *world) TakeTurn(ctx context.Context, service string, move migration.Move) (string, func(), error) {
+func (w *harness) TakeTurn(ctx context.Context, service string, move migration.Move) (string, func(), error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.turns++
@@ -113,7 +113,7 @@
 	}, nil
 }
 
-func (w *world) request(path string) *Request {
+func (w *harness) request(path string) *Request {
 	now := time.Now()
 	return &Request{
 		ID: "r", Method: http.MethodPost, Host: "h", Path: path, Header: http.Header{}, Key: "key",
@@ -121,7 +121,7 @@
 	}
 }
 
-func (w *world) serve(path string) Outcome {
+func (w *harness) serve(path string) Outcome {
 	return w.gateway.Serve(context.Background(), w.request(path), &recorder{})
 }
 
@@ -165,17 +165,17 @@
 }
 
 // generation is a stream of events with IDs from first to last, one per gap. Closing
-// broke interrupts it, as a move or a crash does.
+// interrupt breaks it off, as a move or a crash does.
 type generation struct {
 	first, last int
 	gap         time.Duration
 	tail        string // bytes that are sent when the stream is interrupted
-	broke       chan struct{}
+	interrupt   chan struct{}
 	reader      *io.PipeReader
 }
 
 func newGeneration(first, last int, gap time.Duration) *generation {
-	g := &generation{first: first, last: last, gap: gap, broke: make(chan struct{})}
+	g := &generation{first: first, last: last, gap: gap, interrupt: make(chan struct{})}
 	reader, writer := io.Pipe()
 	g.reader = reader
 	go g.run(writer)
@@ -186,19 +186,19 @@
 	for id := g.first; id <= g.last; id++ {
 		select {
 		case <-time.After(g.gap):
-		case <-g.broke:
+		case <-g.interrupt:
 			_, _ = io.WriteString(writer, g.tail)
 			writer.CloseWithError(io.ErrUnexpectedEOF)
 			return
 		}
-		if _, err := io.WriteString(writer, event4(id)); err != nil {
+		if _, err := io.WriteString(writer, eventText(id)); err != nil {
 			return
 		}
 	}
 	writer.Close()
 }
 
-func event4(id int) string { return fmt.Sprintf("id: %d\ndata: t%d\n\n", id, id) }
+func eventText(id int) string { return fmt.Sprintf("id: %d\ndata: t%d\n\n", id, id) }
 
 func (g *generation) reply() *Reply {
 	return &Reply{Status: http.StatusOK, Header: http.Header{}, Body: g.reader, Whole: true}
@@ -208,7 +208,7 @@
 func wholeStream(last int) string {
 	var b strings.Builder
 	for id := 1; id <= last; id++ {
-		b.WriteString(event4(id))
+		b.WriteString(eventText(id))
 	}
 	return b.String()
 }
--- a/gateway/life.go
+++ b/gateway/life.go
@@ -9,7 +9,7 @@
 	"github.com/papayasail/papayasail/fleet"
 )
 
-var errLifeOver = errors.New("gateway: server restarted and no longer has the run")
+var errServerRestarted = errors.New("gateway: server restarted and no longer has the run")
 
 // sendTo sends a request to the server on which work is reserved. It cancels the
 // exchange when that incarnation of the server has ended.
@@ -18,7 +18,7 @@
 // leaves its old connections silent. Without the cancellation, callers wait for
 // the answer of a lost run until their deadline.
 func (t *task) sendTo(ctx context.Context, work *fleet.Work, call Call) (*Reply, error) {
-	t.sent = t.gateway.options.Quarantine.Mark(t.fingerprint)
+	t.sentMark = t.gateway.options.Quarantine.Mark(t.fingerprint)
 	ctx, cancel := context.WithCancel(ctx)
 	unbind := context.AfterFunc(work.Life(), cancel)
 	end := func() {
@@ -30,7 +30,7 @@
 		end()
 		return nil, err
 	}
-	t.heed(call.Server, reply)
+	t.recordServerState(call.Server, reply)
 	reply.Body = &boundBody{ReadCloser: reply.Body, end: end}
 	return reply, nil
 }
@@ -42,7 +42,7 @@
 // identify a copy of another run, whose tokens the caller would receive.
 func (t *task) resumeAt(ctx context.Context, work *fleet.Work, call Call) (*Reply, error) {
 	if work.Life().Err() != nil || t.gateway.options.Fleet.Superseded(call.Resume.Source.Life()) {
-		return nil, errLifeOver
+		return nil, errServerRestarted
 	}
 	return t.sendTo(ctx, work, call)
 }
--- a/gateway/life_test.go
+++ b/gateway/life_test.go
@@ -14,7 +14,7 @@
 )
 
 // restart restarts the server of the first call under its ID.
-func (w *world) restart(born int64) {
+func (w *harness) restart(born int64) {
 	w.mu.Lock()
 	server := w.calls[0].Server
 	w.mu.Unlock()
@@ -22,8 +22,8 @@
 	w.fleet.Put(server)
 }
 
-// giveBirth sets the start time of all servers.
-func (w *world) giveBirth(born int64) {
+// setStartTimes sets the start time of all servers.
+func (w *harness) setStartTimes(born int64) {
 	for _, service := range []string{"llm", "plain"} {
 		for _, server := range w.fleet.Usable(service) {
 			server.Born = born
@@ -34,10 +34,10 @@
 
 // Guards against callers that wait for a run which was lost when its engine
 // restarted.
-func TestRunThatWasLostWithALifeEndsAtOnce(t *testing.T) {
+func TestRunLostByARestartEndsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
-		w.giveBirth(100)
+		is, w := is.New(t), newHarness()
+		w.setStartTimes(100)
 		w.send = func(ctx context.Context, call Call) (*Reply, error) {
 			g := newGeneration(1, 1<<20, gap)
 			context.AfterFunc(ctx, func() { g.reader.CloseWithError(ctx.Err()) })
@@ -60,10 +60,10 @@
 }
 
 // Guards against a second run of a write whose server has restarted.
-func TestWriteSentToAnEarlierLifeIsNotRepeated(t *testing.T) {
+func TestWriteSentBeforeARestartIsNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
-		w.giveBirth(100)
+		is, w := is.New(t), newHarness()
+		w.setStartTimes(100)
 		silent := func(ctx context.Context, call Call) (*Reply, error) {
 			if len(w.calls) > 1 {
 				return answer(http.StatusOK, "b"), nil
@@ -81,7 +81,7 @@
 		is.Equal(time.Since(began), 100*time.Millisecond)
 
 		w.calls = nil
-		w.giveBirth(300)
+		w.setStartTimes(300)
 		time.AfterFunc(100*time.Millisecond, func() { w.restart(400) })
 		began = time.Now()
 		o = w.serve("/read/1")
@@ -93,10 +93,10 @@
 
 // Guards against tokens of another run: after a restart, the handle of an earlier
 // copy may identify a different one.
-func TestCopyOfAnEarlierLifeIsNotUsed(t *testing.T) {
+func TestCopyFromBeforeARestartIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
-		w.giveBirth(100)
+		is, w := is.New(t), newHarness()
+		w.setStartTimes(100)
 		first := newGeneration(1, 100, gap)
 		w.send = func(_ context.Context, call Call) (*Reply, error) {
 			if call.Resume != nil {
@@ -108,7 +108,7 @@
 			if last {
 				destination.Born = 200
 				w.fleet.Put(destination)
-				close(first.broke)
+				close(first.interrupt)
 			}
 			return Copied{Handle: "1", Done: true}, nil
 		}
@@ -121,9 +121,9 @@
 
 // Guards against a log line that blames the caller when a stopping host cuts off a
 // generation at the end of its grace period.
-func TestStopThatEndsBeforeARunSaysSo(t *testing.T) {
+func TestCutOffAtTheEndOfAStopIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		first := newGeneration(1, 1000, gap)
 		w.send = func(context.Context, Call) (*Reply, error) { return first.reply(), nil }
 		ctx, cutOff := context.WithCancel(context.Background())
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -9,11 +9,11 @@
 
 // Metrics holds the gateway's counters and histograms of requests.
 type Metrics struct {
-	requests   *prometheus.CounterVec
-	took       *prometheus.HistogramVec
-	firstEvent prometheus.Histogram
-	pause      prometheus.Histogram
-	moves      *prometheus.CounterVec
+	requests     *prometheus.CounterVec
+	duration     *prometheus.HistogramVec
+	firstEvent   prometheus.Histogram
+	longestPause prometheus.Histogram
+	moves        *prometheus.CounterVec
 }
 
 // NewMetrics registers the gateway's counters and histograms.
@@ -23,7 +23,7 @@
 			Name: "papayasail_gateway_requests_total",
 			Help: "Requests by status of the answer and, if this system produced it, its reason.",
 		}, []string{"status", "reason"}),
-		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "papayasail_gateway_request_seconds",
 			Help:    "Time from receiving a request's head to the end of its answer, by service.",
 			Buckets: prometheus.ExponentialBuckets(0.005, 2, 14),
@@ -33,7 +33,7 @@
 			Help:    "Time from receiving the head of a generation request to its first event.",
 			Buckets: prometheus.ExponentialBuckets(0.05, 1.5, 14),
 		}),
-		pause: prometheus.NewHistogram(prometheus.HistogramOpts{
+		longestPause: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "papayasail_gateway_longest_pause_seconds",
 			Help:    "Longest pause between two events of a generation.",
 			Buckets: prometheus.ExponentialBuckets(0.02, 1.5, 16),
@@ -43,17 +43,17 @@
 			Help: "Attempts to move generations off leaving servers, by result.",
 		}, []string{"result"}),
 	}
-	registerer.MustRegister(m.requests, m.took, m.firstEvent, m.pause, m.moves)
+	registerer.MustRegister(m.requests, m.duration, m.firstEvent, m.longestPause, m.moves)
 	return m
 }
 
 func (m *Metrics) observe(t *task, o Outcome) {
 	m.requests.WithLabelValues(strconv.Itoa(o.Status), string(o.Reason)).Inc()
 	if t.service != nil {
-		m.took.WithLabelValues(t.service.Name).Observe(time.Since(t.request.Arrived).Seconds())
+		m.duration.WithLabelValues(t.service.Name).Observe(time.Since(t.request.Arrived).Seconds())
 	}
 	if o.Streamed {
 		m.firstEvent.Observe(t.firstEvent.Seconds())
-		m.pause.Observe(t.longestPause.Seconds())
+		m.longestPause.Observe(t.longestPause.Seconds())
 	}
 }
--- a/gateway/migrate.go
+++ b/gateway/migrate.go
@@ -19,27 +19,28 @@
 	// turnTimeout bounds the wait for a turn; a leaving engine has usually ended
 	// after two seconds.
 	turnTimeout = 3 * time.Second
-	// copyTimeout bounds one move; an engine that is reclaimed ends within about
+	// moveTimeout bounds one move; an engine that is reclaimed ends within about
 	// two seconds.
-	copyTimeout    = 2 * time.Second
+	moveTimeout    = 2 * time.Second
 	discardTimeout = 200 * time.Millisecond
-	// moveRetry is the delay between attempts to move one run.
-	moveRetry = 50 * time.Millisecond
+	// moveRetryDelay is the delay between attempts to move one run.
+	moveRetryDelay = 50 * time.Millisecond
 )
 
-// guard moves the run whenever its server is leaving, until the run has ended.
-func (g *Gateway) guard(ctx context.Context, run *run) {
+// moveWhenLeaving moves the run whenever its server is leaving, until the run has
+// ended.
+func (g *Gateway) moveWhenLeaving(ctx context.Context, run *run) {
 	for {
 		select {
-		case <-run.gone():
+		case <-run.serverLeaving():
 		case <-ctx.Done():
 			return
 		}
-		if run.over() || run.lost() {
+		if run.hasEnded() || run.lost() {
 			return
 		}
 		g.migrate(ctx, run)
-		if sleep.For(ctx, moveRetry) != nil || run.over() {
+		if sleep.For(ctx, moveRetryDelay) != nil || run.hasEnded() {
 			return
 		}
 	}
@@ -51,55 +52,55 @@
 		return
 	}
 	source, id := run.server(), run.task.request.ID
-	waiting, cancel := context.WithTimeout(ctx, turnTimeout)
+	turnCtx, cancel := context.WithTimeout(ctx, turnTimeout)
 	defer cancel()
-	move := migration.Move{Source: source.ID, Run: id, Size: run.size(), Need: placement.Need{PromptTokens: run.tokens(), OutputTokens: run.expectedMore()}}
-	destination, end, err := g.options.Allocator.TakeTurn(waiting, run.task.service.Name, move)
+	move := migration.Move{Source: source.ID, Run: id, Size: run.lostWork(), Need: placement.Need{PromptTokens: run.memoryTokens(), OutputTokens: run.expectedRemaining()}}
+	destination, end, err := g.options.Allocator.TakeTurn(turnCtx, run.task.service.Name, move)
 	if err != nil {
 		return
 	}
 	defer end()
-	if run.over() || run.lost() {
+	if run.hasEnded() || run.lost() {
 		return
 	}
-	booked := g.options.Fleet.Begin(destination, fleet.Work{ID: id, PromptTokens: move.Need.PromptTokens, OutputTokens: move.Need.OutputTokens, Copied: true}, false)
-	if booked == nil {
-		g.moved(run, source, "no_destination", nil)
+	reservation := g.options.Fleet.Begin(destination, fleet.Work{ID: id, PromptTokens: move.Need.PromptTokens, OutputTokens: move.Need.OutputTokens, Copied: true}, false)
+	if reservation == nil {
+		g.recordMove(run, source, "no_destination", nil)
 		return
 	}
-	g.move(ctx, run, source, booked)
+	g.move(ctx, run, source, reservation)
 }
 
 // move copies the run's memory while the run continues, stops the run, copies the
 // remaining memory and passes the result to the reader of the stream.
-func (g *Gateway) move(ctx context.Context, run *run, source fleet.Server, booked *fleet.Work) {
-	target, id := booked.Server(), run.task.request.ID
-	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
+func (g *Gateway) move(ctx context.Context, run *run, source fleet.Server, reservation *fleet.Work) {
+	target, id := reservation.Server(), run.task.request.ID
+	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
 	defer cancel()
 	began := time.Now()
 	first, err := g.options.Backend.Copy(ctx, source, target, id, false)
 	copied := time.Since(began)
-	if err != nil || !first.Done || run.over() {
-		booked.End()
-		g.moved(run, source, "copy_failed", err)
+	if err != nil || !first.Done || run.hasEnded() {
+		reservation.End()
+		g.recordMove(run, source, "copy_failed", err)
 		return
 	}
 	if current, usable := g.options.Fleet.Get(target.ID); !usable || !current.Life().Is(target.Life()) {
-		booked.End()
+		reservation.End()
 		g.discard(source, first.Handle)
-		g.moved(run, source, "destination_left", nil)
+		g.recordMove(run, source, "destination_left", nil)
 		return
 	}
-	run.dropTransfer()
+	run.discardTransfer()
 	run.setMoving(true)
 	stopped := time.Now()
 	last, err := g.options.Backend.Copy(ctx, source, target, id, true)
 	if err == nil && last.Gone {
 		run.setMoving(false)
-		booked.End()
-		run.hand(transfer{}) // the reader may already be waiting
+		reservation.End()
+		run.deliver(transfer{}) // the reader may already be waiting
 		g.discard(source, first.Handle)
-		g.moved(run, source, "ended_before", nil)
+		g.recordMove(run, source, "ended_before", nil)
 		return
 	}
 	to := transfer{source: source, handle: last.Handle}
@@ -107,22 +108,22 @@
 		to.handle = first.Handle
 	}
 	if last.Done || err != nil {
-		to.works = append(to.works, booked)
+		to.reservations = append(to.reservations, reservation)
 	} else {
-		booked.End()
+		reservation.End()
 	}
 	if !last.Done && !run.lost() {
 		// The source has stopped the run but retains its memory, so it may be
 		// resumed there.
-		if back := g.options.Fleet.Begin(source.ID, fleet.Work{ID: id, PromptTokens: run.tokens(), Copied: true}, true); back != nil {
-			to.works = append(to.works, back)
+		if fallback := g.options.Fleet.Begin(source.ID, fleet.Work{ID: id, PromptTokens: run.memoryTokens(), Copied: true}, true); fallback != nil {
+			to.reservations = append(to.reservations, fallback)
 		}
 	}
-	run.hand(to)
-	g.moved(run, source, moveResult(last, err), err, zap.String("to", target.ID),
+	run.deliver(to)
+	g.recordMove(run, source, moveResult(last, err), err, zap.String("to", target.ID),
 		zap.Duration("copy", copied), zap.Duration("stop", time.Since(stopped)), zap.Bool("same_domain", source.Domain == target.Domain))
 	select {
-	case <-run.settled:
+	case <-run.transferDone:
 	case <-ctx.Done():
 	}
 }
@@ -145,10 +146,10 @@
 	return "copied"
 }
 
-func (g *Gateway) moved(run *run, source fleet.Server, result string, err error, more ...zap.Field) {
+func (g *Gateway) recordMove(run *run, source fleet.Server, result string, err error, more ...zap.Field) {
 	g.options.Metrics.moves.WithLabelValues(result).Inc()
 	fields := append(more, zap.String("request", run.task.request.ID), zap.String("from", source.ID), zap.String("result", result),
-		zap.Int("tokens", run.tokens()))
+		zap.Int("tokens", run.memoryTokens()))
 	if err != nil || result != "copied" {
 		g.options.Logger.Warn(msgMoveFailed, append(fields, zap.Error(err))...)
 		return
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -15,13 +15,13 @@
 	// generations take half a second. Jitter of up to the same amount is added
 	// so that callers do not retry at the same time.
 	retryFull = 400 * time.Millisecond
-	// waitShare divides a route's latency goal; the quotient is how long a
+	// waitDivisor divides a route's latency goal; the quotient is how long a
 	// request waits for capacity. After a longer wait it would rarely be answered
 	// in time, and the caller is better served by another host.
-	waitShare = 8
-	// placeAgain is the interval between placement attempts: on one service, a
-	// short generation ends every 50 to 100 ms.
-	placeAgain = 40 * time.Millisecond
+	waitDivisor = 8
+	// placementInterval is the interval between placement attempts: on one
+	// service, a short generation ends every 50 to 100 ms.
+	placementInterval = 40 * time.Millisecond
 	// retryEvacuated is the retry delay while all servers are in evacuated failure
 	// domains; evacuations last several seconds.
 	retryEvacuated = 2 * time.Second
@@ -32,18 +32,18 @@
 func (t *task) place(ctx context.Context) (*fleet.Work, Reason) {
 	table := t.gateway.options.Fleet
 	need := t.request.Prompt.need(t.route.Kind)
-	waitUntil := t.request.Arrived.Add(t.route.Goal / waitShare)
+	waitUntil := t.request.Arrived.Add(t.route.Goal / waitDivisor)
 	giveUp := time.NewTimer(time.Until(waitUntil))
 	defer giveUp.Stop()
 	for {
 		changed := table.Changed()
-		candidates := table.CandidatesFor(t.query())
+		candidates := table.CandidatesFor(t.candidateQuery())
 		if len(candidates) == 0 {
-			if reason := t.whyNone(time.Until(waitUntil)); reason != "" {
+			if reason := t.noCandidateReason(time.Until(waitUntil)); reason != "" {
 				return nil, reason
 			}
 		}
-		if id := t.choose(ctx, need, candidates); id != "" {
+		if id := t.chooseServer(ctx, need, candidates); id != "" {
 			work := table.Begin(id, fleet.Work{ID: t.request.ID, PromptTokens: need.PromptTokens, OutputTokens: need.OutputTokens}, false)
 			if work != nil {
 				t.server = work.Server()
@@ -52,7 +52,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(placeAgain):
+		case <-time.After(placementInterval):
 		case <-giveUp.C:
 			return nil, ReasonFull
 		case <-ctx.Done():
@@ -61,9 +61,9 @@
 	}
 }
 
-// whyNone returns the reason why there is no candidate server, or "" if one will
-// accept requests again within the given wait.
-func (t *task) whyNone(wait time.Duration) Reason {
+// noCandidateReason returns the reason why there is no candidate server, or "" if
+// one will accept requests again within the given wait.
+func (t *task) noCandidateReason(wait time.Duration) Reason {
 	table := t.gateway.options.Fleet
 	if table.EvacuatedOnly(t.service.Name) {
 		return ReasonEvacuated
@@ -77,10 +77,10 @@
 	return ""
 }
 
-// query returns the query for candidate servers. Each host uses an equal share of
-// the request rate that cold servers of plain services accept; generations are
-// placed by the allocator.
-func (t *task) query() fleet.Query {
+// candidateQuery returns the query for candidate servers. Each host uses an equal
+// share of the request rate that cold servers of plain services accept;
+// generations are placed by the allocator.
+func (t *task) candidateQuery() fleet.Query {
 	q := fleet.Query{Service: t.service.Name, Domain: t.gateway.options.Domain, Except: t.tried}
 	if t.service.ColdRate > 0 {
 		q.ColdShare = 1 / float64(max(1, t.gateway.options.Budget.Hosts()))
@@ -88,8 +88,9 @@
 	return q
 }
 
-// choose returns the ID of the server for the request, or "" if none has capacity.
-func (t *task) choose(ctx context.Context, need placement.Need, candidates []placement.Candidate) string {
+// chooseServer returns the ID of the server for the request, or "" if none has
+// capacity.
+func (t *task) chooseServer(ctx context.Context, need placement.Need, candidates []placement.Candidate) string {
 	if t.service.Engine != nil && t.route.Kind == Generation {
 		asked := allocation.Asked{Request: t.request.ID, Fingerprint: t.fingerprint, Need: need}
 		return t.gateway.options.Allocator.Place(ctx, t.service.Name, asked, t.tried)
@@ -100,8 +101,9 @@
 	return ""
 }
 
-// unplaced returns the outcome of a request that was not placed and did not run.
-func (t *task) unplaced(ctx context.Context, reason Reason) Outcome {
+// unplacedOutcome returns the outcome of a request that was not placed and did
+// not run.
+func (t *task) unplacedOutcome(ctx context.Context, reason Reason) Outcome {
 	if ctx.Err() == context.Canceled {
 		return abandoned()
 	}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -12,16 +12,16 @@
 	"github.com/papayasail/papayasail/quarantine"
 )
 
-// earlyRun is the time after a generation's first event during which its run
+// earlyRunWindow is the time after a generation's first event during which its run
 // still counts as just started.
-const earlyRun = time.Second
+const earlyRunWindow = time.Second
 
 var errQuarantined = errors.New("gateway: request was quarantined while it ran")
 
-// untilQuarantined returns a context that is cancelled when the request is
+// withQuarantine returns a context that is cancelled when the request is
 // quarantined or over is called. If the request is already quarantined, left is
 // the remaining time of the quarantine.
-func (t *task) untilQuarantined(ctx context.Context) (bounded context.Context, over func(), left time.Duration) {
+func (t *task) withQuarantine(ctx context.Context) (bounded context.Context, over func(), left time.Duration) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	end, left := t.gateway.options.Quarantine.Admit(t.fingerprint, func() { cancel(errQuarantined) })
 	return ctx, func() {
@@ -30,9 +30,9 @@
 	}, left
 }
 
-// quarantined returns the outcome of a request that was quarantined while it
-// waited or ran.
-func (t *task) quarantined(before Outcome) Outcome {
+// quarantinedOutcome returns the outcome of a request that was quarantined while
+// it waited or ran.
+func (t *task) quarantinedOutcome(before Outcome) Outcome {
 	switch {
 	case before.Streamed:
 		before.Reason = ReasonQuarantined
@@ -43,27 +43,27 @@
 	return refused(ReasonQuarantined, t.gateway.options.Quarantine.Quarantined(t.fingerprint))
 }
 
-// blame reports the request as suspected of having crashed its server, whose
-// connection broke before the end of the answer.
+// reportSuspectedCrash reports the request as suspected of having crashed its
+// server, whose connection broke before the end of the answer.
 //
 // A request that crashes every server that runs it is retried by its caller at
 // one host after the other, and each crash ends all other runs on the server.
-func (t *task) blame(work *fleet.Work) {
+func (t *task) reportSuspectedCrash(work *fleet.Work) {
 	server, life, backend := work.Server(), work.Life(), t.gateway.options.Backend
 	run := quarantine.Run{
-		Fingerprint: t.fingerprint, Sent: t.sent, Request: t.request.ID, Server: server.ID,
-		Early: t.firstEvent == 0 || time.Since(t.request.Arrived) < t.firstEvent+earlyRun,
+		Fingerprint: t.fingerprint, Sent: t.sentMark, Request: t.request.ID, Server: server.ID,
+		Early: t.firstEvent == 0 || time.Since(t.request.Arrived) < t.firstEvent+earlyRunWindow,
 	}
 	t.gateway.options.Quarantine.Broken(run, func(ctx context.Context) bool {
 		return life.Err() != nil || backend.Ended(ctx, server)
 	})
 }
 
-// blameIfBroken calls blame if err is evidence of a broken connection and the
-// request has not been cancelled.
-func (t *task) blameIfBroken(ctx context.Context, work *fleet.Work, err error) {
+// reportIfBroken calls reportSuspectedCrash if err is evidence of a broken
+// connection and ctx has not ended.
+func (t *task) reportIfBroken(ctx context.Context, work *fleet.Work, err error) {
 	var failure *backend.CallError
 	if ctx.Err() == nil && errors.As(err, &failure) && failure.Evidence == backend.Broken {
-		t.blame(work)
+		t.reportSuspectedCrash(work)
 	}
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -17,17 +17,17 @@
 )
 
 // crash ends the server of a call, which interrupts its answer.
-func (w *world) crash(call Call) {
+func (w *harness) crash(call Call) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.ended[call.Server.ID] = true
+	w.endedServers[call.Server.ID] = true
 }
 
 // Guards against retries of a generation that crashes one engine after the other
 // before its first event.
 func TestGenerationThatCrashesEnginesIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.put("e3", "llm")
 		w.send = func(_ context.Context, call Call) (*Reply, error) {
 			w.crash(call)
@@ -53,7 +53,7 @@
 // attempt of its caller.
 func TestCallThatCrashesServersIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.put("p3", "plain")
 		w.send = func(_ context.Context, call Call) (*Reply, error) {
 			w.crash(call)
@@ -70,9 +70,9 @@
 }
 
 // Guards against a partial answer that clears a suspected request.
-func TestAnswerThatIsNotWholeClearsNothing(t *testing.T) {
+func TestPartialAnswerClearsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.put("p3", "plain")
 		crash := func(_ context.Context, call Call) (*Reply, error) {
 			w.crash(call)
@@ -95,7 +95,7 @@
 // connections.
 func TestCrashIsSeenWhenThePortClosesLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.put("p3", "plain")
 		w.send = func(_ context.Context, call Call) (*Reply, error) {
 			time.AfterFunc(200*time.Millisecond, func() { w.crash(call) })
@@ -114,7 +114,7 @@
 // still running.
 func TestBrokenAnswersOfLiveServersAreNoCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return nil, broken(backend.Broken) }
 		for range 5 {
 			is.Equal(w.serve("/write/1").Reason, ReasonBroken)
@@ -123,10 +123,10 @@
 }
 
 // Guards against servers that crash under runs that began before the quarantine.
-func TestQuarantineEndsWhatRuns(t *testing.T) {
+func TestQuarantineCancelsRuns(t *testing.T) {
 	for path, streamed := range map[string]bool{"/letter/1": true, "/write/1": false} {
 		synctest.Test(t, func(t *testing.T) {
-			is, w := is.New(t), newWorld()
+			is, w := is.New(t), newHarness()
 			w.send = func(ctx context.Context, call Call) (*Reply, error) {
 				if call.Stream {
 					g := newGeneration(1, 10, time.Second)
--- a/gateway/rest_test.go
+++ b/gateway/rest_test.go
@@ -12,9 +12,9 @@
 
 // Guards against callers that wait for servers which refuse requests for longer
 // than a caller may wait, or that are refused just before the servers accept again.
-func TestAllServersWantNothingForAWhile(t *testing.T) {
+func TestAllServersAskForNoRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return answer(http.StatusOK, "ok"), nil }
 		rest := func(d time.Duration) {
 			for _, id := range []string{"p1", "p2", "e1", "e2"} {
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -8,64 +8,64 @@
 
 // run is a generation in progress that this host relays.
 type run struct {
-	task        *task
-	transfers   chan transfer // the result of the move in progress
-	settled     chan struct{} // a token for each transfer that the reader has finished with
-	lastEventID string        // used by the reader's goroutine only
+	task         *task
+	transfers    chan transfer // the result of the move in progress
+	transferDone chan struct{} // a token for each transfer that the reader has finished with
+	lastEventID  string        // used by the reader's goroutine only
 
-	perEvent     int // tokens
-	promptTokens int
+	tokensPerEvent int
+	promptTokens   int
 
-	mu       sync.Mutex // guards all below
-	work     *fleet.Work
-	produced int  // events
-	inMove   bool // a move is in progress or its result was not received yet
-	ended    bool
+	mu             sync.Mutex // guards all below
+	work           *fleet.Work
+	producedEvents int  // events
+	moveInProgress bool // a move is in progress or its result was not received yet
+	ended          bool
 }
 
 // transfer is the result of a move whose source has stopped the run.
 type transfer struct {
 	source fleet.Server
 	handle string
-	// works are reservations on the servers that may resume the run, in order of
+	// reservations are those on the servers that may resume the run, in order of
 	// preference. None: the run is lost.
-	works []*fleet.Work
+	reservations []*fleet.Work
 }
 
 func newRun(t *task, work *fleet.Work) *run {
 	r := &run{
-		task: t, work: work, transfers: make(chan transfer, 1), settled: make(chan struct{}, 1),
-		perEvent: 1, promptTokens: t.request.Prompt.Tokens,
+		task: t, work: work, transfers: make(chan transfer, 1), transferDone: make(chan struct{}, 1),
+		tokensPerEvent: 1, promptTokens: t.request.Prompt.Tokens,
 	}
 	if t.service.Engine != nil {
-		r.perEvent = max(1, t.service.Engine.TokensPerEvent)
+		r.tokensPerEvent = max(1, t.service.Engine.TokensPerEvent)
 	}
 	return r
 }
 
-// passed records that an event was relayed to the caller.
-func (r *run) passed(id string) {
+// recordEvent records that an event was relayed to the caller.
+func (r *run) recordEvent(id string) {
 	if id != "" {
 		r.lastEventID = id
 	}
 	r.mu.Lock()
-	r.produced++
-	work, tokens := r.work, r.produced*r.perEvent
+	r.producedEvents++
+	work, tokens := r.work, r.producedEvents*r.tokensPerEvent
 	r.mu.Unlock()
 	work.Produced(tokens)
 }
 
-func (r *run) outcome(failed bool) { r.current().Outcome(failed) }
+func (r *run) recordOutcome(failed bool) { r.currentWork().Outcome(failed) }
 
 // end closes the stream from the current server and releases the reservation
 // there.
 func (r *run) end(reply *Reply) {
 	reply.Body.Close()
-	r.current().End()
+	r.currentWork().End()
 }
 
-// current returns the run's reservation on its current server.
-func (r *run) current() *fleet.Work {
+// currentWork returns the run's reservation on its current server.
+func (r *run) currentWork() *fleet.Work {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.work
@@ -74,20 +74,20 @@
 func (r *run) moving() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.inMove
+	return r.moveInProgress
 }
 
 func (r *run) setMoving(moving bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.inMove = moving
+	r.moveInProgress = moving
 }
 
-// tokens returns the engine memory that the run occupies, in tokens.
-func (r *run) tokens() int {
+// memoryTokens returns the engine memory that the run occupies, in tokens.
+func (r *run) memoryTokens() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.promptTokens + r.produced*r.perEvent
+	return r.promptTokens + r.producedEvents*r.tokensPerEvent
 }
 
 // server returns the run's current server.
@@ -97,23 +97,23 @@
 	return r.work.Server()
 }
 
-// outliving estimates the remaining output of a run that has outgrown the
+// overrunFraction estimates the remaining output of a run that has outgrown the
 // caller's estimate, as a fraction of the output so far. The estimate is accurate
 // only at the median.
-const outliving = 0.25
+const overrunFraction = 0.25
 
-// expectedMore returns the expected remaining output in tokens.
-func (r *run) expectedMore() int {
+// expectedRemaining returns the expected remaining output in tokens.
+func (r *run) expectedRemaining() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	produced := r.produced * r.perEvent
-	return max(r.task.request.Prompt.expectedOutput()-produced, int(outliving*float64(produced)))
+	produced := r.producedEvents * r.tokensPerEvent
+	return max(r.task.request.Prompt.expectedOutput()-produced, int(overrunFraction*float64(produced)))
 }
 
-// size returns the work that is lost if the run is lost, in prompt tokens.
-func (r *run) size() int {
-	produced := r.tokens() - r.promptTokens
-	return r.promptTokens + outputWeight*(produced+r.expectedMore())
+// lostWork returns the work that is lost if the run is lost, in prompt tokens.
+func (r *run) lostWork() int {
+	produced := r.memoryTokens() - r.promptTokens
+	return r.promptTokens + outputWeight*(produced+r.expectedRemaining())
 }
 
 // outputWeight is the work of one generated token in prompt tokens: an engine
@@ -121,9 +121,9 @@
 // for each stream.
 const outputWeight = 10
 
-// gone returns a channel that is closed when the run's server is known to be
-// leaving.
-func (r *run) gone() <-chan struct{} {
+// serverLeaving returns a channel that is closed when the run's server is known to
+// be leaving.
+func (r *run) serverLeaving() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.work.Gone()
@@ -132,7 +132,7 @@
 // leaving reports whether the run's server is known to be leaving.
 func (r *run) leaving() bool {
 	select {
-	case <-r.gone():
+	case <-r.serverLeaving():
 		return true
 	default:
 		return false
@@ -151,37 +151,37 @@
 func (r *run) started() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.produced > 0
+	return r.producedEvents > 0
 }
 
 // moveTo makes the server on which the run was resumed its current one.
 func (r *run) moveTo(work *fleet.Work) {
 	r.mu.Lock()
-	before, produced := r.work, r.produced*r.perEvent
-	r.work, r.inMove = work, false
+	before, produced := r.work, r.producedEvents*r.tokensPerEvent
+	r.work, r.moveInProgress = work, false
 	r.mu.Unlock()
 	before.End()
 	work.Produced(produced)
 }
 
-// settle records that a transfer was used or abandoned.
-func (r *run) settle() {
+// signalTransferDone records that a transfer was used or abandoned.
+func (r *run) signalTransferDone() {
 	select {
-	case r.settled <- struct{}{}:
+	case r.transferDone <- struct{}{}:
 	default:
 	}
 }
 
-// dropTransfer discards the result of an earlier move that was not received,
+// discardTransfer discards the result of an earlier move that was not received,
 // with its reservations.
-func (r *run) dropTransfer() {
+func (r *run) discardTransfer() {
 	select {
 	case old := <-r.transfers:
-		endAll(old.works)
+		endAll(old.reservations)
 	default:
 	}
 	select {
-	case <-r.settled:
+	case <-r.transferDone:
 	default:
 	}
 }
@@ -192,23 +192,23 @@
 	r.mu.Lock()
 	r.ended = true
 	r.mu.Unlock()
-	r.dropTransfer()
+	r.discardTransfer()
 }
 
-// hand passes the result of a move to the stream's reader.
+// deliver passes the result of a move to the stream's reader.
 //
 // If the reader has ended meanwhile, the result must not keep its reservations
-// on servers forever: finish discards a result that came earlier, hand one that
+// on servers forever: finish discards a result that came earlier, deliver one that
 // comes later.
-func (r *run) hand(to transfer) {
+func (r *run) deliver(to transfer) {
 	r.transfers <- to
-	if r.over() {
-		r.dropTransfer()
+	if r.hasEnded() {
+		r.discardTransfer()
 	}
 }
 
-// over reports whether the run has ended.
-func (r *run) over() bool {
+// hasEnded reports whether the run has ended.
+func (r *run) hasEnded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ended
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -26,15 +26,15 @@
 	for dials := 0; ; {
 		work, reason := t.place(ctx)
 		if work == nil {
-			return t.unplaced(ctx, reason)
+			return t.unplacedOutcome(ctx, reason)
 		}
 		if dials == 0 {
-			t.gateway.options.Budget.Request(t.service.Name)
+			t.gateway.options.Budget.RecordRequest(t.service.Name)
 		}
 		t.tried = append(t.tried, work.Server().ID)
 		reply, err := t.sendTo(ctx, work, t.callTo(work.Server()))
 		if err != nil {
-			result := t.brokenTry(ctx, work, err)
+			result := t.failedAttempt(ctx, work, err)
 			work.End()
 			if result.sent || dials >= maxDials || ctx.Err() != nil {
 				return result.outcome
@@ -43,11 +43,11 @@
 			continue
 		}
 		t.sends++
-		if !took(reply) {
-			result := t.notRun(reply)
+		if !accepted(reply) {
+			result := t.refusedAttempt(reply)
 			reply.Body.Close()
 			work.End()
-			if result.sent || dials >= maxDials || !t.mayGoOn(&result) {
+			if result.sent || dials >= maxDials || !t.mayTryNextServer(&result) {
 				return result.outcome
 			}
 			dials++
@@ -61,7 +61,7 @@
 // server.
 func (t *task) relay(ctx context.Context, sink Sink, work *fleet.Work, reply *Reply) Outcome {
 	if reply.Status != http.StatusOK {
-		return t.whole(ctx, work, reply)
+		return t.bufferedOutcome(ctx, work, reply)
 	}
 	if !reply.Whole {
 		reply.Body.Close()
@@ -72,34 +72,34 @@
 	run := newRun(t, work)
 	defer run.finish()
 	if t.service.Engine != nil && t.service.Engine.Moves {
-		go t.gateway.guard(ctx, run)
+		go t.gateway.moveWhenLeaving(ctx, run)
 	}
 	if err := sink.Begin(reply.Status, reply.Header); err != nil {
 		run.end(reply)
 		return abandoned()
 	}
 	for {
-		outcome, done := t.pass(ctx, sink, run, reply)
+		outcome, done := t.relayEvents(ctx, sink, run, reply)
 		run.end(reply)
 		if done {
 			return outcome
 		}
-		next, ok := t.follow(ctx, run)
+		next, ok := t.resumeMoved(ctx, run)
 		if !ok {
-			return t.cutOff(ctx, run)
+			return t.interruptedOutcome(ctx, run)
 		}
 		reply = next
 	}
 }
 
-// whole returns the outcome of an answer that is not a stream.
-func (t *task) whole(ctx context.Context, work *fleet.Work, reply *Reply) Outcome {
+// bufferedOutcome returns the outcome of an answer that is not a stream.
+func (t *task) bufferedOutcome(ctx context.Context, work *fleet.Work, reply *Reply) Outcome {
 	defer work.End()
 	defer reply.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxAnswerBytes))
 	if err != nil {
 		if ctx.Err() == nil {
-			t.blame(work)
+			t.reportSuspectedCrash(work)
 		}
 		return t.mayHaveRun(ctx, ReasonBroken).outcome
 	}
@@ -108,9 +108,9 @@
 	return Outcome{Status: reply.Status, Header: reply.Header, Body: body, Complete: true}
 }
 
-// pass relays events until the stream ends. It reports false if the stream was
-// interrupted, so that the run may be resumed elsewhere.
-func (t *task) pass(ctx context.Context, sink Sink, run *run, reply *Reply) (Outcome, bool) {
+// relayEvents relays events until the stream ends. It reports false if the stream
+// was interrupted, so that the run may be resumed elsewhere.
+func (t *task) relayEvents(ctx context.Context, sink Sink, run *run, reply *Reply) (Outcome, bool) {
 	events := newEventReader(reply.Body)
 	for {
 		next, err := events.next()
@@ -119,34 +119,36 @@
 			return Outcome{}, false
 		}
 		if len(next.block) > 0 {
-			t.passedEvent()
+			t.recordEventTime()
 			if err := sink.Event(next.block); err != nil {
-				return t.callerGone(), true
+				return t.callerGoneOutcome(), true
 			}
 		}
 		if complete {
-			run.outcome(false)
+			run.recordOutcome(false)
 			t.gateway.options.Quarantine.Completed(t.fingerprint)
 			return Outcome{Status: http.StatusOK, Streamed: true, Complete: true}, true
 		}
-		run.passed(next.id)
+		run.recordEvent(next.id)
 	}
 }
 
-func (t *task) callerGone() Outcome { return Outcome{Streamed: true, Reason: t.goneReason()} }
+func (t *task) callerGoneOutcome() Outcome {
+	return Outcome{Streamed: true, Reason: t.disconnectReason()}
+}
 
-// goneReason returns the reason why the caller's connection has ended: the
+// disconnectReason returns the reason why the caller's connection has ended: the
 // caller disconnected, or this host cut it off at the end of its stop.
-func (t *task) goneReason() Reason {
-	if t.gateway.ended() {
+func (t *task) disconnectReason() Reason {
+	if t.gateway.stopDeadlinePassed() {
 		return ReasonHostStopped
 	}
 	return ReasonCallerGone
 }
 
-// follow resumes a run that has moved. It waits for the result of a move in
+// resumeMoved resumes a run that has moved. It waits for the result of a move in
 // progress.
-func (t *task) follow(ctx context.Context, run *run) (*Reply, bool) {
+func (t *task) resumeMoved(ctx context.Context, run *run) (*Reply, bool) {
 	if ctx.Err() != nil || !run.moving() {
 		return nil, false
 	}
@@ -160,10 +162,10 @@
 	case <-ctx.Done():
 		return nil, false
 	}
-	defer run.settle()
-	for i, work := range to.works {
+	defer run.signalTransferDone()
+	for i, work := range to.reservations {
 		if reply, ok := t.resume(ctx, run, work, to); ok {
-			endAll(to.works[i+1:])
+			endAll(to.reservations[i+1:])
 			return reply, true
 		}
 		work.End()
@@ -171,8 +173,8 @@
 	return nil, false
 }
 
-func endAll(works []*fleet.Work) {
-	for _, work := range works {
+func endAll(reservations []*fleet.Work) {
+	for _, work := range reservations {
 		work.End()
 	}
 }
@@ -203,19 +205,20 @@
 	return reply, true
 }
 
-// cutOff returns the outcome of a stream that was interrupted and not resumed.
-func (t *task) cutOff(ctx context.Context, run *run) Outcome {
+// interruptedOutcome returns the outcome of a stream that was interrupted and not
+// resumed.
+func (t *task) interruptedOutcome(ctx context.Context, run *run) Outcome {
 	o := Outcome{Streamed: true, Reason: ReasonBroken}
 	switch {
 	case ctx.Err() == context.Canceled:
-		o.Reason = t.goneReason()
+		o.Reason = t.disconnectReason()
 	case ctx.Err() == context.DeadlineExceeded:
 		o.Reason = ReasonTimeout
 	case run.moving() || run.leaving():
 		o.Reason = ReasonMoveFailed
 	default:
-		run.outcome(true)
-		t.blame(run.current())
+		run.recordOutcome(true)
+		t.reportSuspectedCrash(run.currentWork())
 	}
 	return o
 }
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -21,7 +21,7 @@
 // Guards against events that are lost, duplicated or truncated when a run moves.
 func TestStreamMovesOffALeavingEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		first := newGeneration(1, 100, gap)
 		first.tail = "id: 99\nda"
 		w.send = func(_ context.Context, call Call) (*Reply, error) {
@@ -36,7 +36,7 @@
 		w.copy = func(_, _ fleet.Server, last bool) (Copied, error) {
 			time.Sleep(190 * time.Millisecond)
 			if last {
-				close(first.broke)
+				close(first.interrupt)
 			}
 			return Copied{Handle: "h", Done: true}, nil
 		}
@@ -54,16 +54,16 @@
 }
 
 // Guards against reservations that remain for runs whose callers have disconnected.
-func TestMoveOfACallerThatLeftBooksNothing(t *testing.T) {
+func TestMoveForDisconnectedCallerLeavesNoReservation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		first := newGeneration(1, 100, gap)
 		w.send = func(context.Context, Call) (*Reply, error) { return first.reply(), nil }
 		ctx, leave := context.WithCancel(context.Background())
 		w.copy = func(_, _ fleet.Server, last bool) (Copied, error) {
 			if last {
 				leave()
-				close(first.broke)
+				close(first.interrupt)
 			}
 			time.Sleep(200 * time.Millisecond)
 			return Copied{Handle: "h", Done: true}, nil
@@ -79,9 +79,9 @@
 
 // Guards against a reservation on the destination that is released while a run's
 // memory is still being copied there.
-func TestSlowCopyKeepsItsPlace(t *testing.T) {
+func TestSlowCopyKeepsItsReservation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return newGeneration(1, 100, gap).reply(), nil }
 		w.copy = func(_, destination fleet.Server, last bool) (Copied, error) {
 			time.Sleep(3 * time.Second)
@@ -99,7 +99,7 @@
 // although the server has answered others meanwhile.
 func TestGenerationThatTimesOutOnASilentConnectionIsNoEvidence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(ctx context.Context, call Call) (*Reply, error) {
 			time.AfterFunc(time.Second, func() { w.fleet.Witness("other", call.Server.ID, fleet.Evidence{Answered: 1}) })
 			<-ctx.Done()
@@ -112,9 +112,9 @@
 
 // Guards against losing a run whose last increment the destination has no room for:
 // the source has stopped the run but retains its memory, so it resumes there.
-func TestRefusedCopyGoesOnAtItsSource(t *testing.T) {
+func TestRefusedCopyResumesAtSource(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		first := newGeneration(1, 60, gap)
 		moves := 0
 		w.send = func(_ context.Context, call Call) (*Reply, error) {
@@ -128,7 +128,7 @@
 			if !last {
 				return Copied{Handle: "h", Done: moves == 1}, nil
 			}
-			close(first.broke)
+			close(first.interrupt)
 			return Copied{Handle: "kept"}, nil
 		}
 		time.AfterFunc(time.Second, func() { w.fleet.MarkLeaving(w.calls[0].Server.Life(), fleet.SourceList) })
@@ -143,12 +143,12 @@
 
 // Guards against an answer that looks complete, or continues with a second
 // generation, after an engine has crashed in the middle of a stream.
-func TestBrokenStreamNeverLooksWhole(t *testing.T) {
+func TestInterruptedStreamNeverLooksComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		first := newGeneration(1, 60, gap)
 		w.send = func(context.Context, Call) (*Reply, error) { return first.reply(), nil }
-		time.AfterFunc(time.Second, func() { close(first.broke) })
+		time.AfterFunc(time.Second, func() { close(first.interrupt) })
 		caller := &recorder{}
 		o := w.gateway.Serve(context.Background(), w.request("/letter/1"), caller)
 		is.Equal(o.Status, 0)
@@ -160,9 +160,9 @@
 
 // Guards against a second run of a generation whose connection broke before the
 // first event: the engine may already have begun.
-func TestLetterIsNeverGeneratedTwice(t *testing.T) {
+func TestGenerationNeverRunsTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return nil, broken(backend.Broken) }
 		o := w.serve("/letter/1")
 		is.Equal(o.Status, http.StatusBadGateway)
@@ -173,9 +173,9 @@
 
 // Guards against failing a generation whose engine has ended before its entry was
 // removed: nothing was sent, so another engine can run it.
-func TestEngineThatTakesNoConnection(t *testing.T) {
+func TestEngineThatRefusesConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) {
 			if len(w.calls) == 1 {
 				return nil, broken(backend.NothingSent)
@@ -192,7 +192,7 @@
 // refused as not run, with a retry delay that has jitter.
 func TestFullEnginesRefuseWithinAnEighthOfTheGoal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		for _, id := range []string{"e1", "e2"} {
 			w.fleet.SetOthers("h2", "llm", map[string]fleet.Load{"e1": {Requests: 9, HeldTokens: 33000}, "e2": {Requests: 9, HeldTokens: 33000}}, everywhere)
 			_ = id
@@ -207,9 +207,9 @@
 	})
 }
 
-func TestWaitingLetterTakesTheNextPlace(t *testing.T) {
+func TestWaitingGenerationTakesFreedCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return newGeneration(1, 3, gap).reply(), nil }
 		full := map[string]fleet.Load{"e1": {Requests: 9, HeldTokens: 33000}, "e2": {Requests: 9, HeldTokens: 33000}}
 		w.fleet.SetOthers("h2", "llm", full, everywhere)
@@ -220,9 +220,9 @@
 
 // Guards against a generation that outlasts the grace period of a stopping host. It
 // is refused as not run while short calls are still served.
-func TestStoppingHostSendsLettersElsewhere(t *testing.T) {
+func TestStoppingHostRefusesLongGenerations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return answer(http.StatusOK, "ok"), nil }
 		w.gateway.Stop(time.Now().Add(7 * time.Second))
 		o := w.serve("/letter/1")
@@ -231,7 +231,7 @@
 		is.Equal(o.RetryAfter, retryStopping)
 		is.Equal(w.serve("/write/1").Status, http.StatusOK)
 		// If all hosts stop, the first is back after about one second.
-		w.alone = true
+		w.noOtherHosts = true
 		is.Equal(w.serve("/letter/1").RetryAfter, retryAllStopping)
 		// A call that may outlast the host is refused as well.
 		time.Sleep(6500 * time.Millisecond)
@@ -241,9 +241,9 @@
 
 // Guards against a stopping host that refuses a request whose deadline is before
 // its own stop, which would use up the caller's only retry.
-func TestStoppingHostTakesWhatEndsBeforeIt(t *testing.T) {
+func TestStoppingHostAcceptsRequestsThatEndBeforeIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return newGeneration(1, 3, gap).reply(), nil }
 		w.gateway.Stop(time.Now().Add(7 * time.Second))
 		request := w.request("/letter/1")
@@ -261,7 +261,7 @@
 // progress.
 func TestRunningRequestKeepsItsConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return newGeneration(1, 30, gap).reply(), nil }
 		time.AfterFunc(500*time.Millisecond, func() { w.gateway.SetConfiguration(w.configuration(2, "other")) })
 		caller := &recorder{}
@@ -270,7 +270,7 @@
 	})
 }
 
-func TestEventsAreCutWhole(t *testing.T) {
+func TestEventReaderReturnsWholeEvents(t *testing.T) {
 	is := is.New(t)
 	long := "id: 2\ndata: " + strings.Repeat("x", 9000) + "\n\n"
 	r := newEventReader(strings.NewReader("x-versions: 3\nid: 1\ndata: a\n\n" + long + "data: no id\r\n\r\nrest"))
@@ -303,9 +303,9 @@
 
 // Guards against more generations on an engine whose answers report that it is
 // leaving, and against interrupting the one whose answer reported it.
-func TestGenerationsHeedAnAnswerThatSaysLeaving(t *testing.T) {
+func TestGenerationsAvoidEngineThatReportsLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		leaving := ""
 		w.send = func(_ context.Context, call Call) (*Reply, error) {
 			r := newGeneration(1, 3, gap).reply()
