--- a/quarantine/broken.go
+++ b/quarantine/broken.go
@@ -10,15 +10,15 @@
 const (
 	msgNotWatched = "broken connection not watched for a crash: too many are"
 
-	// lookTimeout bounds one check whether a server has ended; the request's
+	// checkTimeout bounds one check whether a server has ended; the request's
 	// caller waits for the first one.
-	lookTimeout = 100 * time.Millisecond
-	// mostWatched is the maximum number of broken runs watched at a time.
-	mostWatched = 256
+	checkTimeout = 100 * time.Millisecond
+	// maxWatched is the maximum number of broken runs watched at a time.
+	maxWatched = 256
 )
 
-// lookPauses are the delays between the checks whether a server has ended.
-var lookPauses = []time.Duration{10 * time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond, 600 * time.Millisecond}
+// checkIntervals are the delays between the checks whether a server has ended.
+var checkIntervals = []time.Duration{10 * time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond, 600 * time.Millisecond}
 
 // Run is one run of a request on a backend server.
 type Run struct {
@@ -34,7 +34,7 @@
 // process has ended, returns true. A crashing server may close its connections
 // before its port, so the check is repeated for about one second.
 func (t *Table) Broken(run Run, ended func(context.Context) bool) {
-	if look(ended) {
+	if checkEnded(ended) {
 		t.Crashed(run)
 		return
 	}
@@ -44,7 +44,7 @@
 		t.logger.Warn(msgNotWatched, zap.String("request", run.Request), fingerprintField(run.Fingerprint), zap.String("server", run.Server))
 		return
 	}
-	t.watch(run, ended, lookPauses)
+	t.watch(run, ended, checkIntervals)
 }
 
 // watch checks the server after each of the pauses until it has ended.
@@ -54,7 +54,7 @@
 		return
 	}
 	time.AfterFunc(pauses[0], func() {
-		if look(ended) {
+		if checkEnded(ended) {
 			<-t.watched
 			t.Crashed(run)
 			return
@@ -63,8 +63,9 @@
 	})
 }
 
-func look(ended func(context.Context) bool) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), lookTimeout)
+// checkEnded calls ended with a timeout of checkTimeout.
+func checkEnded(ended func(context.Context) bool) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
 	defer cancel()
 	return ended(ctx)
 }
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -12,11 +12,12 @@
 	// the server suspects.
 	retransmits        = 12
 	suspectRetransmits = 4
-	// newsLimit is the maximum number of changed records in one message.
-	newsLimit = 8
-	// repeated is how many quarantined requests each message contains besides the
-	// changed records, so that a host that missed a change still receives it.
-	repeated = 2
+	// maxChangedRecords is the maximum number of changed records in one message.
+	maxChangedRecords = 8
+	// repeatsPerMessage is how many quarantined requests each message contains
+	// besides the changed records, so that a host that missed a change still
+	// receives it.
+	repeatsPerMessage = 2
 )
 
 // News returns the records for one gossip message to another host.
@@ -25,42 +26,42 @@
 	defer t.mu.Unlock()
 	now := time.Now()
 	var news []Record
-	for _, e := range t.untold(now) {
-		e.passOn--
-		news = append(news, e.told(now))
+	for _, e := range t.pendingRecords(now) {
+		e.retransmitsLeft--
+		news = append(news, e.snapshot(now))
 	}
-	for range repeated {
-		e := t.nextRepeated()
+	for range repeatsPerMessage {
+		e := t.nextRepeat()
 		if e == nil || slices.ContainsFunc(news, func(r Record) bool { return r.Fingerprint == e.Fingerprint }) {
 			break
 		}
-		news = append(news, e.told(now))
+		news = append(news, e.snapshot(now))
 	}
 	return news
 }
 
-// untold returns the changed records that are still to be gossiped, newsLimit at
-// most. Records with more crashes come first, and among those the ones sent least
-// often. It deletes expired records. Called with mu held.
-func (t *Table) untold(now time.Time) []*entry {
-	var untold []*entry
+// pendingRecords returns up to maxChangedRecords changed records that are still to
+// be gossiped. Records with more crashes come first, and among those the ones sent
+// least often. It deletes expired records. Called with mu held.
+func (t *Table) pendingRecords(now time.Time) []*entry {
+	var pending []*entry
 	for fingerprint, e := range t.requests {
 		switch {
 		case !now.Before(e.expires):
 			delete(t.requests, fingerprint)
-		case e.passOn > 0:
-			untold = append(untold, e)
+		case e.retransmitsLeft > 0:
+			pending = append(pending, e)
 		}
 	}
-	slices.SortFunc(untold, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(b.Crashes, a.Crashes), cmp.Compare(b.passOn, a.passOn))
+	slices.SortFunc(pending, func(a, b *entry) int {
+		return cmp.Or(cmp.Compare(b.Crashes, a.Crashes), cmp.Compare(b.retransmitsLeft, a.retransmitsLeft))
 	})
-	return untold[:min(len(untold), newsLimit)]
+	return pending[:min(len(pending), maxChangedRecords)]
 }
 
-// nextRepeated returns the next quarantined request in rotation, or nil. Called
+// nextRepeat returns the next quarantined request in rotation, or nil. Called
 // with mu held.
-func (t *Table) nextRepeated() *entry {
+func (t *Table) nextRepeat() *entry {
 	if len(t.rotation) == 0 {
 		for fingerprint, e := range t.requests {
 			if e.Quarantined() {
@@ -87,14 +88,14 @@
 	now := time.Now()
 	for _, e := range t.requests {
 		if e.Quarantined() && now.Before(e.expires) {
-			all = append(all, e.told(now))
+			all = append(all, e.snapshot(now))
 		}
 	}
 	return all
 }
 
-// told returns the record with its remaining time.
-func (e *entry) told(now time.Time) Record {
+// snapshot returns the record with its remaining time.
+func (e *entry) snapshot(now time.Time) Record {
 	r := e.Record
 	r.Left = e.expires.Sub(now)
 	return r
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -20,21 +20,21 @@
 	// sourceOwn is the source of records that come from this host's own requests.
 	sourceOwn = "own"
 
-	// crashesNeeded is the number of consecutive server crashes that quarantine a
+	// crashThreshold is the number of consecutive server crashes that quarantine a
 	// request: the second must occur under a run that was sent after the first
 	// crash was known. A request that happens to be on a server crashed by
 	// another request is hardly ever on two such servers in a row.
-	crashesNeeded = 2
-	// quarantineFor is how long a request is quarantined. Hosts cannot detect when
-	// the servers' fault is fixed, and each trial may crash a server.
-	quarantineFor = 30 * time.Minute
-	// suspectFor is how long a single crash is remembered.
-	suspectFor = 10 * time.Minute
-	// clearedFor is how long the record of a cleared request is kept to override
-	// older records at other hosts.
-	clearedFor = time.Minute
-	// mostRequests bounds the table; the entry that expires first is evicted.
-	mostRequests = 4096
+	crashThreshold = 2
+	// quarantineDuration is how long a request is quarantined. Hosts cannot detect
+	// when the servers' fault is fixed, and each trial may crash a server.
+	quarantineDuration = 30 * time.Minute
+	// suspicionDuration is how long a single crash is remembered.
+	suspicionDuration = 10 * time.Minute
+	// clearedRetention is how long the record of a cleared request is kept to
+	// override older records at other hosts.
+	clearedRetention = time.Minute
+	// maxRequests bounds the table; the entry that expires first is evicted.
+	maxRequests = 4096
 )
 
 // Record is the crash history of one request. Of two records of a request, the one
@@ -48,7 +48,7 @@
 }
 
 // Quarantined reports whether the request is quarantined.
-func (r Record) Quarantined() bool { return r.Crashes >= crashesNeeded }
+func (r Record) Quarantined() bool { return r.Crashes >= crashThreshold }
 
 func (r Record) newerThan(other Record) bool {
 	if r.Epoch != other.Epoch {
@@ -82,16 +82,16 @@
 }
 
 type entry struct {
-	Record  // without Left
-	expires time.Time
-	passOn  int // remaining retransmits of the changed record
+	Record          // without Left
+	expires         time.Time
+	retransmitsLeft int // remaining retransmits of the changed record
 }
 
 // NewTable returns an empty table.
 func NewTable(logger *zap.Logger, registerer prometheus.Registerer) *Table {
 	t := &Table{
 		logger: logger, requests: map[uint64]*entry{}, runs: map[uint64]map[*func()]struct{}{},
-		watched: make(chan struct{}, mostWatched),
+		watched: make(chan struct{}, maxWatched),
 		changes: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "papayasail_quarantine_changes_total",
 			Help: "Requests that became suspected of crashing backend servers, quarantined or cleared, as known to this host.",
@@ -116,11 +116,11 @@
 func (t *Table) Quarantined(fingerprint uint64) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.quarantinedFor(fingerprint)
+	return t.remainingQuarantine(fingerprint)
 }
 
-// quarantinedFor is Quarantined, called with mu held.
-func (t *Table) quarantinedFor(fingerprint uint64) time.Duration {
+// remainingQuarantine is like Quarantined. Called with mu held.
+func (t *Table) remainingQuarantine(fingerprint uint64) time.Duration {
 	if e := t.get(fingerprint); e != nil && e.Quarantined() {
 		return time.Until(e.expires)
 	}
@@ -134,7 +134,7 @@
 func (t *Table) Admit(fingerprint uint64, end func()) (over func(), left time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if left := t.quarantinedFor(fingerprint); left > 0 {
+	if left := t.remainingQuarantine(fingerprint); left > 0 {
 		return func() {}, left
 	}
 	key := &end
@@ -159,20 +159,20 @@
 // servers that crash at the same time count once.
 func (t *Table) Crashed(run Run) {
 	t.mu.Lock()
-	now := Record{Fingerprint: run.Fingerprint, Epoch: run.Sent.epoch, Crashes: run.Sent.crashes + 1}
+	updated := Record{Fingerprint: run.Fingerprint, Epoch: run.Sent.epoch, Crashes: run.Sent.crashes + 1}
 	known := t.get(run.Fingerprint)
-	if known != nil && known.Epoch > now.Epoch {
-		now.Epoch, now.Crashes = known.Epoch, 1
+	if known != nil && known.Epoch > updated.Epoch {
+		updated.Epoch, updated.Crashes = known.Epoch, 1
 	}
 	t.logger.Warn(msgSuspected, zap.String("request", run.Request), fingerprintField(run.Fingerprint), zap.String("server", run.Server),
-		zap.Uint32("in_a_row", now.Crashes))
+		zap.Uint32("in_a_row", updated.Crashes))
 	var ends []*func()
-	changed := known == nil || now.newerThan(known.Record)
+	changed := known == nil || updated.newerThan(known.Record)
 	if changed {
-		ends = t.set(now, lifetime(now), run.Early, sourceOwn)
+		ends = t.set(updated, lifetime(updated), run.Early, sourceOwn)
 	}
 	t.mu.Unlock()
-	t.after(ends, changed, changed && now.Quarantined())
+	t.notify(ends, changed, changed && updated.Quarantined())
 }
 
 // Completed records that a request ran to its end and clears it of earlier
@@ -184,10 +184,10 @@
 	wasQuarantined := changed && known.Quarantined()
 	if changed {
 		t.logger.Info(msgCleared, fingerprintField(fingerprint), zap.Uint32("in_a_row", known.Crashes))
-		t.set(Record{Fingerprint: fingerprint, Epoch: known.Epoch + 1}, clearedFor, true, sourceOwn)
+		t.set(Record{Fingerprint: fingerprint, Epoch: known.Epoch + 1}, clearedRetention, true, sourceOwn)
 	}
 	t.mu.Unlock()
-	t.after(nil, changed, wasQuarantined)
+	t.notify(nil, changed, wasQuarantined)
 }
 
 // Merge merges records from other hosts or the store and reports whether any of
@@ -202,14 +202,14 @@
 		switch {
 		case r.Left <= 0 || known == nil && r.Epoch == 0 && r.Crashes == 0:
 		case known != nil && known.newerThan(r):
-			known.passOn = max(known.passOn, 1)
+			known.retransmitsLeft = max(known.retransmitsLeft, 1)
 		case known == nil || r.newerThan(known.Record):
 			ends = append(ends, t.set(r, min(r.Left, lifetime(r)), true, source)...)
 			changed = true
 		}
 	}
 	t.mu.Unlock()
-	t.after(ends, false, false) // Changed is not called: the caller of Merge forwards new records
+	t.notify(ends, false, false) // Changed is not called: the caller of Merge forwards new records
 	return changed
 }
 
@@ -220,20 +220,20 @@
 	known := t.get(r.Fingerprint)
 	wasQuarantined := known != nil && known.Quarantined()
 	if known == nil {
-		t.makeRoom()
+		t.evictIfFull()
 		known = &entry{}
 		t.requests[r.Fingerprint] = known
 	}
 	known.Record, known.expires = r, time.Now().Add(lasts)
 	known.Left = 0
-	known.passOn = 0
+	known.retransmitsLeft = 0
 	if tell {
-		known.passOn = suspectRetransmits
+		known.retransmitsLeft = suspectRetransmits
 	}
 	if r.Quarantined() {
-		known.passOn = retransmits
+		known.retransmitsLeft = retransmits
 	}
-	t.changes.WithLabelValues(change(r)).Inc()
+	t.changes.WithLabelValues(changeLabel(r)).Inc()
 	if !r.Quarantined() || wasQuarantined {
 		return nil
 	}
@@ -245,8 +245,8 @@
 	return ends
 }
 
-// after cancels runs and calls the callbacks, which must not happen with mu held.
-func (t *Table) after(ends []*func(), changed, kept bool) {
+// notify cancels runs and calls the callbacks, which must not happen with mu held.
+func (t *Table) notify(ends []*func(), changed, kept bool) {
 	for _, end := range ends {
 		(*end)()
 	}
@@ -268,10 +268,10 @@
 	return e
 }
 
-// makeRoom evicts the entry that expires first if the table is full. Called with
-// mu held.
-func (t *Table) makeRoom() {
-	if len(t.requests) < mostRequests {
+// evictIfFull evicts the entry that expires first if the table is full. Called
+// with mu held.
+func (t *Table) evictIfFull() {
+	if len(t.requests) < maxRequests {
 		return
 	}
 	var first *entry
@@ -287,15 +287,15 @@
 func lifetime(r Record) time.Duration {
 	switch {
 	case r.Quarantined():
-		return quarantineFor
+		return quarantineDuration
 	case r.Crashes > 0:
-		return suspectFor
+		return suspicionDuration
 	}
-	return clearedFor
+	return clearedRetention
 }
 
-// change returns the metric label of a change to the record.
-func change(r Record) string {
+// changeLabel returns the metric label of a change to the record.
+func changeLabel(r Record) string {
 	switch {
 	case r.Quarantined():
 		return "quarantined"
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -37,10 +37,10 @@
 		table.crash()
 		is.Equal(table.Quarantined(suspect), time.Duration(0))
 		table.crash()
-		is.Equal(table.Quarantined(suspect), quarantineFor)
+		is.Equal(table.Quarantined(suspect), quarantineDuration)
 		is.Equal(kept, 1)
 		is.Equal(table.Quarantined(suspect+1), time.Duration(0))
-		time.Sleep(quarantineFor)
+		time.Sleep(quarantineDuration)
 		is.Equal(table.Quarantined(suspect), time.Duration(0))
 	})
 }
@@ -75,7 +75,7 @@
 }
 
 // Guards against a quarantine that is restored by a host that missed its end.
-func TestEndOfAQuarantineIsToldToWhoMissedIt(t *testing.T) {
+func TestEndOfQuarantineReachesHostThatMissedIt(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table, late := newTable(), newTable()
 		kept := 0
@@ -97,14 +97,14 @@
 	inBubble(t, func(is *is.I) {
 		table := newTable()
 		table.crash()
-		time.Sleep(suspectFor)
+		time.Sleep(suspicionDuration)
 		table.crash()
 		is.Equal(table.Quarantined(suspect), time.Duration(0))
 	})
 }
 
 // Guards against servers that crash under runs sent before the quarantine.
-func TestQuarantineEndsRuns(t *testing.T) {
+func TestQuarantineCancelsRuns(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table := newTable()
 		ended := 0
@@ -112,9 +112,9 @@
 		over, _ := table.Admit(suspect, func() { ended += 10 })
 		table.Admit(suspect+1, func() { ended += 100 })
 		over()
-		is.True(table.Merge([]Record{{Fingerprint: suspect, Crashes: crashesNeeded, Left: time.Minute}}, "peer"))
+		is.True(table.Merge([]Record{{Fingerprint: suspect, Crashes: crashThreshold, Left: time.Minute}}, "peer"))
 		is.Equal(ended, 1)
-		is.True(!table.Merge([]Record{{Fingerprint: suspect, Crashes: crashesNeeded, Left: time.Minute}}, "peer"))
+		is.True(!table.Merge([]Record{{Fingerprint: suspect, Crashes: crashThreshold, Left: time.Minute}}, "peer"))
 		is.Equal(ended, 1)
 	})
 }
@@ -129,13 +129,13 @@
 		is.Equal(left, time.Duration(0))
 		table.crash()
 		_, left = table.Admit(suspect, func() { is.Fail() })
-		is.Equal(left, quarantineFor)
+		is.Equal(left, quarantineDuration)
 		table.crash()
 	})
 }
 
 // Guards against one crashed server whose many older runs flood the gossip.
-func TestLateCrashIsNoNewsAtFirst(t *testing.T) {
+func TestFirstCrashOfOlderRunIsNotGossiped(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table := newTable()
 		table.Crashed(run(suspect, table.Mark(suspect), false))
@@ -147,7 +147,7 @@
 
 // Guards against a host that misses a quarantine because it was paused while the
 // record was gossiped.
-func TestQuarantineIsToldAgainAndAgain(t *testing.T) {
+func TestQuarantineIsGossipedRepeatedly(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table, late := newTable(), newTable()
 		table.crash()
@@ -162,7 +162,7 @@
 }
 
 // Guards against a quarantined request that is gossiped only after suspects.
-func TestQuarantineIsToldFirst(t *testing.T) {
+func TestQuarantineIsGossipedFirst(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table := newTable()
 		for i := range 100 {
@@ -180,11 +180,11 @@
 func TestTableIsBounded(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table := newTable()
-		for i := range 2 * mostRequests {
+		for i := range 2 * maxRequests {
 			table.Crashed(run(uint64(i), Mark{}, true))
 		}
-		is.Equal(len(table.requests), mostRequests)
-		is.Equal(len(table.News()), newsLimit)
+		is.Equal(len(table.requests), maxRequests)
+		is.Equal(len(table.News()), maxChangedRecords)
 	})
 }
 
