--- a/contract/parse.go
+++ b/contract/parse.go
@@ -71,7 +71,7 @@
 
 func (p documentParser) document(m *strictyaml.Mapping) *Document {
 	d := &Document{
-		Service: name(m, "service"),
+		Service: parseName(m, "service"),
 		Owner:   m.Text("owner", strictyaml.Required),
 		Kind:    Kind(m.Choice("kind", strictyaml.Required, string(KindModel), string(KindPlain))),
 	}
@@ -115,7 +115,7 @@
 	names, addresses := map[string]bool{}, map[string]bool{}
 	for _, item := range m.Mappings("backend_servers", strictyaml.Required) {
 		server := BackendServer{
-			Name:          name(item, "name"),
+			Name:          parseName(item, "name"),
 			Address:       item.Address("address", strictyaml.Required),
 			FailureDomain: item.Text("failure_domain", strictyaml.Required),
 			ChecksOrders:  item.Bool("checks_orders", strictyaml.Optional),
@@ -123,9 +123,9 @@
 			Role:          item.Text("role", strictyaml.Optional),
 		}
 		item.Close()
-		once(item, "name", names, server.Name, "another backend server")
-		once(item, "address", addresses, server.Address, "another backend server")
-		known(item, "failure_domain", p.references.FailureDomains, server.FailureDomain, "settings")
+		checkUnique(item, "name", names, server.Name, "another backend server")
+		checkUnique(item, "address", addresses, server.Address, "another backend server")
+		checkReference(item, "failure_domain", p.references.FailureDomains, server.FailureDomain, "settings")
 		servers = append(servers, server)
 	}
 	return servers
@@ -143,9 +143,9 @@
 			BackendServers: item.Texts("backend_servers", strictyaml.Required),
 		}
 		item.Close()
-		known(item, "from", p.references.FailureDomains, link.From, "settings")
+		checkReference(item, "from", p.references.FailureDomains, link.From, "settings")
 		for _, server := range link.BackendServers {
-			known(item, "backend_servers", names, server, "document")
+			checkReference(item, "backend_servers", names, server, "document")
 		}
 		links = append(links, link)
 	}
@@ -169,7 +169,7 @@
 			item.Find("path_prefix", "must begin with /")
 		}
 		if rule.Method != "" && rule.PathPrefix != "" {
-			once(item, "path_prefix", seen, rule.Method+" "+rule.PathPrefix, "another rule, and the two clash")
+			checkUnique(item, "path_prefix", seen, rule.Method+" "+rule.PathPrefix, "another rule, and the two clash")
 		}
 		rules = append(rules, rule)
 	}
@@ -188,8 +188,8 @@
 			Priority:        item.Int("priority", strictyaml.Optional, "steps", strictyaml.Range[int]{Max: maxPriority}),
 		}
 		item.Close()
-		once(item, "organisation", seen, limit.Organisation, "another limit, and the two clash")
-		known(item, "organisation", p.references.Organisations, limit.Organisation, "settings")
+		checkUnique(item, "organisation", seen, limit.Organisation, "another limit, and the two clash")
+		checkReference(item, "organisation", p.references.Organisations, limit.Organisation, "settings")
 		limits = append(limits, limit)
 	}
 	return limits
@@ -198,9 +198,9 @@
 func (p documentParser) deadlines(m *strictyaml.Mapping, kind Kind) Deadlines {
 	section := m.Mapping("deadlines", strictyaml.Optional)
 	defer section.Close()
-	deadline := func(field string, standard time.Duration) time.Duration {
+	deadline := func(field string, defaultValue time.Duration) time.Duration {
 		return section.Duration(field, strictyaml.Optional,
-			strictyaml.Range[time.Duration]{Min: time.Millisecond, Max: maxDeadline, Default: standard})
+			strictyaml.Range[time.Duration]{Min: time.Millisecond, Max: maxDeadline, Default: defaultValue})
 	}
 	d := Deadlines{
 		Queue:      deadline("queue", DefaultQueueDeadline),
@@ -210,9 +210,9 @@
 	}
 	switch kind {
 	case KindPlain:
-		clash(section, kind, "first_token", "gap")
+		rejectUnused(section, kind, "first_token", "gap")
 	case KindModel:
-		clash(section, kind, "total")
+		rejectUnused(section, kind, "total")
 	}
 	return d
 }
@@ -240,8 +240,8 @@
 	}
 }
 
-// name reads a name that is also used in URLs, object names and event IDs.
-func name(m *strictyaml.Mapping, field string) string {
+// parseName reads a name that is also used in URLs, object names and event IDs.
+func parseName(m *strictyaml.Mapping, field string) string {
 	text := m.Text(field, strictyaml.Required)
 	if text != "" && !ValidName(text) {
 		m.Find(field, "must be at most %d lower-case letters, digits, - and _, beginning with a letter, not %q", maxNameLength, text)
@@ -265,26 +265,27 @@
 	return true
 }
 
-// once adds a finding if value was seen before.
-func once(m *strictyaml.Mapping, field string, seen map[string]bool, value, holder string) {
+// checkUnique adds a finding if value was seen before.
+func checkUnique(m *strictyaml.Mapping, field string, seen map[string]bool, value, usedBy string) {
 	if value == "" {
 		return
 	}
 	if seen[value] {
-		m.Find(field, "%q is already used by %s", value, holder)
+		m.Find(field, "%q is already used by %s", value, usedBy)
 	}
 	seen[value] = true
 }
 
-// known adds a finding if value is not among names; nil names are not checked.
-func known(m *strictyaml.Mapping, field string, names []string, value, where string) {
+// checkReference adds a finding if value is not among names. Nil names are not
+// checked.
+func checkReference(m *strictyaml.Mapping, field string, names []string, value, source string) {
 	if value != "" && names != nil && !slices.Contains(names, value) {
-		m.Find(field, "%q is not known in the %s", value, where)
+		m.Find(field, "%q is not known in the %s", value, source)
 	}
 }
 
-// clash adds a finding for each given field that the kind does not use.
-func clash(m *strictyaml.Mapping, kind Kind, fields ...string) {
+// rejectUnused adds a finding for each given field that the kind does not use.
+func rejectUnused(m *strictyaml.Mapping, kind Kind, fields ...string) {
 	for _, field := range fields {
 		if m.Has(field) {
 			m.Find(field, "clashes with kind %s, which does not use it", kind)
