--- a/gateway/call.go
+++ b/gateway/call.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	// maxDials bounds how many servers one request finds unreachable before
-	// it is refused.
+	// maxDials is how many servers may be unreachable for one request before it
+	// is refused.
 	maxDials = 3
-	// maxAnswerBytes bounds an answer that is held whole before it is passed on.
+	// maxAnswerBytes bounds an answer that is buffered whole before it is relayed.
 	maxAnswerBytes = 8 << 20
-	// firstTryShare is the part of an idempotent call's time that its first
-	// server gets, where a second may be tried: a hung server costs half of
-	// the time, not all of it.
-	firstTryShare = 2
+	// firstAttemptDivisor divides the remaining time of an idempotent call while
+	// another attempt is allowed: a hung server then uses up half of the time
+	// instead of all of it.
+	firstAttemptDivisor = 2
 )
 
-// try is what became of one send.
-type try struct {
+// attempt is the result of sending a request to one server.
+type attempt struct {
 	outcome Outcome
-	// again says that another server may get the request.
-	again bool
-	// sent says that the server may have read it.
+	// retryable is set if the request may be sent to another server.
+	retryable bool
+	// sent is set if the server may have read the request.
 	sent bool
-	// misdirected says that another server has the address, and said so.
+	// misdirected is set if another server has the address and reported that.
 	misdirected bool
 }
 
-// call serves a request whose answer is passed on whole.
+// call serves a request whose answer is buffered whole before it is relayed.
 func (t *task) call(ctx context.Context) Outcome {
-	var last, ran *try // ran: the last that may have run
+	var last, ran *attempt // ran: the last attempt that may have run
 	for dials := 0; ; {
-		if last != nil && !t.mayGoOn(last) {
+		if last != nil && !t.mayTryNextServer(last) {
 			return last.outcome
 		}
 		work, reason := t.place(ctx)
@@ -47,14 +47,14 @@
 			if last != nil {
 				return last.outcome
 			}
-			return t.unplaced(ctx, reason)
+			return t.unplacedOutcome(ctx, reason)
 		}
 		if t.sends == 0 {
-			t.gateway.options.Budget.Request(t.service.Name)
+			t.gateway.options.Budget.RecordRequest(t.service.Name)
 		}
 		result := t.send(ctx, work)
 		work.End()
-		// A refusal after a send that may have run must not say "not run".
+		// Once an attempt may have run, a later refusal must not report "not run".
 		if result.outcome.NotRun && ran != nil {
 			result.outcome = ran.outcome
 		} else if !result.outcome.NotRun {
@@ -65,54 +65,56 @@
 		if !result.sent {
 			dials++
 		}
-		if !result.again || dials >= maxDials || ctx.Err() != nil {
+		if !result.retryable || dials >= maxDials || ctx.Err() != nil {
 			return result.outcome
 		}
 	}
 }
 
-// mayGoOn reports whether the request may be sent to another server after a try.
+// mayTryNextServer reports whether the request may be sent to another server
+// after the given attempt.
 //
-// Failure: engines start again behind a cut, other servers have their addresses,
-// and every host sends to each of them and on to the next. What a server answers
-// at all counts as an arrival, so that it is taken from the budget.
-func (t *task) mayGoOn(last *try) bool {
+// A misdirected attempt is charged to the retry budget because the operator
+// counts any request that a server answers. Otherwise, when engines restart
+// behind a network partition and other servers get their addresses, every host
+// sends each request to one stale address after the other.
+func (t *task) mayTryNextServer(last *attempt) bool {
 	switch {
 	case last.sent:
-		return t.mayRepeat()
+		return t.mayRetry()
 	case last.misdirected:
-		return t.gateway.options.Budget.Spend(t.service.Name)
+		return t.gateway.options.Budget.Withdraw(t.service.Name)
 	}
 	return true
 }
 
-// mayRepeat reports whether the request, which a server has read, may be sent
-// to another one.
-func (t *task) mayRepeat() bool {
-	return t.sends < t.route.Attempts && t.gateway.options.Budget.Spend(t.service.Name)
+// mayRetry reports whether a request that a server may have read may be sent
+// to another server.
+func (t *task) mayRetry() bool {
+	return t.sends < t.route.Attempts && t.gateway.options.Budget.Withdraw(t.service.Name)
 }
 
 // send sends the request to one server and reads the whole answer.
-func (t *task) send(ctx context.Context, work *fleet.Work) try {
-	tryCtx, cancel := t.tryContext(ctx)
+func (t *task) send(ctx context.Context, work *fleet.Work) attempt {
+	attemptCtx, cancel := t.attemptContext(ctx)
 	defer cancel()
-	reply, err := t.sendTo(tryCtx, work, t.callTo(work.Server()))
+	reply, err := t.sendTo(attemptCtx, work, t.callTo(work.Server()))
 	if err != nil {
-		return t.brokenTry(ctx, work, err)
+		return t.failedAttempt(ctx, work, err)
 	}
 	defer reply.Body.Close()
 	t.sends++
 	if reply.Load != nil {
 		work.Says(*reply.Load)
 	}
-	if !took(reply) {
-		return t.notRun(reply)
+	if !accepted(reply) {
+		return t.refusedAttempt(reply)
 	}
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxAnswerBytes+1))
 	if err != nil || len(body) > maxAnswerBytes {
 		work.Outcome(true)
-		if err != nil && tryCtx.Err() == nil {
-			t.blame(work)
+		if err != nil && attemptCtx.Err() == nil {
+			t.reportSuspectedCrash(work)
 		}
 		return t.mayHaveRun(ctx, ReasonBroken)
 	}
@@ -127,23 +129,25 @@
 		return t.mayHaveRun(ctx, ReasonBroken)
 	}
 	t.gateway.options.Quarantine.Completed(t.fingerprint)
-	return try{outcome: answer, again: failing && t.route.Kind == Idempotent, sent: true}
+	return attempt{outcome: answer, retryable: failing && t.route.Kind == Idempotent, sent: true}
 }
 
-// tryContext bounds one send. Only requests that may be repeated are taken
-// back early: for all others a server's silence is no reason to end sooner.
-func (t *task) tryContext(ctx context.Context) (context.Context, context.CancelFunc) {
+// attemptContext bounds one attempt. Only an idempotent request with another
+// attempt left gets a shorter timeout: ending any other request early gains
+// nothing, because it may not be sent again.
+func (t *task) attemptContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	if t.route.Kind != Idempotent || t.sends+1 >= t.route.Attempts {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, time.Until(t.until)/firstTryShare)
+	return context.WithTimeout(ctx, time.Until(t.deadline)/firstAttemptDivisor)
 }
 
-// heed takes in what an answer says of its server besides the answer itself.
+// recordServerState records the state that a server reports with its answer.
 //
-// Failure: a server's entry cannot say that it leaves while the store is away.
-// Its answers do, and hosts that pass them on go on sending to it.
-func (t *task) heed(server fleet.Server, reply *Reply) {
+// While the store is unavailable, the entry of a leaving server cannot be marked
+// as leaving, but its answers report it. Hosts that ignore them keep sending
+// requests to it.
+func (t *task) recordServerState(server fleet.Server, reply *Reply) {
 	switch {
 	case reply.WrongServer:
 		t.gateway.options.Fleet.MarkLeaving(server.Life(), fleet.SourceReplaced)
@@ -154,27 +158,28 @@
 	}
 }
 
-// took reports whether the server took the request.
-func took(reply *Reply) bool { return !reply.NotRun && !reply.WrongServer }
+// accepted reports whether the server accepted the request.
+func accepted(reply *Reply) bool { return !reply.NotRun && !reply.WrongServer }
 
-// notRun is a try that the server refused as not run.
-func (t *task) notRun(reply *Reply) try {
+// refusedAttempt returns the result of an attempt that the server refused as not
+// run.
+func (t *task) refusedAttempt(reply *Reply) attempt {
 	if reply.WrongServer {
-		t.sends-- // the server that was meant has not had it
-		return try{outcome: refused(ReasonWrongServer, retryNoServer), again: true, misdirected: true}
+		t.sends-- // the intended server did not receive it
+		return attempt{outcome: refused(ReasonWrongServer, retryNoServer), retryable: true, misdirected: true}
 	}
-	return try{outcome: refused(ReasonServerFull, retryFull), again: true, sent: true}
+	return attempt{outcome: refused(ReasonServerFull, retryFull), retryable: true, sent: true}
 }
 
-// brokenTry is a try without an answer.
-func (t *task) brokenTry(ctx context.Context, work *fleet.Work, err error) try {
+// failedAttempt returns the result of an attempt without an answer.
+func (t *task) failedAttempt(ctx context.Context, work *fleet.Work, err error) attempt {
 	var failure *backend.CallError
 	if errors.As(err, &failure) && failure.Evidence == backend.NothingSent {
 		if ctx.Err() == nil {
 			work.Unreachable()
 			work.Outcome(true)
 		}
-		return try{outcome: t.unreached(ctx), again: true}
+		return attempt{outcome: t.unreachedOutcome(ctx), retryable: true}
 	}
 	t.sends++
 	switch ctx.Err() {
@@ -183,12 +188,13 @@
 	case context.DeadlineExceeded:
 		work.TimedOut()
 	}
-	t.blameIfBroken(ctx, work, err)
+	t.reportIfBroken(ctx, work, err)
 	return t.mayHaveRun(ctx, ReasonBroken)
 }
 
-// unreached is the answer when no server has read anything.
-func (t *task) unreached(ctx context.Context) Outcome {
+// unreachedOutcome returns the outcome of a request whose last attempt sent
+// nothing.
+func (t *task) unreachedOutcome(ctx context.Context) Outcome {
 	if ctx.Err() == context.Canceled {
 		return abandoned()
 	}
@@ -198,13 +204,14 @@
 	return refused(ReasonUnreachable, retryNoServer)
 }
 
-// mayHaveRun is a try after which the server may have run the request.
-func (t *task) mayHaveRun(ctx context.Context, reason Reason) try {
+// mayHaveRun returns the result of an attempt after which the server may have
+// run the request.
+func (t *task) mayHaveRun(ctx context.Context, reason Reason) attempt {
 	switch ctx.Err() {
 	case context.Canceled:
-		return try{outcome: abandoned(), sent: true}
+		return attempt{outcome: abandoned(), sent: true}
 	case context.DeadlineExceeded:
-		return try{outcome: failed(http.StatusGatewayTimeout, ReasonTimeout), sent: true}
+		return attempt{outcome: failed(http.StatusGatewayTimeout, ReasonTimeout), sent: true}
 	}
-	return try{outcome: failed(http.StatusBadGateway, reason), again: t.route.Kind == Idempotent, sent: true}
+	return attempt{outcome: failed(http.StatusBadGateway, reason), retryable: t.route.Kind == Idempotent, sent: true}
 }
--- a/gateway/call_test.go
+++ b/gateway/call_test.go
@@ -21,7 +21,7 @@
 func TestWritesAreNeverSentTwice(t *testing.T) {
 	for _, evidence := range []backend.Evidence{backend.Broken, backend.Silent, backend.Mismatch} {
 		synctest.Test(t, func(t *testing.T) {
-			is, w := is.New(t), newWorld()
+			is, w := is.New(t), newHarness()
 			w.send = func(context.Context, Call) (*Reply, error) { return nil, broken(evidence) }
 			o := w.serve("/write/1")
 			is.Equal(o.Status, http.StatusBadGateway)
@@ -31,11 +31,11 @@
 	}
 }
 
+// Guards against reads that fail although only one server failed or interrupted its
+// answer; a second attempt succeeds at another server.
 func TestReadsGoToASecondServer(t *testing.T) {
-	// A server fails a read by itself, or breaks off its answer. Another one
-	// has it; with two attempts the caller sees no failure.
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		n := 0
 		w.send = func(context.Context, Call) (*Reply, error) {
 			n++
@@ -62,7 +62,7 @@
 
 func TestReadsStopAtTheirAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.put("p3", "plain")
 		w.send = func(context.Context, Call) (*Reply, error) { return answer(http.StatusInternalServerError, "no"), nil }
 		is.Equal(w.serve("/read/1").Status, http.StatusInternalServerError)
@@ -70,11 +70,11 @@
 	})
 }
 
+// Guards against waiting for a hung server until the route's timeout, which fails
+// every read that is sent to it.
 func TestHungServerCostsAReadHalfItsTime(t *testing.T) {
-	// A faulty server takes a read and never answers. Waiting for it until
-	// the route's timeout would fail every such read.
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(ctx context.Context, _ Call) (*Reply, error) {
 			if len(w.calls) == 1 {
 				<-ctx.Done()
@@ -88,11 +88,11 @@
 	})
 }
 
+// Guards against callers that wait beyond the route's timeout for a server that
+// does not answer.
 func TestAnswerAtTheTimeout(t *testing.T) {
-	// A server is silent beyond the route's timeout. The caller gets its
-	// answer at the timeout, not when the server has thought about it.
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(ctx context.Context, _ Call) (*Reply, error) {
 			<-ctx.Done()
 			return nil, broken(backend.Silent)
@@ -104,11 +104,11 @@
 	})
 }
 
+// Guards against refusals without "not run" or a retry delay when all servers report
+// that they are full or none accepts a connection.
 func TestRefusalsThatRanNothing(t *testing.T) {
-	// All servers are full and say so, or none takes a connection. Only then
-	// is the caller told "not run", and when to come back.
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return notRunReply(), nil }
 		o := w.serve("/write/1")
 		is.Equal(o.Status, http.StatusServiceUnavailable)
@@ -116,7 +116,7 @@
 		is.True(o.RetryAfter > 0)
 		is.Equal(len(w.calls), 2) // a second server may have room
 
-		w = newWorld()
+		w = newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return nil, broken(backend.NothingSent) }
 		o = w.serve("/write/1")
 		is.Equal(o.Reason, ReasonUnreachable)
@@ -124,11 +124,11 @@
 	})
 }
 
-func TestNotRunIsNotSaidAfterASendThatMayHaveRun(t *testing.T) {
-	// The first server broke off a read, the second one refused it as full.
-	// "Not run" would be false: the first may have run it.
+// Guards against reporting "not run" when the second server refused a read as full
+// but the first, whose connection broke, may have run it.
+func TestNotRunIsNotReportedAfterASendThatMayHaveRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) {
 			if len(w.calls) == 1 {
 				return nil, broken(backend.Broken)
@@ -141,10 +141,10 @@
 	})
 }
 
-// Guards against requests to an address that has another server.
+// Guards against more requests to an address that now belongs to another server.
 func TestAddressWithAnotherServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) {
 			if len(w.calls) == 1 {
 				r := answer(http.StatusMisdirectedRequest, "")
@@ -164,41 +164,41 @@
 	})
 }
 
-func TestHostThatIsBehindDeniesNothing(t *testing.T) {
-	// A key or route was just added, and this host has not heard of it. A 401
-	// or 404 would make the caller give up for good on a proper request.
+// Guards against a 401 or 404 for a key or route that was just added and has not
+// reached this host: the caller would give up permanently.
+func TestStaleHostDeniesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return answer(http.StatusOK, "ok"), nil }
-		w.sure = false
+		w.configurationConfirmed = false
 		r := w.request("/write/1")
 		r.Key = "new"
 		o := w.gateway.Serve(context.Background(), r, &recorder{})
 		is.Equal(o.Status, http.StatusServiceUnavailable)
 		is.True(o.NotRun)
 		is.Equal(w.serve("/none/1").Status, http.StatusServiceUnavailable)
-		w.sure = true
+		w.configurationConfirmed = true
 		is.Equal(w.gateway.Serve(context.Background(), r, &recorder{}).Status, http.StatusUnauthorized)
 		is.Equal(w.serve("/none/1").Status, http.StatusNotFound)
 		w.gateway.SetConfiguration(w.configuration(2, "new"))
 		is.Equal(w.gateway.Serve(context.Background(), r, &recorder{}).Status, http.StatusOK)
-		is.Equal(w.serve("/write/1").Status, http.StatusUnauthorized) // its key was taken away
+		is.Equal(w.serve("/write/1").Status, http.StatusUnauthorized) // its key was removed
 	})
 }
 
 func TestWithoutConfigurationNothingIsDenied(t *testing.T) {
-	is, w := is.New(t), newWorld()
+	is, w := is.New(t), newHarness()
 	empty := New(w.gateway.options)
 	o := empty.Serve(context.Background(), w.request("/write/1"), &recorder{})
 	is.Equal(o.Status, http.StatusServiceUnavailable)
 	is.True(o.NotRun)
 }
 
-func TestCallerThatLeavesEndsTheSend(t *testing.T) {
-	// The caller closes its connection while a server works. The send ends at
-	// once, which closes the server's connection and stops its work.
+// Guards against servers that work on after the caller has disconnected: the send
+// is cancelled, which closes the connection to the server.
+func TestDisconnectedCallerCancelsTheSend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(ctx context.Context, _ Call) (*Reply, error) {
 			<-ctx.Done()
 			return nil, broken(backend.Broken)
@@ -213,11 +213,11 @@
 	})
 }
 
-func TestBudgetOfRepeats(t *testing.T) {
-	// A service fails everything. Sending each read twice would double the
-	// load that makes it fail; the hosts together may add a fifth and 54.
+// Guards against retries that double the load of a failing service: the hosts may
+// add one fifth of the requests plus 54 together.
+func TestRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return answer(http.StatusInternalServerError, ""), nil }
 		for range 200 {
 			w.serve("/read/1")
@@ -232,10 +232,10 @@
 	})
 }
 
-// Guards against repeats beyond the budget while servers have changed their addresses.
+// Guards against retries beyond the budget while servers have changed addresses.
 func TestMisdirectedSendsKeepToTheBudget(t *testing.T) {
 	for _, path := range []string{"/letter/1", "/write/1"} {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.gateway.options.Budget = &Budget{Ratio: 0.2, Allowance: 0, Window: time.Minute, Hosts: func() int { return 1 }}
 		w.send = func(_ context.Context, call Call) (*Reply, error) {
 			w.fleet.Put(fleet.Server{ID: "new" + strconv.Itoa(len(w.calls)), Service: call.Server.Service, Address: strconv.Itoa(len(w.calls)), Domain: "d1", Slots: 6})
@@ -249,15 +249,15 @@
 			is.True(o.NotRun)
 			is.Equal(o.Status, http.StatusServiceUnavailable)
 		}
-		is.True(len(w.calls) > requests)                // some are sent on
+		is.True(len(w.calls) > requests)                // some are sent to another server
 		is.True(len(w.calls) <= requests+requests*2/10) // within the operator's ratio
 	}
 }
 
-// Guards against callers that are held while no server may get their request.
+// Guards against callers that wait although all servers are evacuated.
 func TestEvacuatedServiceRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.fleet.SetEvacuated("d1", true)
 		for _, path := range []string{"/read/1", "/write/1", "/letter/1"} {
 			began := time.Now()
@@ -274,11 +274,11 @@
 	})
 }
 
-func TestSecondTryKeepsOutOfAnEvacuatedDomain(t *testing.T) {
-	// A server fails a read, and its failure domain is evacuated meanwhile. The
-	// second try must not go to another server there.
+// Guards against a second attempt in a failure domain that was evacuated after the
+// first attempt began.
+func TestSecondAttemptAvoidsEvacuatedDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) {
 			w.fleet.SetEvacuated("d1", true)
 			return answer(http.StatusInternalServerError, "no"), nil
--- a/gateway/life_test.go
+++ b/gateway/life_test.go
@@ -13,8 +13,8 @@
 	"github.com/papayasail/papayasail/fleet"
 )
 
-// restart makes the server that got the first call start again under its id.
-func (w *world) restart(born int64) {
+// restart restarts the server of the first call under its ID.
+func (w *harness) restart(born int64) {
 	w.mu.Lock()
 	server := w.calls[0].Server
 	w.mu.Unlock()
@@ -22,8 +22,8 @@
 	w.fleet.Put(server)
 }
 
-// giveBirth lets the servers say when they were born.
-func (w *world) giveBirth(born int64) {
+// setStartTimes sets the start time of all servers.
+func (w *harness) setStartTimes(born int64) {
 	for _, service := range []string{"llm", "plain"} {
 		for _, server := range w.fleet.Usable(service) {
 			server.Born = born
@@ -32,18 +32,19 @@
 	}
 }
 
-// Guards against callers that wait for a run which was lost with an earlier life of its engine.
-func TestRunThatWasLostWithALifeEndsAtOnce(t *testing.T) {
+// Guards against callers that wait for a run which was lost when its engine
+// restarted.
+func TestRunLostByARestartEndsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
-		w.giveBirth(100)
+		is, w := is.New(t), newHarness()
+		w.setStartTimes(100)
 		w.send = func(ctx context.Context, call Call) (*Reply, error) {
 			g := newGeneration(1, 1<<20, gap)
 			context.AfterFunc(ctx, func() { g.reader.CloseWithError(ctx.Err()) })
 			return g.reply(), nil
 		}
 		w.copy = func(_, _ fleet.Server, _ bool) (Copied, error) {
-			t.Error("the later life was asked for a run of the earlier one")
+			t.Error("a restarted engine was asked to copy a run of its earlier incarnation")
 			return Copied{}, nil
 		}
 		time.AfterFunc(time.Second, func() { w.restart(200) })
@@ -54,15 +55,15 @@
 		is.Equal(o.Reason, ReasonMoveFailed)
 		is.True(time.Since(began) < 1100*time.Millisecond)
 		is.Equal(len(w.calls), 1)
-		time.Sleep(gap) // the engine notices that nobody reads
+		time.Sleep(gap) // until the engine's writer has failed
 	})
 }
 
-// Guards against a second run of a write whose server has started again.
-func TestWriteSentToAnEarlierLifeIsNotRepeated(t *testing.T) {
+// Guards against a second run of a write whose server has restarted.
+func TestWriteSentBeforeARestartIsNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
-		w.giveBirth(100)
+		is, w := is.New(t), newHarness()
+		w.setStartTimes(100)
 		silent := func(ctx context.Context, call Call) (*Reply, error) {
 			if len(w.calls) > 1 {
 				return answer(http.StatusOK, "b"), nil
@@ -80,7 +81,7 @@
 		is.Equal(time.Since(began), 100*time.Millisecond)
 
 		w.calls = nil
-		w.giveBirth(300)
+		w.setStartTimes(300)
 		time.AfterFunc(100*time.Millisecond, func() { w.restart(400) })
 		began = time.Now()
 		o = w.serve("/read/1")
@@ -90,15 +91,16 @@
 	})
 }
 
-// Guards against another run's tokens from a copy with the name of an earlier one.
-func TestCopyOfAnEarlierLifeIsNotUsed(t *testing.T) {
+// Guards against tokens of another run: after a restart, the handle of an earlier
+// copy may identify a different one.
+func TestCopyFromBeforeARestartIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
-		w.giveBirth(100)
+		is, w := is.New(t), newHarness()
+		w.setStartTimes(100)
 		first := newGeneration(1, 100, gap)
 		w.send = func(_ context.Context, call Call) (*Reply, error) {
 			if call.Resume != nil {
-				t.Error("resumed from a copy of the earlier life")
+				t.Error("resumed from a copy on an earlier incarnation")
 			}
 			return first.reply(), nil
 		}
@@ -106,7 +108,7 @@
 			if last {
 				destination.Born = 200
 				w.fleet.Put(destination)
-				close(first.broke)
+				close(first.interrupt)
 			}
 			return Copied{Handle: "1", Done: true}, nil
 		}
@@ -117,11 +119,11 @@
 	})
 }
 
-func TestStopThatEndsBeforeARunSaysSo(t *testing.T) {
-	// A host is stopped, and its letter needs longer than the grace. The line
-	// that explains it blamed the caller, who had waited all the time.
+// Guards against a log line that blames the caller when a stopping host cuts off a
+// generation at the end of its grace period.
+func TestCutOffAtTheEndOfAStopIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		first := newGeneration(1, 1000, gap)
 		w.send = func(context.Context, Call) (*Reply, error) { return first.reply(), nil }
 		ctx, cutOff := context.WithCancel(context.Background())
@@ -133,6 +135,6 @@
 		o := w.gateway.Serve(ctx, w.request("/letter/1"), &recorder{})
 		is.Equal(o.Reason, ReasonHostStopped)
 		is.True(!o.NotRun)
-		time.Sleep(gap) // the engine notices that nobody reads
+		time.Sleep(gap) // until the engine's writer has failed
 	})
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -16,18 +16,18 @@
 	"github.com/papayasail/papayasail/quarantine"
 )
 
-// crash ends the server of a call, which breaks off its answer.
-func (w *world) crash(call Call) {
+// crash ends the server of a call, which interrupts its answer.
+func (w *harness) crash(call Call) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.ended[call.Server.ID] = true
+	w.endedServers[call.Server.ID] = true
 }
 
-// Guards against a generation that crashes one engine after the other before
-// its first event.
+// Guards against retries of a generation that crashes one engine after the other
+// before its first event.
 func TestGenerationThatCrashesEnginesIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.put("e3", "llm")
 		w.send = func(_ context.Context, call Call) (*Reply, error) {
 			w.crash(call)
@@ -49,11 +49,11 @@
 	})
 }
 
-// Guards against a call whose second send within one attempt crashes the next
-// server, too.
+// Guards against retries of a call that has crashed a second server within one
+// attempt of its caller.
 func TestCallThatCrashesServersIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.put("p3", "plain")
 		w.send = func(_ context.Context, call Call) (*Reply, error) {
 			w.crash(call)
@@ -69,10 +69,10 @@
 	})
 }
 
-// Guards against a request that is cleared by half of an answer.
-func TestAnswerThatIsNotWholeClearsNothing(t *testing.T) {
+// Guards against a partial answer that clears a suspected request.
+func TestPartialAnswerClearsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.put("p3", "plain")
 		crash := func(_ context.Context, call Call) (*Reply, error) {
 			w.crash(call)
@@ -91,11 +91,11 @@
 	})
 }
 
-// Guards against crashes that are not seen as the server's port outlives its
+// Guards against missed crashes of servers whose port closes after their
 // connections.
 func TestCrashIsSeenWhenThePortClosesLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.put("p3", "plain")
 		w.send = func(_ context.Context, call Call) (*Reply, error) {
 			time.AfterFunc(200*time.Millisecond, func() { w.crash(call) })
@@ -110,10 +110,11 @@
 	})
 }
 
-// Guards against a quarantine for answers that live servers break off.
+// Guards against a quarantine because of interrupted answers of servers that are
+// still running.
 func TestBrokenAnswersOfLiveServersAreNoCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return nil, broken(backend.Broken) }
 		for range 5 {
 			is.Equal(w.serve("/write/1").Reason, ReasonBroken)
@@ -121,11 +122,11 @@
 	})
 }
 
-// Guards against engines lost to runs that began before the quarantine.
-func TestQuarantineEndsWhatRuns(t *testing.T) {
+// Guards against servers that crash under runs that began before the quarantine.
+func TestQuarantineCancelsRuns(t *testing.T) {
 	for path, streamed := range map[string]bool{"/letter/1": true, "/write/1": false} {
 		synctest.Test(t, func(t *testing.T) {
-			is, w := is.New(t), newWorld()
+			is, w := is.New(t), newHarness()
 			w.send = func(ctx context.Context, call Call) (*Reply, error) {
 				if call.Stream {
 					g := newGeneration(1, 10, time.Second)
@@ -145,7 +146,7 @@
 			is.Equal(o.Streamed, streamed)
 			is.True(!o.NotRun)
 			is.Equal(time.Since(began), 100*time.Millisecond)
-			time.Sleep(time.Second) // the stream's writer ends
+			time.Sleep(time.Second) // until the stream's writer has ended
 		})
 	}
 }
--- a/gateway/rest_test.go
+++ b/gateway/rest_test.go
@@ -10,11 +10,11 @@
 	"github.com/matryer/is"
 )
 
-// Guards against callers that are held until a server's word on when it wants
-// requests again is over, or are refused just before it is.
-func TestAllServersWantNothingForAWhile(t *testing.T) {
+// Guards against callers that wait for servers which refuse requests for longer
+// than a caller may wait, or that are refused just before the servers accept again.
+func TestAllServersAskForNoRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return answer(http.StatusOK, "ok"), nil }
 		rest := func(d time.Duration) {
 			for _, id := range []string{"p1", "p2", "e1", "e2"} {
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -18,10 +18,10 @@
 
 const gap = 40 * time.Millisecond
 
-// Guards against events lost, doubled or torn as a run moves.
+// Guards against events that are lost, duplicated or truncated when a run moves.
 func TestStreamMovesOffALeavingEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		first := newGeneration(1, 100, gap)
 		first.tail = "id: 99\nda"
 		w.send = func(_ context.Context, call Call) (*Reply, error) {
@@ -36,7 +36,7 @@
 		w.copy = func(_, _ fleet.Server, last bool) (Copied, error) {
 			time.Sleep(190 * time.Millisecond)
 			if last {
-				close(first.broke)
+				close(first.interrupt)
 			}
 			return Copied{Handle: "h", Done: true}, nil
 		}
@@ -53,17 +53,17 @@
 	})
 }
 
-// Guards against places that stay booked for runs whose callers have left.
-func TestMoveOfACallerThatLeftBooksNothing(t *testing.T) {
+// Guards against reservations that remain for runs whose callers have disconnected.
+func TestMoveForDisconnectedCallerLeavesNoReservation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		first := newGeneration(1, 100, gap)
 		w.send = func(context.Context, Call) (*Reply, error) { return first.reply(), nil }
 		ctx, leave := context.WithCancel(context.Background())
 		w.copy = func(_, _ fleet.Server, last bool) (Copied, error) {
 			if last {
 				leave()
-				close(first.broke)
+				close(first.interrupt)
 			}
 			time.Sleep(200 * time.Millisecond)
 			return Copied{Handle: "h", Done: true}, nil
@@ -77,11 +77,11 @@
 	})
 }
 
-// Guards against a destination whose place is freed while a run's memory is
-// still on its way there.
-func TestSlowCopyKeepsItsPlace(t *testing.T) {
+// Guards against a reservation on the destination that is released while a run's
+// memory is still being copied there.
+func TestSlowCopyKeepsItsReservation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return newGeneration(1, 100, gap).reply(), nil }
 		w.copy = func(_, destination fleet.Server, last bool) (Copied, error) {
 			time.Sleep(3 * time.Second)
@@ -95,10 +95,11 @@
 	})
 }
 
-// Guards against failures that are told to others seconds after what they show.
+// Guards against reporting a failure to other hosts seconds after it occurred,
+// although the server has answered others meanwhile.
 func TestGenerationThatTimesOutOnASilentConnectionIsNoEvidence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(ctx context.Context, call Call) (*Reply, error) {
 			time.AfterFunc(time.Second, func() { w.fleet.Witness("other", call.Server.ID, fleet.Evidence{Answered: 1}) })
 			<-ctx.Done()
@@ -109,11 +110,11 @@
 	})
 }
 
-func TestRefusedCopyGoesOnAtItsSource(t *testing.T) {
-	// The last part of a move finds no room: the engine has stopped the run
-	// and keeps its memory. The letter goes on there rather than be lost.
+// Guards against losing a run whose last increment the destination has no room for:
+// the source has stopped the run but retains its memory, so it resumes there.
+func TestRefusedCopyResumesAtSource(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		first := newGeneration(1, 60, gap)
 		moves := 0
 		w.send = func(_ context.Context, call Call) (*Reply, error) {
@@ -127,7 +128,7 @@
 			if !last {
 				return Copied{Handle: "h", Done: moves == 1}, nil
 			}
-			close(first.broke)
+			close(first.interrupt)
 			return Copied{Handle: "kept"}, nil
 		}
 		time.AfterFunc(time.Second, func() { w.fleet.MarkLeaving(w.calls[0].Server.Life(), fleet.SourceList) })
@@ -140,14 +141,14 @@
 	})
 }
 
-func TestBrokenStreamNeverLooksWhole(t *testing.T) {
-	// An engine dies in the middle of a letter, without notice. The caller's
-	// answer is cut off; nothing of a second generation follows.
+// Guards against an answer that looks complete, or continues with a second
+// generation, after an engine has crashed in the middle of a stream.
+func TestInterruptedStreamNeverLooksComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		first := newGeneration(1, 60, gap)
 		w.send = func(context.Context, Call) (*Reply, error) { return first.reply(), nil }
-		time.AfterFunc(time.Second, func() { close(first.broke) })
+		time.AfterFunc(time.Second, func() { close(first.interrupt) })
 		caller := &recorder{}
 		o := w.gateway.Serve(context.Background(), w.request("/letter/1"), caller)
 		is.Equal(o.Status, 0)
@@ -157,11 +158,11 @@
 	})
 }
 
-func TestLetterIsNeverGeneratedTwice(t *testing.T) {
-	// The connection breaks before the first event. The engine may have begun:
-	// a second one would write the letter again.
+// Guards against a second run of a generation whose connection broke before the
+// first event: the engine may already have begun.
+func TestGenerationNeverRunsTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return nil, broken(backend.Broken) }
 		o := w.serve("/letter/1")
 		is.Equal(o.Status, http.StatusBadGateway)
@@ -170,11 +171,11 @@
 	})
 }
 
-func TestEngineThatTakesNoConnection(t *testing.T) {
-	// An engine is gone before its entry is. Nothing was sent; another engine
-	// gets the letter.
+// Guards against failing a generation whose engine has ended before its entry was
+// removed: nothing was sent, so another engine can run it.
+func TestEngineThatRefusesConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) {
 			if len(w.calls) == 1 {
 				return nil, broken(backend.NothingSent)
@@ -187,11 +188,11 @@
 	})
 }
 
+// Guards against callers that wait long for engines without free memory. They are
+// refused as not run, with a retry delay that has jitter.
 func TestFullEnginesRefuseWithinAnEighthOfTheGoal(t *testing.T) {
-	// Engines have no memory left. The caller hears at once that nothing ran,
-	// and when to come back; callers come back at different times.
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		for _, id := range []string{"e1", "e2"} {
 			w.fleet.SetOthers("h2", "llm", map[string]fleet.Load{"e1": {Requests: 9, HeldTokens: 33000}, "e2": {Requests: 9, HeldTokens: 33000}}, everywhere)
 			_ = id
@@ -206,9 +207,9 @@
 	})
 }
 
-func TestWaitingLetterTakesTheNextPlace(t *testing.T) {
+func TestWaitingGenerationTakesFreedCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return newGeneration(1, 3, gap).reply(), nil }
 		full := map[string]fleet.Load{"e1": {Requests: 9, HeldTokens: 33000}, "e2": {Requests: 9, HeldTokens: 33000}}
 		w.fleet.SetOthers("h2", "llm", full, everywhere)
@@ -217,11 +218,11 @@
 	})
 }
 
-func TestStoppingHostSendsLettersElsewhere(t *testing.T) {
-	// A host gets SIGTERM. A letter would outlast its grace; it is refused as
-	// not run while short calls are still served.
+// Guards against a generation that outlasts the grace period of a stopping host. It
+// is refused as not run while short calls are still served.
+func TestStoppingHostRefusesLongGenerations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return answer(http.StatusOK, "ok"), nil }
 		w.gateway.Stop(time.Now().Add(7 * time.Second))
 		o := w.serve("/letter/1")
@@ -229,20 +230,20 @@
 		is.True(o.NotRun)
 		is.Equal(o.RetryAfter, retryStopping)
 		is.Equal(w.serve("/write/1").Status, http.StatusOK)
-		// All hosts stop: the next one that is back is a second away.
-		w.alone = true
+		// If all hosts stop, the first is back after about one second.
+		w.noOtherHosts = true
 		is.Equal(w.serve("/letter/1").RetryAfter, retryAllStopping)
-		// A call that the host may not live to answer is refused as well.
+		// A call that may outlast the host is refused as well.
 		time.Sleep(6500 * time.Millisecond)
 		is.Equal(w.serve("/write/1").Reason, ReasonStopping)
 	})
 }
 
-func TestStoppingHostTakesWhatEndsBeforeIt(t *testing.T) {
-	// A caller gives a verdict five seconds, and the host lives for seven. Sent
-	// elsewhere it would have used up its caller's only retry.
+// Guards against a stopping host that refuses a request whose deadline is before
+// its own stop, which would use up the caller's only retry.
+func TestStoppingHostAcceptsRequestsThatEndBeforeIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return newGeneration(1, 3, gap).reply(), nil }
 		w.gateway.Stop(time.Now().Add(7 * time.Second))
 		request := w.request("/letter/1")
@@ -256,11 +257,11 @@
 	})
 }
 
+// Guards against a new configuration that changes the route of a generation in
+// progress.
 func TestRunningRequestKeepsItsConfiguration(t *testing.T) {
-	// A configuration comes while a letter runs, and moves its route. The
-	// letter goes on as it began.
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return newGeneration(1, 30, gap).reply(), nil }
 		time.AfterFunc(500*time.Millisecond, func() { w.gateway.SetConfiguration(w.configuration(2, "other")) })
 		caller := &recorder{}
@@ -269,7 +270,7 @@
 	})
 }
 
-func TestEventsAreCutWhole(t *testing.T) {
+func TestEventReaderReturnsWholeEvents(t *testing.T) {
 	is := is.New(t)
 	long := "id: 2\ndata: " + strings.Repeat("x", 9000) + "\n\n"
 	r := newEventReader(strings.NewReader("x-versions: 3\nid: 1\ndata: a\n\n" + long + "data: no id\r\n\r\nrest"))
@@ -297,14 +298,14 @@
 	return n
 }
 
-// everywhere says that a host reports of all servers.
+// everywhere makes a host's report cover all servers.
 func everywhere(fleet.Server) bool { return true }
 
-// Guards against generations sent on to an engine whose answers say that it
-// leaves, and against a cut of the one that was told so.
-func TestGenerationsHeedAnAnswerThatSaysLeaving(t *testing.T) {
+// Guards against more generations on an engine whose answers report that it is
+// leaving, and against interrupting the one whose answer reported it.
+func TestGenerationsAvoidEngineThatReportsLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is, w := is.New(t), newWorld()
+		is, w := is.New(t), newHarness()
 		leaving := ""
 		w.send = func(_ context.Context, call Call) (*Reply, error) {
 			r := newGeneration(1, 3, gap).reply()
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -20,7 +20,7 @@
 	return Run{Fingerprint: fingerprint, Sent: sent, Early: early, Request: "r", Server: "i"}
 }
 
-// crash sends the request and has the server crash under it.
+// crash records a run of the suspect request, sent now, whose server crashes.
 func (t *Table) crash() { t.Crashed(run(suspect, t.Mark(suspect), true)) }
 
 func inBubble(t *testing.T, test func(is *is.I)) {
@@ -37,15 +37,15 @@
 		table.crash()
 		is.Equal(table.Quarantined(suspect), time.Duration(0))
 		table.crash()
-		is.Equal(table.Quarantined(suspect), quarantineFor)
+		is.Equal(table.Quarantined(suspect), quarantineDuration)
 		is.Equal(kept, 1)
 		is.Equal(table.Quarantined(suspect+1), time.Duration(0))
-		time.Sleep(quarantineFor)
+		time.Sleep(quarantineDuration)
 		is.Equal(table.Quarantined(suspect), time.Duration(0))
 	})
 }
 
-// Guards against blaming a popular request for an outage of all servers at once.
+// Guards against a quarantine of a frequent request when all servers fail at once.
 func TestCrashesAtTheSameTimeCountOnce(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table := newTable()
@@ -57,7 +57,7 @@
 	})
 }
 
-// Guards against blaming a request that was on two crashed servers by chance.
+// Guards against a quarantine of a request that was on two crashed servers by chance.
 func TestCompletionClears(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table, other := newTable(), newTable()
@@ -68,14 +68,14 @@
 		is.True(other.Merge(table.News(), "peer"))
 		other.crash()
 		is.Equal(other.Quarantined(suspect), time.Duration(0))
-		// The run was sent before the other one ended well.
+		// This run was sent before the other one completed.
 		table.Crashed(run(suspect, sent, true))
 		is.Equal(table.Quarantined(suspect), time.Duration(0))
 	})
 }
 
-// Guards against a quarantine that a host which missed its end brings back.
-func TestEndOfAQuarantineIsToldToWhoMissedIt(t *testing.T) {
+// Guards against a quarantine that is restored by a host that missed its end.
+func TestEndOfQuarantineReachesHostThatMissedIt(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table, late := newTable(), newTable()
 		kept := 0
@@ -84,7 +84,7 @@
 		table.crash()
 		late.Merge(table.News(), "peer")
 		table.Completed(suspect)
-		is.Equal(kept, 2) // what is stored has to change, too
+		is.Equal(kept, 2) // the stored requests must be rewritten, too
 		for len(table.News()) > 0 {
 		}
 		is.True(!table.Merge(late.News(), "peer"))
@@ -97,14 +97,14 @@
 	inBubble(t, func(is *is.I) {
 		table := newTable()
 		table.crash()
-		time.Sleep(suspectFor)
+		time.Sleep(suspicionDuration)
 		table.crash()
 		is.Equal(table.Quarantined(suspect), time.Duration(0))
 	})
 }
 
-// Guards against servers lost to runs that were sent before the quarantine.
-func TestQuarantineEndsRuns(t *testing.T) {
+// Guards against servers that crash under runs sent before the quarantine.
+func TestQuarantineCancelsRuns(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table := newTable()
 		ended := 0
@@ -112,15 +112,15 @@
 		over, _ := table.Admit(suspect, func() { ended += 10 })
 		table.Admit(suspect+1, func() { ended += 100 })
 		over()
-		is.True(table.Merge([]Record{{Fingerprint: suspect, Crashes: crashesNeeded, Left: time.Minute}}, "peer"))
+		is.True(table.Merge([]Record{{Fingerprint: suspect, Crashes: crashThreshold, Left: time.Minute}}, "peer"))
 		is.Equal(ended, 1)
-		is.True(!table.Merge([]Record{{Fingerprint: suspect, Crashes: crashesNeeded, Left: time.Minute}}, "peer"))
+		is.True(!table.Merge([]Record{{Fingerprint: suspect, Crashes: crashThreshold, Left: time.Minute}}, "peer"))
 		is.Equal(ended, 1)
 	})
 }
 
-// Guards against a run that is noted after its request was quarantined, and that
-// nothing ends.
+// Guards against a run that is registered after its request was quarantined and
+// that is therefore never cancelled.
 func TestQuarantinedRequestIsNotAdmitted(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table := newTable()
@@ -129,13 +129,13 @@
 		is.Equal(left, time.Duration(0))
 		table.crash()
 		_, left = table.Admit(suspect, func() { is.Fail() })
-		is.Equal(left, quarantineFor)
+		is.Equal(left, quarantineDuration)
 		table.crash()
 	})
 }
 
-// Guards against one crashed server whose many old runs flood the news.
-func TestLateCrashIsNoNewsAtFirst(t *testing.T) {
+// Guards against one crashed server whose many older runs flood the gossip.
+func TestFirstCrashOfOlderRunIsNotGossiped(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table := newTable()
 		table.Crashed(run(suspect, table.Mark(suspect), false))
@@ -145,8 +145,9 @@
 	})
 }
 
-// Guards against a host that was paused while the news went round.
-func TestQuarantineIsToldAgainAndAgain(t *testing.T) {
+// Guards against a host that misses a quarantine because it was paused while the
+// record was gossiped.
+func TestQuarantineIsGossipedRepeatedly(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table, late := newTable(), newTable()
 		table.crash()
@@ -160,8 +161,8 @@
 	})
 }
 
-// Guards against news of a quarantine that waits behind that of suspects.
-func TestQuarantineIsToldFirst(t *testing.T) {
+// Guards against a quarantined request that is gossiped only after suspects.
+func TestQuarantineIsGossipedFirst(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table := newTable()
 		for i := range 100 {
@@ -175,19 +176,20 @@
 	})
 }
 
-// Guards against memory that grows with the requests that crash servers.
+// Guards against memory that grows with the number of requests that crash servers.
 func TestTableIsBounded(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table := newTable()
-		for i := range 2 * mostRequests {
+		for i := range 2 * maxRequests {
 			table.Crashed(run(uint64(i), Mark{}, true))
 		}
-		is.Equal(len(table.requests), mostRequests)
-		is.Equal(len(table.News()), newsLimit)
+		is.Equal(len(table.requests), maxRequests)
+		is.Equal(len(table.News()), maxChangedRecords)
 	})
 }
 
-// Guards against hosts that end up with different records after the same news.
+// Guards against hosts that diverge after receiving the same records in another
+// order.
 func TestMergeIsOrderFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Record {
