--- a/allocation/allocation_test.go
+++ b/allocation/allocation_test.go
@@ -35,7 +35,7 @@
 	return table
 }
 
-// hosts is two entry hosts of one failure domain; the first is the allocator.
+// hosts simulates two entry hosts of one failure domain; every call goes to the allocator.
 type hosts struct {
 	members []peer.Member
 	conn    *grpc.ClientConn
@@ -45,7 +45,7 @@
 
 func (h *hosts) Members() []peer.Member { return h.members }
 
-// Generation is that of a fleet whose size alone changes.
+// Generation is valid for a fleet in which only the size changes.
 func (h *hosts) Generation() uint64 { return uint64(len(h.members)) }
 
 func (h *hosts) Call(_ string, f func(grpc.ClientConnInterface) error) error {
@@ -64,7 +64,7 @@
 	h.down = down
 }
 
-// pair connects a client on one host with the allocator on another.
+// pair connects a client on one host with the allocator on the other.
 func pair(t *testing.T, at, from *fleet.Table) (*hosts, *Allocator, *Client) {
 	t.Helper()
 	members := []peer.Member{
@@ -91,8 +91,8 @@
 }
 
 func TestPromptsOfTwoHostsGoToTwoEngines(t *testing.T) {
-	// Both hosts see both engines idle at the same moment. Each would send
-	// its long prompt to the same one, and one caller would wait for both.
+	// Guards against two hosts that see both engines idle at the same time and send their long
+	// prompts to the same one, so that one caller waits for both.
 	is := is.New(t)
 	at, from := engines("a", "e1", "e2"), engines("b", "e1", "e2")
 	_, allocator, client := pair(t, at, from)
@@ -100,10 +100,10 @@
 	own := allocator.Place("other", "d", Whole(llm), Asked{Request: "r1", Need: need}, nil)
 	other := client.Place(context.Background(), llm, Asked{Request: "r2", Need: need}, nil)
 	is.True(own.Server != other)
-	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r3", Need: need}, []string{"e1", "e2"}), "") // both tried
+	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r3", Need: need}, []string{"e1", "e2"}), "") // both already tried
 }
 
-// Guards against callers that come back when they were told to and are refused again.
+// Guards against callers that retry when they were told to and are refused again.
 func TestCallersThatComeBackGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -116,8 +116,8 @@
 		}
 		is.Equal(ask("r1", 7), "")
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(ask("r1", 7), "") // it asks again while it waits
-		is.Equal(ask("r2", 8), "") // another one
+		is.Equal(ask("r1", 7), "") // the same request retries while it waits
+		is.Equal(ask("r2", 8), "") // a different request
 		time.Sleep(time.Second)
 		is.Equal(ask("r3", 7), "e1")
 		time.Sleep(refusalKept)
@@ -133,12 +133,12 @@
 	h.cut(true)
 	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r2", Need: need}, nil), "e2")
 	h.cut(false)
-	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r3", Need: need}, nil), "e2") // it is given a rest
+	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r3", Need: need}, nil), "e2") // the allocator is in backoff
 }
 
 func TestReportsTellWhatTheStoreWouldNot(t *testing.T) {
-	// A host is cut off from the store. An engine leaves; its generations on
-	// that host were lost, as it heard of nothing.
+	// Guards against generations that are lost on a leaving engine because
+	// their host is partitioned from the store and does not learn of it.
 	is := is.New(t)
 	at, from := engines("a", "e1", "e2"), engines("b", "e1", "e2")
 	_, allocator, client := pair(t, at, from)
@@ -150,7 +150,7 @@
 	select {
 	case <-work.Gone():
 	default:
-		t.Fatal("the host was not told")
+		t.Fatal("the host was not notified")
 	}
 	revision, age := client.Newest()
 	is.Equal(revision, uint64(17))
@@ -159,7 +159,8 @@
 	is.Equal(at.Leaving(llm), []fleet.Life{{ID: "e1"}})
 }
 
-// Guards against calls that fail at each host anew while a plain server goes down and up.
+// Guards against calls that fail at one host after another while a plain server
+// repeatedly stops and restarts.
 func TestPlainServerThatFailsSeveralHostsIsShunned(t *testing.T) {
 	is := is.New(t)
 	at, from := engines("a", "e1"), engines("b", "e1")
@@ -182,23 +183,23 @@
 	}
 	at.Witness("other", "p1", fleet.Evidence{Failed: 1})
 	report()
-	is.Equal(len(doubtful(from)), 0) // one host may be cut off itself
+	is.Equal(len(doubtful(from)), 0) // a single host may itself be partitioned
 	work := from.Begin("p1", fleet.Work{ID: "r1"}, false)
 	work.Outcome(true)
 	select {
 	case <-from.OwnChanged():
 	default:
-		t.Fatal("a failure has to be told at once")
+		t.Fatal("a failure has to be reported immediately")
 	}
 	report()
 	is.Equal(doubtful(at), []string{"p1"})
-	is.Equal(doubtful(from), []string{"p1"}) // the answer says so
+	is.Equal(doubtful(from), []string{"p1"}) // learned from the response
 	is.Equal(len(from.Candidates("plain", "d")), 2)
 }
 
 func TestOwnFailuresOfPlainServersShunNone(t *testing.T) {
-	// A plain service answers 14 in 100 of its calls with a failure of its own.
-	// Two hosts with such answers in a row must not take a server out of use.
+	// A plain service answers 14 of 100 calls with an error of its own. Two hosts with several such
+	// answers in a row must not take a server out of use.
 	is := is.New(t)
 	table := engines("a", "e1")
 	table.Put(fleet.Server{ID: "p1", Service: "plain", Address: "p1", Domain: "d", Slots: 6})
@@ -235,8 +236,8 @@
 }
 
 func TestReportsOfALargeFleetAreBounded(t *testing.T) {
-	// 390 hosts report to one allocator. At the interval of a small fleet it
-	// would spend a fifth of a core on hearing them.
+	// Guards against a report rate that takes a fifth of an allocator's core:
+	// 390 hosts at the interval of a small fleet.
 	is := is.New(t)
 	members := make([]peer.Member, 7)
 	client := NewClient("a", "d", &hosts{members: members}, nil, nil, zap.NewNop())
@@ -254,8 +255,8 @@
 }
 
 func TestCutOffHostAsksItsOwnEnginesOnly(t *testing.T) {
-	// Twenty hosts are cut off from the store and the allocator. Each asked
-	// all engines five times a second; 18,000 questions came on one day.
+	// Guards against twenty hosts, partitioned from the store and the allocator, that each query
+	// all engines five times per second (18,000 queries in a day).
 	is := is.New(t)
 	table := engines("b", "e1", "e2")
 	table.Begin("e1", fleet.Work{ID: "r1"}, false)
@@ -266,11 +267,12 @@
 	is.Equal(asked[0].ID, "e1")
 	sentinel.Host = "a"
 	is.Equal(len(sentinel.asked(Whole(llm))), 2)
-	table.Rest("e1", time.Second) // it wants nothing from this host
+	table.Rest("e1", time.Second) // it requested a backoff from this host
 	is.Equal(len(sentinel.asked(Whole(llm))), 1)
 }
 
-// Guards against an allocator that confuses what servers want of its own host and of the asking one.
+// Guards against an allocator that mixes up backoffs for its own host with
+// those for the requesting host.
 func TestAllocatorPlacesWhereTheAskingHostIsWanted(t *testing.T) {
 	is := is.New(t)
 	at, from := engines("a", "e1", "e2"), engines("b", "e1", "e2")
@@ -281,7 +283,7 @@
 	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r1", Need: need}, nil), "e1")
 }
 
-// Guards against engines reclaimed unnoticed while the store, which would say so, is away.
+// Guards against engines that are reclaimed unnoticed during a store outage.
 func TestEnginesAreAskedWhileTheStoreIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -317,18 +319,19 @@
 		time.Sleep(checkInterval + time.Millisecond)
 		synctest.Wait()
 		is.Equal(table.Leaving(llm), []fleet.Life{{ID: "e2"}})
-		is.True(table.Candidates(llm, "d")[0].Slow) // e1 says that it is cold
+		is.True(table.Candidates(llm, "d")[0].Slow) // e1 reports itself as cold
 		away.Store(false)
 		before := asked.Load()
 		time.Sleep(time.Second)
 		is.Equal(asked.Load(), before)
-		is.True(verified.Load() >= 1) // what it tells others is as new
+		is.True(verified.Load() >= 1) // the information for other hosts is as recent
 		stop()
 		synctest.Wait()
 	})
 }
 
-// Guards against refusals for want of a place that has come free at another host.
+// Guards against refusals although capacity has become available through the
+// end of another host's work.
 func TestEndsAreToldAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -347,7 +350,7 @@
 		work.End()
 		time.Sleep(2 * reportGap)
 		is.Equal(at.Candidates(llm, "d")[0].Running, 0)
-		at.Witness("other", "e1", fleet.Evidence{Failed: 1}) // with the one that was told: two hosts
+		at.Witness("other", "e1", fleet.Evidence{Failed: 1}) // with the host that reported its failure, two hosts
 		is.Equal(len(at.Candidates(llm, "d")), 0)
 	})
 }
--- a/allocation/allocator.go
+++ b/allocation/allocator.go
@@ -1,17 +1,17 @@
-// Package allocation places generations, and the moves of generations, with
-// one entry host as the allocator of each service.
+// Package allocation places generations, and the moves of generations, through
+// one entry host that acts as the allocator of each service.
 //
-// Failure it answers: every host sees only its own part of what runs on an
-// engine, and engines' reports are half a second old. Hosts that choose by
-// themselves send several prompts to the engine that looks emptiest to all of
-// them, and their copies off a leaving engine queue behind each other. The
-// allocator knows what all hosts run, at most a report old, and what it has
-// placed since.
+// Each host knows only its own share of the load on an engine, and engines'
+// load reports are half a second old. Hosts that choose independently send
+// several prompts to the engine that looks emptiest to all of them, and the
+// copies that they move off a leaving engine queue behind each other. The
+// allocator knows the load of all hosts, at most one report interval old, and
+// the placements that it has made since.
 //
-// The allocator is chosen by rendezvous among the hosts held for live. It is a
-// matter of quality only: with two of them, or none, each request is still
-// sent once, by the host that has it. A host whose allocator does not answer
-// places by itself.
+// The allocator is chosen by rendezvous hashing among the live hosts. It
+// affects only the quality of placement: with two allocators, or none, each
+// request is still sent exactly once, by the host that received it. A host
+// whose allocator does not answer places by itself.
 package allocation
 
 import (
@@ -29,37 +29,38 @@
 
 const (
 	msgGranted = "turn to move granted"
-	// MsgPlaced and MsgNoPlace are the log messages by which a day's losses are
-	// told apart.
+	// MsgPlaced and MsgNoPlace are the log messages that distinguish the causes
+	// of lost generations.
 	MsgPlaced  = "generation placed"
 	MsgNoPlace = "no server has a place"
 	msgOnward  = "generation goes to another part of the service"
 )
 
-// Allocator decides for the parts of services whose allocator this host is. It may be
-// used from any goroutine.
+// Allocator places work for the parts of services whose allocator this host is.
+// It is safe for concurrent use.
 type Allocator struct {
 	fleet  *fleet.Table
 	limits placement.Limits
 	draw   func(n int) int
 	logger *zap.Logger
-	// Undisturbed returns how long ago the store last failed to answer this
-	// host; it is told to hosts that do not watch the store. Nil: not told.
+	// Undisturbed returns the time since the store last failed to answer this
+	// host. It is sent to hosts that do not watch the store. Nil: not sent.
 	Undisturbed func() time.Duration
-	// Revision returns the revision of the newest configuration, if this host
-	// surely has it; else zero. It is told to other hosts. Nil: not told.
+	// Revision returns the revision of the newest configuration if this host is
+	// certain to have it, else zero. It is sent to other hosts. Nil: not sent.
 	Revision func() uint64
-	// Verified returns how long ago the store was asked for what Revision
-	// returns. Nil: not told to other allocators.
+	// Verified returns the time since the store was queried for the value that
+	// Revision returns. Nil: not sent to other allocators.
 	Verified func() time.Duration
-	// Relayed takes in another allocator's Revision, and how long ago the
-	// store was asked for it; nil: it is not used. It must not block.
+	// Relayed is called with the Revision of another allocator and the time
+	// since that allocator queried the store for it. Nil: not used. It must not
+	// block.
 	Relayed func(allocator string, revision uint64, age time.Duration)
-	// Evacuated returns the newest revision of an evacuation that this host
-	// knows; it is told to other hosts. Nil: not told.
+	// Evacuated returns the newest revision of an evacuation known to this
+	// host. It is sent to other hosts. Nil: not sent.
 	Evacuated func() uint64
-	// ColdShare returns the part of what a cold server of a part bears that this
-	// host may give it; nil: all.
+	// ColdShare returns the share of the request rate of cold servers in a part
+	// that this host may use. Nil: all of it.
 	ColdShare func(part Part) float64
 
 	mu     sync.Mutex // guards queues
@@ -69,39 +70,36 @@
 	market   *market
 }
 
-// Asked is a generation for which a place is asked.
+// Asked is a generation that needs a server.
 type Asked struct {
-	Request string // id, for the log
-	// Fingerprint is the same for a request that comes back with another id;
-	// zero: not known.
+	Request string // request ID, for the log
+	// Fingerprint is the same if a request is retried with another ID; zero: unknown.
 	Fingerprint uint64
 	Need        placement.Need
-	// Settled says that another part sent the request here: it is sent no
-	// further.
+	// Settled is set if another part forwarded the request. It is not forwarded again.
 	Settled bool
 }
 
-// Placed is where a generation goes: to a server, to another part that is to
-// be asked, or nowhere.
+// Placed is the result of a placement: a server, another part to be asked instead, or neither.
 type Placed struct {
 	Server    string
-	Elsewhere Part // its service is empty: none
+	Elsewhere Part // none if its service is empty
 }
 
-// moves are those of one part of a service.
+// moves is the migration queue of one part of a service.
 type moves struct {
 	queue *migration.Queue
-	wake  chan struct{} // holds a token when the queue is to be looked at
+	wake  chan struct{} // receives a token when the queue has to be stepped
 }
 
-// NewAllocator returns an allocator that places by the table; draw breaks ties.
+// NewAllocator returns an allocator that places work on the servers in table; draw breaks ties.
 func NewAllocator(table *fleet.Table, limits placement.Limits, draw func(n int) int, logger *zap.Logger) *Allocator {
 	return &Allocator{fleet: table, limits: limits, draw: draw, logger: logger, queues: map[Part]*moves{}, refusals: newRefusals(), market: newMarket()}
 }
 
-// Place chooses a server for a host's generation and books it, until the host
-// reports it itself. Where another part is better by more than the way there
-// costs, it is named instead.
+// Place chooses a server for a host's generation and reserves it there until
+// the host's own report includes it. If another part is cheaper by more than
+// the cost of crossing failure domains, that part is returned instead.
 func (a *Allocator) Place(host, domain string, part Part, asked Asked, except []string) Placed {
 	need, request := asked.Need, asked.Request
 	need.Returning = a.refusals.returning(asked.Fingerprint, request)
@@ -129,8 +127,8 @@
 	return Placed{Server: candidates[i].ID}
 }
 
-// elsewhere returns the part that is to be asked instead, if there is one.
-// Costs are compared for a typical generation, as other parts offer for one.
+// elsewhere returns the part to be asked instead, if any. Costs are compared
+// for a typical generation, because other parts make their offers for one.
 func (a *Allocator) elsewhere(part Part, asked Asked, candidates []placement.Candidate, placeHere bool) (Part, bool) {
 	if part.Domain == "" || asked.Settled {
 		return Part{}, false
@@ -147,7 +145,7 @@
 	return a.market.below(part, brief, limit)
 }
 
-// offers returns what a part offers to generations of others.
+// offers returns the costs at which a part offers places to generations of other parts.
 func (a *Allocator) offers(part Part) (brief, long []float64) {
 	candidates := a.candidates(part, part.Domain)
 	return placement.Costs(a.market.typical(true), candidates, a.limits, offersKept),
@@ -156,7 +154,7 @@
 
 // candidates returns the servers of a part that may get work.
 func (a *Allocator) candidates(part Part, domain string, except ...string) []placement.Candidate {
-	share := 0.0 // all of it
+	share := 0.0 // unlimited
 	if a.ColdShare != nil {
 		share = a.ColdShare(part)
 	}
@@ -165,8 +163,9 @@
 	})
 }
 
-// TakeTurn waits until a host's run may move. The turn has to be ended.
-// Where the part has no server left another one is named.
+// TakeTurn waits until a host's run may move. If it succeeds, the turn has to
+// be ended with EndTurn. If the part has no server left, another part is
+// returned.
 func (a *Allocator) TakeTurn(ctx context.Context, host string, part Part, move migration.Move) (to Placed, err error) {
 	m := a.moves(part)
 	entered := time.Now()
@@ -186,7 +185,7 @@
 	}
 	cancel()
 	select {
-	case <-granted: // between the end of ctx and cancel
+	case <-granted: // granted between the end of ctx and cancel
 		a.EndTurn(part, move.Source, move.Run)
 	default:
 	}
@@ -200,7 +199,7 @@
 	m.look()
 }
 
-// moves returns the moves of a part, and begins to serve them.
+// moves returns the migration queue of a part, and starts it on first use.
 func (a *Allocator) moves(part Part) *moves {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -224,7 +223,7 @@
 	}
 }
 
-// run steps the queue for as long as the process lives; parts are few.
+// run steps the queue until the process ends. There are few parts, so queues are never stopped.
 func (m *moves) run() {
 	for range m.wake {
 		for next := m.queue.Step(); next > 0; next = m.queue.Step() {
--- a/allocation/bench_test.go
+++ b/allocation/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/papayasail/papayasail/placement"
 )
 
-// targetTable is what an allocator knows at the target size: 600 engines and
-// the loads of 390 hosts, each with work on so many engines.
+// targetTable returns an allocator's table at the target size: 600 engines and
+// the loads of 390 hosts, each with work on the given number of engines.
 func targetTable(busy int) *fleet.Table {
 	table := fleet.NewTable("me", zap.NewNop())
 	table.SetMemory(llm, 34000)
@@ -29,7 +29,7 @@
 	return table
 }
 
-// BenchmarkPlace is one decision, of a service in one part and in four.
+// BenchmarkPlace measures one placement for a service of one part and of four.
 func BenchmarkPlace(b *testing.B) {
 	for _, count := range []int{1, 4} {
 		b.Run(fmt.Sprintf("parts=%d", count), func(b *testing.B) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// BenchmarkTakeReport is one report of a host with work on six engines.
+// BenchmarkTakeReport measures the processing of one report of a host with work on six engines.
 func BenchmarkTakeReport(b *testing.B) {
 	table := targetTable(6)
 	loads := map[string]fleet.Load{}
--- a/allocation/client.go
+++ b/allocation/client.go
@@ -21,24 +21,23 @@
 	msgLost     = "allocator does not answer"
 	msgRegained = "allocator answers again"
 
-	// placeTimeout bounds the question for a place; it takes 3 ms between
-	// failure domains.
+	// placeTimeout bounds a placement call, which takes 3 ms between failure domains.
 	placeTimeout = 80 * time.Millisecond
-	// avoidFor is how long an allocator that did not answer is not asked; twice
-	// as long each time it does not answer then, up to avoidMost.
+	// avoidFor is how long an allocator that did not answer is not called. It
+	// doubles with each further failure, up to avoidMost.
 	avoidFor  = time.Second
 	avoidMost = 8 * time.Second
 )
 
-// Peers reaches other entry hosts; *peer.Node is one.
+// Peers calls other entry hosts. *peer.Node implements it.
 type Peers interface {
 	Members() []peer.Member
-	// Generation rises with every change of Members but its versions.
+	// Generation increases on every change of Members other than a change of versions.
 	Generation() uint64
 	Call(host string, f func(grpc.ClientConnInterface) error) error
 }
 
-// Client asks the allocators, and decides by itself where they do not answer.
+// Client calls the allocators, and places by itself if they do not answer.
 type Client struct {
 	host   string
 	domain string
@@ -46,25 +45,26 @@
 	local  *Allocator
 	fleet  *fleet.Table
 	logger *zap.Logger
-	// Told is called with each word of an allocator on the newest
-	// configuration; nil: with none. It must not block.
+	// Told is called with each revision of the newest configuration received
+	// from an allocator. Nil: not called. It must not block.
 	Told func(allocator string, revision uint64)
-	// ToldEvacuated is called with each word of an allocator on the newest
-	// evacuation of a failure domain; nil: with none. It must not block.
+	// ToldEvacuated is called with each revision of the newest evacuation of a
+	// failure domain received from an allocator. Nil: not called. It must not
+	// block.
 	ToldEvacuated func(allocator string, revision uint64)
 
 	view atomic.Pointer[view]
 
-	mu        sync.Mutex              // guards all below
-	avoided   map[string]rest         // by host: those that did not answer
+	mu        sync.Mutex              // guards all fields below
+	avoided   map[string]rest         // hosts that did not answer
 	leaving   map[string]knownLeaving // by allocator
-	disturbed time.Time               // when the store last failed to answer an allocator, as told
-	revision  uint64                  // of the newest configuration, as told
-	revisedAt time.Time               // when it was asked for
+	disturbed time.Time               // when the store last failed to answer an allocator, as reported
+	revision  uint64                  // newest configuration, as reported
+	revisedAt time.Time               // when revision was requested
 }
 
-// Newest returns the revision of the newest configuration, as an allocator
-// said, and how long ago it was asked.
+// Newest returns the newest configuration revision received from an allocator,
+// and the time since it was requested.
 func (c *Client) Newest() (revision uint64, age time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,8 +79,8 @@
 	}
 }
 
-// Undisturbed returns how long ago the store last failed to answer an
-// allocator, as far as this host was told.
+// Undisturbed returns the time since the store last failed to answer an
+// allocator, as reported to this host.
 func (c *Client) Undisturbed() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,7 +95,7 @@
 	}
 }
 
-// NewClient returns the client of a host, with its own allocator.
+// NewClient returns the client of a host; local is the host's own allocator.
 func NewClient(host, domain string, peers Peers, local *Allocator, table *fleet.Table, logger *zap.Logger) *Client {
 	c := &Client{host: host, domain: domain, peers: peers, local: local, fleet: table, logger: logger, avoided: map[string]rest{}, leaving: map[string]knownLeaving{}}
 	if local != nil {
@@ -104,14 +104,13 @@
 	return c
 }
 
-// allocatorsColdShare is what the allocator of a part may give cold servers of
-// the requests that they bear; the hosts that decide by themselves share the
-// rest. What servers bear above the stated rate is left for the moments in
-// which two hosts take themselves for the allocator.
+// allocatorsColdShare is the share of cold servers' request rate that the
+// allocator of a part may use. Hosts that place by themselves divide the rest.
+// The rate that servers can handle beyond the configured one covers periods in
+// which two hosts consider themselves the allocator.
 const allocatorsColdShare = 0.5
 
-// coldShare returns the part of what a cold server bears that this host may
-// give it.
+// coldShare returns the share of cold servers' request rate in a part that this host may use.
 func (c *Client) coldShare(part Part) float64 {
 	if c.chosen(part) == c.host {
 		return allocatorsColdShare
@@ -119,9 +118,9 @@
 	return (1 - allocatorsColdShare) / float64(max(1, c.hosts()))
 }
 
-// Place chooses a server for a generation, or returns "" if none has a place.
-// Where this host's part of the service is full, or another one far emptier,
-// that one is asked.
+// Place chooses a server for a generation. It returns "" if none has capacity.
+// If this host's part of the service is full, or another part is much emptier,
+// that other part is asked.
 func (c *Client) Place(ctx context.Context, service string, asked Asked, except []string) string {
 	placed := c.placeIn(ctx, c.cut(service).partOf(c.domain, c.host), asked, except)
 	if placed.Elsewhere.Service == "" {
@@ -133,7 +132,8 @@
 
 func (c *Client) placeIn(ctx context.Context, part Part, asked Asked, except []string) Placed {
 	allocator := c.allocator(part)
-	// Other hosts may reach servers that this one does not, and be welcome there.
+	// Servers that this host cannot reach, or that requested a backoff from it,
+	// may accept other hosts.
 	except = append(c.fleet.Avoided(part.Service), except...)
 	if allocator == c.host {
 		return c.placeHere(part, asked, except)
@@ -154,8 +154,9 @@
 	return Placed{Server: response.GetServer(), Elsewhere: partFrom(response.GetElsewhere())}
 }
 
-// placeHere places by this host's own view: of the part if others may take it
-// for its allocator, else of all servers, as there is nobody to ask for a part.
+// placeHere places with this host's own table: on the part if other hosts may
+// consider this one its allocator, else on all servers, as no allocator
+// answers.
 func (c *Client) placeHere(part Part, asked Asked, except []string) Placed {
 	if !c.decidesFor(part) {
 		part = Whole(part.Service)
@@ -163,8 +164,8 @@
 	return c.local.Place(c.host, c.domain, part, asked, except)
 }
 
-// TakeTurn waits until a run may move off a leaving server, and returns where
-// to ("": nowhere) and what ends the turn.
+// TakeTurn waits until a run may move off a leaving server. It returns the
+// destination ("" if there is none) and a function that ends the turn.
 func (c *Client) TakeTurn(ctx context.Context, service string, move migration.Move) (destination string, end func(), err error) {
 	source, _ := c.fleet.Get(move.Source)
 	to, end, err := c.takeTurnIn(ctx, c.cut(service).partOf(source.Domain, move.Source), move)
@@ -206,19 +207,19 @@
 func (c *Client) endTurnAt(allocator string, part Part, move migration.Move) {
 	ctx, cancel := context.WithTimeout(context.Background(), placeTimeout)
 	defer cancel()
-	// Where this is lost the turn ends by itself, some hundred ms later.
+	// If this call is lost, the turn expires some hundred ms later.
 	_ = c.call(ctx, allocator, func(client allocationpb.AllocationClient) error {
 		_, err := client.EndTurn(ctx, &allocationpb.EndTurnRequest{Host: c.host, Part: part.message(), Source: move.Source, Run: move.Run})
 		return err
 	})
 }
 
-// allocator returns who is asked for a part: the first of its allocators that
-// answered when it was asked last, or this host itself if none did.
+// allocator returns the host to ask for a part: the first of its allocators
+// that is not in backoff, or this host if all are.
 //
-// Failure: an allocator's host is too slow to answer in time, yet held for
-// live. Hosts that place by themselves do so blindly; with the next allocator
-// all of them go on sharing one view.
+// An allocator may be too slow to answer in time and still be considered live.
+// Hosts that then place by themselves do not see each other's placements.
+// Falling back to the next allocator keeps a shared view.
 func (c *Client) allocator(part Part) string {
 	hosts := c.look().allocators(part)
 	c.mu.Lock()
@@ -231,8 +232,7 @@
 	return c.host
 }
 
-// call calls an allocator, which is to answer before ctx ends, and notes
-// whether it did.
+// call calls an allocator that has to answer before ctx ends, and records whether it did.
 func (c *Client) call(ctx context.Context, host string, f func(allocationpb.AllocationClient) error) error {
 	err := c.peers.Call(host, func(conn grpc.ClientConnInterface) error { return f(allocationpb.NewAllocationClient(conn)) })
 	c.note(host, err, err != nil && context.Cause(ctx) != context.Canceled)
@@ -240,8 +240,8 @@
 }
 
 // callWaiting calls an allocator whose answer may take longer than this host
-// waits: the end of ctx says nothing of it, nor does its word that the time is
-// over, which may come before ctx ends here.
+// waits. Neither the end of ctx nor a deadline error from the allocator, which
+// may arrive before ctx ends here, counts as a failure to answer.
 func (c *Client) callWaiting(ctx context.Context, host string, f func(allocationpb.AllocationClient) error) error {
 	err := c.peers.Call(host, func(conn grpc.ClientConnInterface) error { return f(allocationpb.NewAllocationClient(conn)) })
 	timeOver := status.Code(err) == codes.DeadlineExceeded
@@ -249,7 +249,8 @@
 	return err
 }
 
-// note takes in how a call to an allocator ended.
+// note records the result of a call to an allocator. silent means that the
+// allocator did not answer.
 func (c *Client) note(host string, err error, silent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -266,17 +267,16 @@
 	}
 }
 
-// rest is how long an allocator that did not answer is not asked.
+// rest is the backoff after an allocator did not answer.
 type rest struct {
 	until  time.Time
 	lasted time.Duration
 }
 
-// longer returns the rest after one more call without an answer: twice as long
-// as the last one, if that is over.
+// longer returns the backoff after one more unanswered call: twice the last one, if that has ended.
 func (r rest) longer(now time.Time) rest {
 	if now.Before(r.until) {
-		return r // calls that were under way together count once
+		return r // concurrent calls count once
 	}
 	r.lasted = min(max(avoidFor, 2*r.lasted), avoidMost)
 	r.until = now.Add(r.lasted)
--- a/allocation/cold_test.go
+++ b/allocation/cold_test.go
@@ -14,23 +14,22 @@
 	"github.com/papayasail/papayasail/placement"
 )
 
-// The load that is replayed: a failure domain of three is back with six cold
-// engines, while three times as many brief generations come as usual, and a
-// third of the hosts does not reach the allocator.
+// Replayed load: one of three failure domains is restored with six cold engines, brief generations
+// arrive at three times the usual rate, and a third of the hosts cannot reach the allocator.
 const (
 	coldEngines   = 6
 	warmEngines   = 4
 	coldRate      = 25.0
-	coldBound     = coldRate*1.5 + 5 // of all hosts together
+	coldBound     = coldRate*1.5 + 5 // for all hosts together
 	coldHosts     = 24
-	coldHostsLost = 8    // decide by themselves
-	coldArrivals  = 2000 // generations
+	coldHostsLost = 8    // hosts that decide by themselves
+	coldArrivals  = 2000 // generations per second
 	coldRunsFor   = 150  // ms
-	coldSeconds   = 3.0  // that the domain stays cold
+	coldSeconds   = 3.0  // time for which the domain stays cold
 	coldStepMs    = 10
 )
 
-// coldFleet counts what cold engines get.
+// coldFleet counts the requests sent to cold engines.
 type coldFleet struct {
 	clients []*Client
 	tables  []*fleet.Table
@@ -63,7 +62,7 @@
 	return f
 }
 
-// decider is the host that decides for another one.
+// decider returns the index of the host that decides for the given host.
 func (f *coldFleet) decider(host int) int {
 	if host < coldHostsLost {
 		return host
@@ -76,7 +75,7 @@
 	return host
 }
 
-// place places one generation of a host, and ends it a little later.
+// place places one generation of a host, and ends it after coldRunsFor.
 func (f *coldFleet) place(host int, id string) {
 	by := f.decider(host)
 	placed := f.clients[by].local.Place(f.clients[host].host, "d0", Whole(llm), Asked{Request: id, Need: placement.Need{PromptTokens: 10, OutputTokens: 5}}, nil)
@@ -95,7 +94,7 @@
 	})
 }
 
-// Guards against cold engines that crash as all hosts together send them too much.
+// Guards against cold engines that crash because all hosts together send them too many requests.
 func TestDomainThatIsBackColdIsNotOverrun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -112,14 +111,14 @@
 		}
 		t.Logf("placed %d, refused %d, at most %d a second at a cold engine", f.placed, f.refused, most)
 		is.True(float64(most) <= coldBound)
-		is.True(most > 0)                                                            // they get what they bear
-		is.True(float64(f.placed) > 0.9*coldSeconds*1000/coldRunsFor*warmEngines*24) // the warm ones are full
+		is.True(most > 0)                                                            // they get some of what they accept
+		is.True(float64(f.placed) > 0.9*coldSeconds*1000/coldRunsFor*warmEngines*24) // the warm engines are full
 	})
 }
 
 func TestSharesOfColdServersAddUp(t *testing.T) {
-	// Each host that decides by itself believes that what a cold server bears is
-	// its own to spend; together they crash it.
+	// Guards against cold servers that crash because each host that decides by
+	// itself uses their whole request rate.
 	is := is.New(t)
 	f := newColdFleet()
 	all := 0.0
@@ -130,7 +129,7 @@
 	is.True(all > 0.9)
 }
 
-// mostInASecond returns how many of the times lie within one second at most.
+// mostInASecond returns the largest number of the given times within any one second.
 func mostInASecond(times []time.Time) (most int) {
 	for i, begin := range times {
 		count := 0
--- a/allocation/exchange.go
+++ b/allocation/exchange.go
@@ -9,8 +9,8 @@
 	"github.com/papayasail/papayasail/internal/sleep"
 )
 
-// Exchange tells the allocators of other parts what this host's parts offer,
-// until ctx ends.
+// Exchange sends the offers of the parts that this host allocates to the
+// allocators of other parts, until ctx ends.
 func (c *Client) Exchange(ctx context.Context) error {
 	for sleep.For(ctx, offerInterval) == nil {
 		for _, service := range c.fleet.EngineServices() {
@@ -20,7 +20,7 @@
 	return ctx.Err()
 }
 
-// tellOffers tells what this host offers among the parts of a service.
+// tellOffers sends this host's offers for the parts of a service.
 func (c *Client) tellOffers(ctx context.Context, parts []Part) {
 	if len(parts) <= 1 {
 		return
@@ -34,7 +34,7 @@
 			continue
 		}
 		brief, long := c.local.offers(part)
-		c.local.market.hear(part, brief, long) // this host's parts hear of each other
+		c.local.market.hear(part, brief, long) // parts allocated by this host also use each other's offers
 		request.Offers = append(request.Offers, &allocationpb.PartOffer{Part: part.message(), Brief: costsMessage(brief), Long: costsMessage(long)})
 	}
 	if len(request.Offers) == 0 {
@@ -48,7 +48,7 @@
 	var group sync.WaitGroup
 	for allocator := range others {
 		group.Go(func() {
-			// One that is lost is replaced by the next.
+			// A lost offer is replaced by the next one.
 			_ = c.call(ctx, allocator, func(client allocationpb.AllocationClient) error {
 				_, err := client.Offer(ctx, request)
 				return err
--- a/allocation/exchange_test.go
+++ b/allocation/exchange_test.go
@@ -17,7 +17,7 @@
 	"github.com/papayasail/papayasail/placement"
 )
 
-// Guards against allocators that do not know what the others offer, and each ask the store.
+// Guards against allocators that do not exchange offers, and that each query the store.
 func TestAllocatorsTellWhatTheyOffer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -44,7 +44,7 @@
 	})
 }
 
-// Guards against a store that each allocator asks for the same configuration.
+// Guards against all allocators querying the store for the same configuration.
 func TestOneAllocatorAsksForTheConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -76,13 +76,13 @@
 		is.Equal(verifies.Load(), int64(time.Second/checkInterval))
 		away.Store(true)
 		time.Sleep(time.Second)
-		is.True(verifies.Load() <= int64(time.Second/checkInterval)+1) // the first one that failed
+		is.True(verifies.Load() <= int64(time.Second/checkInterval)+1) // only the first failed one
 		stop()
 		synctest.Wait()
 	})
 }
 
-// Guards against reports whose answers list all leaving servers each time.
+// Guards against reports whose responses list all leaving servers each time.
 func TestLeavingServersAreToldOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -94,7 +94,7 @@
 		}
 		at.MarkLeaving(fleet.Life{ID: "e1"}, fleet.SourceList)
 		is.Equal(leaves(), []fleet.Life{{ID: "e1"}})
-		from.Put(fleet.Server{ID: "e1", Service: llm, Address: "e1", Slots: 24}) // an entry from before
+		from.Put(fleet.Server{ID: "e1", Service: llm, Address: "e1", Slots: 24}) // a stale entry
 		is.Equal(len(leaves()), 0)
 		at.MarkLeaving(fleet.Life{ID: "e2"}, fleet.SourceList)
 		is.Equal(leaves(), []fleet.Life{{ID: "e1"}, {ID: "e2"}})
@@ -106,8 +106,8 @@
 }
 
 func TestWaitingForATurnIsNoSilence(t *testing.T) {
-	// A host waits for the turn of its move until it gives up. It took the
-	// allocator for dead, and placed by itself for a second and more.
+	// Guards against a host that takes its allocator for dead because it gave
+	// up waiting for a turn, and then places by itself for a second or more.
 	is := is.New(t)
 	at, from := engines("a", "e1", "e2"), engines("b", "e1", "e2")
 	_, _, client := pair(t, at, from)
--- a/allocation/market.go
+++ b/allocation/market.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// offerInterval spaces what allocators tell each other: a generation's
-	// prompt is read in about twice the time, so that an engine's cost is
-	// known while it holds.
+	// offerInterval is the interval at which allocators exchange offers.
+	// Reading a prompt takes about twice as long, so the cost of an engine is
+	// received while it is still valid.
 	offerInterval = 200 * time.Millisecond
-	// offersKept is how many servers of a part are offered at a time, each for
-	// one generation of each other part.
+	// offersKept is how many servers of a part are offered at a time. Each
+	// offer is for one generation from each other part.
 	offersKept = 16
-	// offerLifetime is how long an offer counts: three of them may be lost.
+	// offerLifetime is how long an offer is valid. Three successive offers may be lost.
 	offerLifetime = 4 * offerInterval
-	// typicalWeight is what one generation weighs in the typical one.
+	// typicalWeight is the weight of one generation in the moving average.
 	typicalWeight = 1.0 / 16
 )
 
-// offer is what places in a part cost, the lowest first.
+// offer is the list of costs of places in a part, in ascending order.
 type offer struct {
 	brief, long []float64
-	at          time.Time // when it was heard
+	at          time.Time // when it was received
 }
 
 // of returns the costs for brief or for long generations.
@@ -35,17 +35,17 @@
 	return &o.long
 }
 
-// market is what an allocator knows of the parts of others.
+// market holds the offers of other parts.
 //
-// The load it answers: callers move to another failure domain, or its engines
-// are lost, and a service is cut by domains. The engines there are full while
-// those of other domains have room. Asking them one after the other would take
-// the most calls when there is the least time for them.
+// When callers move to another failure domain, or its engines are lost, the
+// engines of its parts are full while other domains have capacity. Offers are
+// exchanged in advance, because asking the other parts one after the other
+// would take the most calls when there is the least time for them.
 type market struct {
 	mu     sync.Mutex // guards all below
 	offers map[Part]*offer
-	// typicalBrief and typicalLong are what generations need on average, as
-	// asked here; prices of two parts are compared for them.
+	// typicalBrief and typicalLong are moving averages of the needs of
+	// generations placed here. Costs in different parts are compared for them.
 	typicalBrief, typicalLong placement.Need
 }
 
@@ -57,14 +57,14 @@
 	}
 }
 
-// typical returns what a brief or a long generation needs on average.
+// typical returns the average need of brief or of long generations.
 func (m *market) typical(brief bool) placement.Need {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return *m.typicalOf(brief)
 }
 
-// typicalOf is called with mu held.
+// typicalOf requires mu.
 func (m *market) typicalOf(brief bool) *placement.Need {
 	if brief {
 		return &m.typicalBrief
@@ -72,7 +72,7 @@
 	return &m.typicalLong
 }
 
-// observe takes in what a generation needs.
+// observe adds a generation's need to the moving average.
 func (m *market) observe(need placement.Need) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -81,7 +81,7 @@
 	typical.OutputTokens += int(typicalWeight * float64(need.OutputTokens-typical.OutputTokens))
 }
 
-// hear takes in what a part offers.
+// hear stores the offer of a part, and drops expired offers.
 func (m *market) hear(part Part, brief, long []float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -93,8 +93,8 @@
 	}
 }
 
-// below takes the best offer of another part of the service whose cost is
-// below limit, so that the next one gets another server.
+// below consumes and returns the cheapest offer of another part of the service
+// with a cost below limit. The next call then gets another server.
 func (m *market) below(own Part, brief bool, limit float64) (part Part, found bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/allocation/part.go
+++ b/allocation/part.go
@@ -14,28 +14,28 @@
 
 const (
 	// hostsPerPart is how many entry hosts share an allocator before a service
-	// is cut into parts. At the target's 31 generations a second and host, one
-	// allocator of 390 hosts would have 12,000 calls a second; a call for a
-	// place costs some 60 us.
+	// is divided into parts. At the target load of 31 generations per second
+	// and host, a single allocator of 390 hosts would get 12,000 calls per
+	// second; a placement call costs about 60 us.
 	hostsPerPart = 128
-	// allocatorsTried is how many hosts are asked in turn for a part before a
-	// host decides by itself.
+	// allocatorsTried is how many hosts are tried as allocator of a part before
+	// a host decides by itself.
 	allocatorsTried = 3
 )
 
 // Part is the share of a service's servers that one allocator decides for: all
-// of them in a small fleet, those of one failure domain in a large one. All
-// hosts cut a service alike, by the hosts that they know. Where two of them
-// differ for a moment, two allocators place on the same servers, each by what
-// it is told: prompts may queue up, nothing runs twice.
+// servers in a small fleet, those of one failure domain or a fraction of them
+// in a large one. All hosts derive the same parts from the same membership.
+// While their memberships differ, two allocators may place on the same servers,
+// each with partial information: prompts may queue, but nothing runs twice.
 type Part struct {
 	Service string
 	Domain  string // failure domain; "": all
 	Index   int
-	Count   int // of the parts of the domain's servers; zero and one: all
+	Count   int // number of parts that the domain's servers are divided into; zero or one: not divided
 }
 
-// Whole is a service that is not cut.
+// Whole returns the only part of a service that is not divided.
 func Whole(service string) Part { return Part{Service: service} }
 
 // Holds reports whether a server belongs to the part.
@@ -43,7 +43,8 @@
 	return (p.Domain == "" || p.Domain == server.Domain) && p.Index == indexOf(server.ID, p.Count)
 }
 
-// indexOf returns which of so many parts a server or an entry host belongs to.
+// indexOf returns the index of the part, out of count parts, that a server or
+// an entry host belongs to.
 func indexOf(id string, count int) int {
 	if count <= 1 {
 		return 0
@@ -51,14 +52,14 @@
 	return int(xxhash.Sum64String(id) % uint64(count))
 }
 
-// cut says how a service is cut into parts.
+// cut is the division of a service into parts.
 type cut struct {
 	service string
-	domains []string       // of its servers, in order; none: it is not cut
-	counts  map[string]int // parts of each domain's servers
+	domains []string       // of its servers, in order; empty: not divided
+	counts  map[string]int // number of parts for each domain's servers
 }
 
-// cutOf cuts a service whose servers are in these failure domains.
+// cutOf divides a service with servers in the given failure domains.
 func cutOf(service string, domains []string, members []peer.Member) cut {
 	c := cut{service: service}
 	if len(members) <= hostsPerPart || len(domains) == 0 {
@@ -89,9 +90,9 @@
 	return parts
 }
 
-// partOf returns the part to which a server, or an entry host that asks for a
-// place, belongs. One in a domain without servers of the service asks another
-// domain, the same one each time.
+// partOf returns the part of a server, or the part that an entry host asks for
+// a place. A host in a domain without servers of the service is assigned to
+// another domain, always the same one.
 func (c cut) partOf(domain, id string) Part {
 	if len(c.domains) == 0 {
 		return Whole(c.service)
@@ -102,7 +103,7 @@
 	return Part{Service: c.service, Domain: domain, Index: indexOf(id, c.counts[domain]), Count: c.counts[domain]}
 }
 
-// Chosen returns the allocator of a part among the members, or "".
+// Chosen returns the preferred allocator of a part among the members, or "" if there is none.
 func Chosen(members []peer.Member, part Part) string {
 	if hosts := ranked(members, domain.Watchers(members), part); len(hosts) > 0 {
 		return hosts[0]
@@ -110,11 +111,12 @@
 	return ""
 }
 
-// ranked returns the hosts that may be the allocator of a part, the first
-// choice first, allocatorsTried at most.
+// ranked returns the hosts that may allocate a part, in order of preference, at
+// most allocatorsTried.
 //
-// Those that watch the store go first, as they hear first which servers leave.
-// A domain without live hosts has one of the watchers of the others.
+// Hosts that watch the store come first, because they are the first to learn
+// which servers leave. A domain without live hosts is allocated by a watcher in
+// another domain.
 func ranked(members []peer.Member, watchers []string, part Part) []string {
 	watchers = slices.Clone(watchers)
 	slices.SortFunc(watchers, func(a, b string) int {
@@ -129,7 +131,7 @@
 }
 
 // hostsOf returns the hosts of a failure domain that may take duties, those
-// that watch the store first; "": none.
+// that watch the store first. It returns none if failureDomain is empty.
 func hostsOf(members []peer.Member, failureDomain string, watchers []string) []string {
 	if failureDomain == "" {
 		return nil
--- a/allocation/part_test.go
+++ b/allocation/part_test.go
@@ -17,7 +17,7 @@
 	"github.com/papayasail/papayasail/placement"
 )
 
-// crowd returns so many live hosts in three failure domains.
+// crowd returns n live hosts in three failure domains.
 func crowd(n int) []peer.Member {
 	var members []peer.Member
 	for i := range n {
@@ -36,7 +36,7 @@
 	return servers
 }
 
-// Guards against one allocator that decides for a whole large fleet.
+// Guards against a single allocator for a whole large fleet.
 func TestLargeFleetsCutAServiceByDomain(t *testing.T) {
 	is := is.New(t)
 	is.Equal(cutOf(llm, threeDomains, crowd(91)).parts(), []Part{Whole(llm)})
@@ -44,7 +44,7 @@
 		members := crowd(hosts)
 		cut := cutOf(llm, threeDomains, members)
 		parts := cut.parts()
-		is.Equal(len(parts), hosts/100) // 100 hosts a domain share an allocator, 200 have two
+		is.Equal(len(parts), hosts/100) // 100 hosts of a domain share one allocator, 200 have two
 		for _, server := range serversOf(600) {
 			holders := 0
 			for _, part := range parts {
@@ -69,8 +69,8 @@
 }
 
 func TestDomainsWithoutHostsOrServersAreServed(t *testing.T) {
-	// All hosts of a failure domain are gone, and its engines live. Another
-	// domain's host decides for them. A domain with hosts alone asks another.
+	// A failure domain without hosts is allocated by a host of another domain.
+	// Hosts in a domain without engines ask another domain.
 	is := is.New(t)
 	members := crowd(300)
 	cut := cutOf(llm, append([]string{"lonely"}, threeDomains...), members)
@@ -83,8 +83,8 @@
 }
 
 func TestStrongHostsAllocate(t *testing.T) {
-	// A domain has 60 hosts of a fifth of a core and three of nearly one. One
-	// of the weak ones decided for all and was too slow to answer.
+	// Guards against an allocator that is too slow to answer: a weak host, with
+	// a fifth of a core, is chosen although its domain has a strong one.
 	is := is.New(t)
 	members := crowd(300)
 	for i := range members {
@@ -96,8 +96,8 @@
 	is.True(Chosen(members, Part{Service: llm, Domain: "d1"}) != "h031")
 }
 
-// largeFleet is a client on a host that is no allocator, and the allocator of
-// all parts, with six engines in three domains.
+// largeFleet returns a client on a host that is not an allocator, and the
+// allocator of all parts, with six engines in three domains.
 func largeFleet(t *testing.T) (*Allocator, *Client, *fleet.Table) {
 	t.Helper()
 	_, allocator, client, at := largePair(t)
@@ -105,8 +105,8 @@
 	return allocator, client, at
 }
 
-// largePair connects a client with the allocator of all parts of a fleet of 200
-// hosts; both know six engines in three domains.
+// largePair connects a client with the allocator of all parts in a fleet of 200
+// hosts. Both have the same six engines in three domains.
 func largePair(t *testing.T) (*hosts, *Allocator, *Client, *fleet.Table) {
 	t.Helper()
 	at, from := fleet.NewTable("a", zap.NewNop()), fleet.NewTable("b", zap.NewNop())
@@ -129,7 +129,7 @@
 	}
 }
 
-// Guards against refusals in a full failure domain while others have room.
+// Guards against refusals in a full failure domain while others have capacity.
 func TestFullDomainSendsOnward(t *testing.T) {
 	is := is.New(t)
 	allocator, client, table := largeFleet(t)
@@ -144,35 +144,34 @@
 	table.SetOthers("h001", llm, map[string]fleet.Load{"e1": full, "e4": full}, home.Holds)
 	other.mustHold(t, table, place("r2"))
 	other.mustHold(t, table, place("r3"))
-	is.Equal(place("r4"), "") // what was offered is taken
-	// The report on one part says nothing of another.
+	is.Equal(place("r4"), "") // all offers are used up
+	// A report on one part does not affect another.
 	table.SetOthers("h001", llm, nil, other.Holds)
 	is.Equal(allocator.Place("none", "d1", home, Asked{Request: "r5", Need: need}, nil), Placed{})
 }
 
 func TestFarEmptierDomainIsPreferred(t *testing.T) {
-	// Home has a place, behind two long prompts that are still to be read;
-	// elsewhere engines are idle. A caller here waited, and was late.
+	// Guards against late callers: their own domain has capacity, but behind
+	// two long unread prompts, while engines in another domain are idle.
 	allocator, client, table := largeFleet(t)
 	home, other := Part{Service: llm, Domain: "d1", Count: 1}, Part{Service: llm, Domain: "d2", Count: 1}
 	busy := fleet.Load{Requests: 6, HeldTokens: 24000, UsedTokens: 20000, UnreadTokens: 2400}
 	table.SetOthers("h001", llm, map[string]fleet.Load{"e1": busy, "e4": busy}, home.Holds)
 	asked := Asked{Request: "r1", Need: placement.Need{PromptTokens: 3000, OutputTokens: 200}}
-	home.mustHold(t, table, client.Place(context.Background(), llm, asked, nil)) // nobody has offered
+	home.mustHold(t, table, client.Place(context.Background(), llm, asked, nil)) // no offers yet
 	allocator.market.hear(other, nil, []float64{0.05})
 	other.mustHold(t, table, client.Place(context.Background(), llm, asked, nil))
 }
 
 func TestOffersExpire(t *testing.T) {
-	// Another domain is cut off. What its allocator offered last must not send
-	// callers there for good.
+	// Guards against sending callers to a partitioned domain because of its last offers.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m := newMarket()
 		own, other := Part{Service: llm, Domain: "d0"}, Part{Service: llm, Domain: "d1"}
 		m.hear(other, nil, []float64{0.1, 0.2})
 		_, found := m.below(own, true, 1)
-		is.True(!found) // for brief ones nothing is offered
+		is.True(!found) // no offers for brief generations
 		time.Sleep(offerLifetime + time.Millisecond)
 		_, found = m.below(own, false, 1)
 		is.True(!found)
@@ -183,8 +182,8 @@
 }
 
 func TestMovesLeaveADomainThatIsLost(t *testing.T) {
-	// All engines of a failure domain are reclaimed at once. Their generations
-	// were lost, as its allocator has no other engine to move them to.
+	// Guards against generations that are lost when all engines of a failure domain are reclaimed
+	// at once, as its allocator has no other engine to move them to.
 	is := is.New(t)
 	allocator, client, table := largeFleet(t)
 	for _, id := range []string{"e1", "e4"} {
@@ -213,11 +212,11 @@
 			is.Equal(client.allocator(Whole(llm)), host)
 			fail(host)
 		}
-		is.Equal(client.allocator(Whole(llm)), "none") // by itself, after all of them
+		is.Equal(client.allocator(Whole(llm)), "none") // decides by itself once all of them failed
 		time.Sleep(avoidFor + time.Millisecond)
 		is.Equal(client.allocator(Whole(llm)), order[0])
 		fail(order[0])
 		time.Sleep(avoidFor + time.Millisecond)
-		is.Equal(client.allocator(Whole(llm)), order[1]) // the first one rests longer
+		is.Equal(client.allocator(Whole(llm)), order[1]) // the first one has a longer backoff
 	})
 }
--- a/allocation/refusals.go
+++ b/allocation/refusals.go
@@ -6,21 +6,20 @@
 )
 
 const (
-	// refusalKept is how long a refused request is remembered; callers come
-	// back within a second.
+	// refusalKept is how long a refused request is remembered. Callers retry within a second.
 	refusalKept = 5 * time.Second
-	// refusalsKept bounds how many are; the oldest are forgotten first.
+	// refusalsKept bounds the number of remembered requests. The oldest are dropped first.
 	refusalsKept = 4096
 )
 
-// refusals remembers requests that found no place, to know those that come
-// back. A request that comes back has another id, and the same fingerprint.
+// refusals records the requests that found no place, to recognise their
+// retries. A retry has another ID and the same fingerprint.
 //
-// The load it answers: engines are full for seconds, callers are refused and
-// told when to come back. They compete anew with all others, and half of them
-// were refused a second time, for good.
+// While engines are full for some seconds, refused callers are told when to
+// retry. If retries compete equally with new requests, half of the callers are
+// refused a second time and give up.
 type refusals struct {
-	mu    sync.Mutex // guards all below
+	mu    sync.Mutex // guards all fields below
 	byKey map[uint64]refusal
 	order []uint64 // fingerprints, oldest first
 }
@@ -32,8 +31,8 @@
 
 func newRefusals() *refusals { return &refusals{byKey: map[uint64]refusal{}} }
 
-// note remembers that a request found no place. Of a request that asks several
-// times the first counts.
+// note records that a request found no place. If a request asks several times,
+// only the first refusal counts.
 func (r *refusals) note(fingerprint uint64, request string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -48,8 +47,8 @@
 	}
 }
 
-// returning reports whether another request with the fingerprint was refused a
-// moment ago.
+// returning reports whether another request with the same fingerprint was
+// refused within refusalKept.
 func (r *refusals) returning(fingerprint uint64, request string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/allocation/replay_test.go
+++ b/allocation/replay_test.go
@@ -16,9 +16,9 @@
 	"github.com/papayasail/papayasail/placement"
 )
 
-// The load that is replayed: 120 engines in five failure domains, 94 long and
-// 66 brief generations a second, as callers of each domain ask for them. Time
-// goes in steps of 50 ms; hosts report four times a second.
+// Replayed load: 120 engines in five failure domains, 94 long and 66 brief generations per second,
+// divided among the callers of the domains. Time advances in steps of 50 ms; hosts report four
+// times per second.
 const (
 	replayDomains     = 5
 	replayPerDomain   = 24
@@ -30,14 +30,14 @@
 	replayReadPerMs   = 7.0
 	replayTokenMs     = 9.0
 	replayFirstGoalMs = 1500.0
-	replayTries       = 4 // steps that a generation waits for a place
+	replayTries       = 4 // steps for which a generation waits for a place
 )
 
 // replayedRun is one generation on an engine.
 type replayedRun struct {
 	host   string
 	need   placement.Need
-	first  time.Time // its first token
+	first  time.Time // time of its first token
 	ends   time.Time
 	engine string
 }
@@ -51,19 +51,19 @@
 	return fleet.LoadOf(r.need, made, read)
 }
 
-// replayedFleet is five allocators, each with the table of its own host, and
-// what really runs.
+// replayedFleet consists of five allocators, each with the table of its own
+// host, and of the generations that actually run.
 type replayedFleet struct {
 	random     *rand.Rand
 	allocators map[string]*Allocator // by domain
 	parts      map[string]Part
 	waiting    []*waitingRun
 	runs       []*replayedRun
-	free       map[string]time.Time // until when an engine reads
+	free       map[string]time.Time // time until which an engine reads prompts
 	result     replayedResult
 }
 
-// replayedResult counts generations; home are long ones in their own domain.
+// replayedResult counts generations; home counts the long ones placed in their own domain.
 type replayedResult struct{ placed, long, home, refused, late int }
 
 func domainName(i int) string { return fmt.Sprintf("d%d", i) }
@@ -85,14 +85,14 @@
 	return f
 }
 
-// waitingRun is a generation without a place.
+// waitingRun is a generation that has no place yet.
 type waitingRun struct {
 	domain string
 	need   placement.Need
 	tries  int
 }
 
-// ask places a generation as a host does, and reports whether it has a place.
+// ask places a generation as a host does, and reports whether it found a place.
 func (f *replayedFleet) ask(domain string, need placement.Need) bool {
 	host := "host-" + domain
 	asked := Asked{Request: "r", Need: need}
@@ -116,7 +116,7 @@
 	return true
 }
 
-// askAll lets those that wait ask once more.
+// askAll retries all waiting generations once.
 func (f *replayedFleet) askAll() {
 	f.waiting = slices.DeleteFunc(f.waiting, func(w *waitingRun) bool {
 		if f.ask(w.domain, w.need) {
@@ -130,7 +130,7 @@
 	})
 }
 
-// poisson draws how many come where so many are expected.
+// poisson draws a Poisson-distributed count with the given mean.
 func (f *replayedFleet) poisson(expected float64) int {
 	count, product := 0, f.random.Float64()
 	for limit := math.Exp(-expected); product > limit; count++ {
@@ -139,7 +139,7 @@
 	return count
 }
 
-// begin lets an engine read the prompt behind those that it has.
+// begin adds a generation to an engine, which reads its prompt after those that it already has.
 func (f *replayedFleet) begin(host, engine string, need placement.Need) {
 	now := time.Now()
 	if f.free[engine].Before(now) {
@@ -154,7 +154,7 @@
 	f.runs = append(f.runs, &replayedRun{host, need, first, ends, engine})
 }
 
-// report tells each allocator what runs in its part, and what others offer.
+// report sends each allocator the loads in its part, and all allocators the offers of the others.
 func (f *replayedFleet) report() {
 	now := time.Now()
 	f.runs = slices.DeleteFunc(f.runs, func(r *replayedRun) bool { return !now.Before(r.ends) })
@@ -189,7 +189,8 @@
 	return int(min(most, max(least, median*math.Exp(sigma*f.random.NormFloat64()))))
 }
 
-// replay plays so many seconds, in which a domain's callers are a share of all.
+// replay simulates replaySeconds of load, of which each domain's callers
+// contribute the given share.
 func replay(t *testing.T, seed uint64, share [replayDomains]float64) (result replayedResult) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newReplayedFleet(seed)
@@ -216,7 +217,7 @@
 	return result
 }
 
-// Guards against generations that cross failure domains on a usual day.
+// Guards against generations that cross failure domains under normal load.
 func TestGenerationsStayInTheirDomain(t *testing.T) {
 	is := is.New(t)
 	even := replay(t, 1, [replayDomains]float64{0.2, 0.19, 0.23, 0.19, 0.19})
@@ -226,7 +227,7 @@
 	is.True(even.late*100 < even.placed)
 }
 
-// Guards against refusals where most callers move to one failure domain.
+// Guards against refusals when most callers move to one failure domain.
 func TestMovedCallersAreServedElsewhere(t *testing.T) {
 	is := is.New(t)
 	moved := replay(t, 1, [replayDomains]float64{0.6, 0.1, 0.1, 0.1, 0.1})
--- a/allocation/report.go
+++ b/allocation/report.go
@@ -14,34 +14,38 @@
 )
 
 const (
-	// reportInterval spaces a host's reports while nothing changes. What the
-	// allocator placed since the last one it knows by itself, so a report
-	// tells what was read or has ended, and that goes out at once.
+	// reportInterval is the time between a host's reports while nothing
+	// changes. The allocator knows its own placements since the last report; a
+	// report adds which prompts were read and which generations ended, and
+	// those changes are reported immediately.
 	reportInterval = 200 * time.Millisecond
-	// reportingHosts is how many hosts report at that interval; in larger
-	// fleets each reports less often, so that an allocator hears 320 of these
-	// reports a second at most, and as many again of changes: 6% of a core.
+	// reportingHosts is the fleet size up to which hosts report at
+	// reportInterval. In larger fleets each host reports less often, so that an
+	// allocator receives at most 320 such reports per second, and as many
+	// reports of changes: 6% of a core.
 	reportingHosts = 64
-	// reportGap gathers changes that come together; reportBurst is how many
-	// reports of changes a host may send in a row, faster than at the interval.
+	// reportGap is the time over which changes are batched. reportBurst is how
+	// many reports of changes a host may send in a row, faster than at the
+	// interval.
 	reportGap   = 20 * time.Millisecond
 	reportBurst = 5
-	// refreshInterval repeats an empty report.
+	// refreshInterval is the interval of reports that are sent even if empty.
 	refreshInterval = 700 * time.Millisecond
-	// leavingKept is for how long the list of leaving servers is not asked for
-	// again. An entry that is older than the list may have undone a part of it
-	// here. The list is most of the bytes of reports.
+	// leavingKept is how long the list of leaving servers is not requested
+	// again. The list makes up most of the bytes of reports. It is refreshed
+	// because a host list entry older than the list may have reverted a part of
+	// it here.
 	leavingKept = 3 * time.Second
 )
 
-// knownLeaving is the list of leaving servers that an allocator told last.
+// knownLeaving identifies the list of leaving servers last received from an allocator.
 type knownLeaving struct {
 	digest uint64
-	at     time.Time // when it was told in full
+	at     time.Time // when it was last received in full
 }
 
-// leavingKnown returns the digest of the list that this host has of an
-// allocator, or zero if it is to be told again.
+// leavingKnown returns the digest of the list that this host has from an
+// allocator, or zero if the list has to be sent again.
 func (c *Client) leavingKnown(allocator string) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,8 +56,8 @@
 	return known.digest
 }
 
-// toldLeaving notes the digest of a list; it was told in full unless this host
-// had it.
+// toldLeaving records the digest of a list. The list was received in full
+// unless this host already had it.
 func (c *Client) toldLeaving(allocator string, digest, had uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,7 +68,7 @@
 
 // Run reports this host's load to the allocators until ctx ends.
 func (c *Client) Run(ctx context.Context) error {
-	reported, at := map[Part]bool{}, time.Time{} // parts whose allocator was told of work
+	reported, at := map[Part]bool{}, time.Time{} // parts whose allocator has been sent work
 	changes := rate.NewLimiter(rate.Every(c.interval()), reportBurst)
 	for c.pause(ctx, changes) == nil {
 		refresh := time.Since(at) >= refreshInterval
@@ -80,7 +84,7 @@
 				seen, due := held(c.fleet, part, evidence), false
 				if part == home {
 					seen, due = merged(seen, calls), refresh || failed
-					calls = nil // told once, whichever service's allocator hears of them
+					calls = nil // reported once, to the allocator of whichever service comes first
 				}
 				c.reportPart(ctx, part, held(c.fleet, part, loads), seen, due, reported)
 			}
@@ -89,29 +93,29 @@
 	return ctx.Err()
 }
 
-// merged returns what either map holds.
+// merged returns the union of both maps.
 func merged(a, b map[string]fleet.Evidence) map[string]fleet.Evidence {
 	all := maps.Clone(a)
 	maps.Copy(all, b)
 	return all
 }
 
-// reportPart reports where there is something to tell, or to hear: with work
-// there, the answer says which servers leave; where it is due, this host's own
-// part tells it of the newest configuration. How calls ended is told beside
-// other things, and for itself only where one failed.
+// reportPart reports if there is something to send or to learn. While there is
+// work in the part, the response lists the leaving servers. When a report is
+// due, this host's own part returns the revision of the newest configuration.
+// Outcomes of calls are sent along with other reports, and cause a report only
+// if one failed.
 func (c *Client) reportPart(ctx context.Context, part Part, loads map[string]fleet.Load, evidence map[string]fleet.Evidence, due bool, reported map[Part]bool) {
 	if len(loads) == 0 && len(evidence) == 0 && !reported[part] && !due {
 		return
 	}
-	// Where a report is lost its evidence is too; what goes on failing makes
-	// new evidence.
+	// The evidence in a lost report is lost too; a server that keeps failing produces new evidence.
 	if c.report(ctx, part, loads, evidence) {
 		reported[part] = len(loads) > 0
 	}
 }
 
-// held returns what is said of the servers of a part.
+// held returns the entries of byServer that concern servers of the part.
 func held[V any](table *fleet.Table, part Part, byServer map[string]V) map[string]V {
 	if part == Whole(part.Service) {
 		return byServer
@@ -125,10 +129,11 @@
 	return inPart
 }
 
-// pause waits until the next report is due: at once when this host's work has
-// changed, else after the interval.
+// pause waits until the next report is due: immediately when this host's work
+// has changed, else after the interval.
 //
-// Without changes at once an allocator holds engines for full that have room.
+// If changes were not reported immediately, the allocator would take engines
+// for full that have capacity.
 func (c *Client) pause(ctx context.Context, changes *rate.Limiter) error {
 	if err := sleep.For(ctx, reportGap); err != nil {
 		return err
@@ -144,7 +149,7 @@
 			if changes.Allow() {
 				return nil
 			}
-			changed = nil // the next report at the interval tells it
+			changed = nil // included in the next report at the interval
 		case <-timer.C:
 			return nil
 		case <-ctx.Done():
@@ -159,8 +164,9 @@
 	return reportInterval * time.Duration(max(reportingHosts, hosts)) / reportingHosts
 }
 
-// report tells a part's allocator what this host runs there, and how its
-// requests ended.
+// report sends a part's allocator this host's load there and the outcomes of
+// its requests. It returns false if the allocator did not answer, and has
+// nothing to do if this host is the allocator.
 func (c *Client) report(ctx context.Context, part Part, loads map[string]fleet.Load, evidence map[string]fleet.Evidence) bool {
 	allocator := c.allocator(part)
 	if allocator == c.host {
--- a/allocation/sentinel.go
+++ b/allocation/sentinel.go
@@ -14,45 +14,45 @@
 
 const (
 	msgAsking    = "store does not answer: servers are asked whether they leave"
-	msgNotAsking = "store answers again: servers are not asked any more"
+	msgNotAsking = "store answers again: servers are no longer queried"
 
-	// checkInterval spaces the allocator's checks of the store, and while it
-	// is away its questions to servers. Notices of reclaimed engines are 1.5 s
-	// and longer.
+	// checkInterval is the interval at which the allocator checks the store,
+	// and queries servers while the store is down. An engine that is reclaimed
+	// gets at least 1.5 s of notice.
 	checkInterval = 200 * time.Millisecond
 	checkTimeout  = 250 * time.Millisecond
-	// verifyAfter is how old the word on the newest configuration may be
-	// before the store is asked for it. The allocators of a large fleet tell
-	// each other, so that one of them asks.
+	// verifyAfter is the maximum age of the information on the newest
+	// configuration before the store is queried for it. The allocators of a
+	// large fleet share that information, so that only one of them queries the
+	// store.
 	verifyAfter = 450 * time.Millisecond
 )
 
-// Sentinel finds out which servers leave while the store is away.
+// Sentinel detects leaving servers while the store is down.
 //
-// Failure: an engine is reclaimed while the store is down. Its notice cannot
-// be written, so no host hears of it, and all its generations are lost. The
-// engine itself knows; the allocator asks, and tells the hosts in its answers
-// to their reports. While the store answers, servers are not asked.
+// If an engine is reclaimed during a store outage, its notice cannot be
+// written, so no host learns of it and all its generations would be lost. The
+// engine itself has the notice: the allocator queries it and passes the result
+// to the hosts in the responses to their reports. Servers are not queried while
+// the store answers.
 type Sentinel struct {
 	Host   string
 	Client *Client
 	Fleet  *fleet.Table
 	// Check makes a cheap call to the store.
 	Check func(ctx context.Context) error
-	// Verify reads the configuration, which shows as well whether the store
-	// answers. It is called in place of a check when Verified is verifyAfter or
-	// longer ago: what the allocator then knows of the newest configuration it
-	// tells the other hosts.
+	// Verify reads the configuration, which also shows whether the store
+	// answers. It is called instead of Check when Verified returns verifyAfter
+	// or more. The allocator sends the resulting revision to the other hosts.
 	Verify func(ctx context.Context) error
-	// Verified returns how long ago the store was last asked for the
-	// configuration.
+	// Verified returns the time since the store was last queried for the configuration.
 	Verified func() time.Duration
-	// Ask asks a server what it says of itself.
+	// Ask queries a server for its status.
 	Ask    func(ctx context.Context, server fleet.Server) (fleet.OwnWord, error)
 	Logger *zap.Logger
 }
 
-// Run watches the parts of services for which this host decides, until ctx ends.
+// Run monitors the parts of services for which this host decides, until ctx ends.
 func (s *Sentinel) Run(ctx context.Context) error {
 	away := false
 	for sleep.For(ctx, checkInterval) == nil {
@@ -72,8 +72,8 @@
 	return ctx.Err()
 }
 
-// mine returns the parts for which this host decides: as their allocator, or
-// as the allocator does not answer it.
+// mine returns the parts for which this host decides: those that it allocates,
+// and those whose allocators do not answer it.
 func (s *Sentinel) mine() []Part {
 	var mine []Part
 	for _, service := range s.Fleet.EngineServices() {
@@ -95,10 +95,10 @@
 	return s.Check(ctx) == nil
 }
 
-// asked returns the servers of a part that are asked: all by its allocator; by
-// a host that decides for itself those on which it has work, or on a day with
-// many hosts cut off each would ask all. Those that want nothing from this host
-// now are left alone.
+// asked returns the servers of a part that are queried. The part's allocator
+// queries all of them. A host that decides for itself queries only those on
+// which it has work; otherwise each of many partitioned hosts would query all
+// servers. Servers that requested a backoff from this host are left out.
 func (s *Sentinel) asked(part Part) []fleet.Server {
 	servers := s.Fleet.UsableWithWork(part.Service)
 	if s.Client.chosen(part) == s.Host {
@@ -107,8 +107,8 @@
 	return slices.DeleteFunc(servers, func(server fleet.Server) bool { return !part.Holds(server) || s.Fleet.Resting(server.ID) })
 }
 
-// heed asks one server, and takes in what it says of itself. One that does not
-// answer says nothing: its requests show whether it can be reached.
+// heed queries one server and applies its status. A server that does not answer
+// is ignored: requests to it show whether it is reachable.
 func (s *Sentinel) heed(ctx context.Context, server fleet.Server) {
 	word, err := s.Ask(ctx, server)
 	if err != nil {
@@ -117,7 +117,7 @@
 	s.Fleet.Heed(server.Life(), word)
 }
 
-// ask asks the servers of the parts at once.
+// ask queries the servers of the parts concurrently.
 func (s *Sentinel) ask(ctx context.Context, parts []Part) {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
--- a/allocation/server.go
+++ b/allocation/server.go
@@ -14,7 +14,7 @@
 	"github.com/papayasail/papayasail/placement"
 )
 
-// Register serves an allocator to other entry hosts.
+// Register registers an allocator as a gRPC service for other entry hosts.
 func Register(registrar grpc.ServiceRegistrar, allocator *Allocator) {
 	allocationpb.RegisterAllocationServer(registrar, &server{allocator: allocator})
 }
@@ -100,7 +100,8 @@
 	return response, nil
 }
 
-// digestOf names a list of lives; none of them is zero.
+// digestOf identifies a list of incarnations. Zero, which stands for no list,
+// is not the digest of the empty list.
 func digestOf(lives []fleet.Life) uint64 {
 	digest := xxhash.New()
 	for _, life := range lives {
@@ -129,7 +130,7 @@
 	return Part{Service: p.GetService(), Domain: p.GetFailureDomain(), Index: int(p.GetIndex()), Count: int(p.GetCount())}
 }
 
-// message returns the part as it is sent; nil for none.
+// message returns the part as a protobuf message; nil if the part is empty.
 func (p Part) message() *allocationpb.Part {
 	if p.Service == "" {
 		return nil
--- a/allocation/view.go
+++ b/allocation/view.go
@@ -8,11 +8,11 @@
 	"github.com/papayasail/papayasail/peer"
 )
 
-// view is what follows from the members at one moment: how services are cut and
-// who decides. It is worked out anew when the members change.
+// view is derived from one membership list: how services are divided into parts
+// and which hosts allocate them. It is recomputed when the membership changes.
 //
-// The load it answers: each host looks at it some hundred times a second, and
-// ranking all hosts each time takes more processor time than all else.
+// It is cached because each host reads it some hundred times per second.
+// Ranking all hosts on each read takes more processor time than all other work.
 type view struct {
 	generation uint64
 	members    []peer.Member
@@ -22,9 +22,9 @@
 	ranked map[Part][]string
 }
 
-// look returns the view of now. No lock is held while the members are asked:
-// they ask for the version of the configuration, and whoever puts one in force
-// asks this client.
+// look returns the current view. No lock is held while calling Members: Members
+// reads the version of the configuration, and applying a configuration calls
+// this client.
 func (c *Client) look() *view {
 	generation := c.peers.Generation()
 	if known := c.view.Load(); known != nil && known.generation == generation {
@@ -36,8 +36,8 @@
 	return next
 }
 
-// allocators returns the hosts that may decide for a part, the first choice
-// first; the caller must not change them.
+// allocators returns the hosts that may allocate a part, in order of
+// preference. The caller must not modify the slice.
 func (v *view) allocators(part Part) []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -49,7 +49,7 @@
 	return hosts
 }
 
-// chosen returns the allocator of a part, or "".
+// chosen returns the preferred allocator of a part, or "" if there is none.
 func (c *Client) chosen(part Part) string {
 	if hosts := c.look().allocators(part); len(hosts) > 0 {
 		return hosts[0]
@@ -57,18 +57,17 @@
 	return ""
 }
 
-// decidesFor reports whether other hosts may take this one for the allocator
-// of a part.
+// decidesFor reports whether other hosts may consider this one to be the allocator of a part.
 func (c *Client) decidesFor(part Part) bool {
 	return slices.Contains(c.look().allocators(part), c.host)
 }
 
-// hosts returns how many hosts there are.
+// hosts returns the number of known entry hosts.
 func (c *Client) hosts() int {
 	return len(c.look().members)
 }
 
-// cut returns how a service is cut into parts now.
+// cut returns the current division of a service into parts.
 func (c *Client) cut(service string) cut {
 	return cutOf(service, c.fleet.Domains(service), c.look().members)
 }
