--- a/allocation/allocator.go
+++ b/allocation/allocator.go
@@ -123,7 +123,7 @@
 	a.logger.Info(MsgPlaced, zap.String("request", request), zap.String("for", host), zap.String("to", chosen.ID),
 		zap.Int("running", chosen.Running), zap.Int("held_tokens", chosen.HeldTokens), zap.Int("unread_tokens", chosen.UnreadTokens),
 		zap.Bool("returning", need.Returning), zap.Int("candidates", len(candidates)))
-	a.fleet.BookFor(host, candidates[i].ID, fleet.LoadOf(need, 0, false))
+	a.fleet.ReserveFor(host, candidates[i].ID, fleet.LoadOf(need, 0, false))
 	return Placed{Server: candidates[i].ID}
 }
 
@@ -176,7 +176,7 @@
 		a.logger.Info(msgGranted, zap.String("request", move.Run), zap.String("for", host), zap.String("from", move.Source),
 			zap.String("to", grant.Destination), zap.Duration("waited", time.Since(entered)), zap.Int("tokens", move.Need.PromptTokens))
 		if grant.Destination != "" {
-			a.fleet.BookFor(host, grant.Destination, fleet.LoadOf(move.Need, 0, true))
+			a.fleet.ReserveFor(host, grant.Destination, fleet.LoadOf(move.Need, 0, true))
 			return Placed{Server: grant.Destination}, nil
 		}
 		elsewhere, _ := a.market.below(part, false, math.Inf(1))
--- a/allocation/sentinel.go
+++ b/allocation/sentinel.go
@@ -104,7 +104,7 @@
 	if s.Client.chosen(part) == s.Host {
 		servers = s.Fleet.Usable(part.Service)
 	}
-	return slices.DeleteFunc(servers, func(server fleet.Server) bool { return !part.Holds(server) || s.Fleet.Resting(server.ID) })
+	return slices.DeleteFunc(servers, func(server fleet.Server) bool { return !part.Holds(server) || s.Fleet.InBackoff(server.ID) })
 }
 
 // heed queries one server and applies its status. A server that does not answer
--- a/fleet/candidates.go
+++ b/fleet/candidates.go
@@ -38,10 +38,10 @@
 	s, now := t.service(q.Service), time.Now()
 	candidates := make([]placement.Candidate, 0, len(s.members))
 	for _, e := range s.members {
-		if !e.takesRequests() || now.Before(e.unreachable) || q.Among != nil && !q.Among(e.server) || slices.Contains(q.Except, e.server.ID) {
+		if !e.acceptsRequests() || now.Before(e.unavailableUntil) || q.Among != nil && !q.Among(e.server) || slices.Contains(q.Except, e.server.ID) {
 			continue
 		}
-		if t.resting(e.server.ID, now) && !q.ForOthers {
+		if t.inBackoff(e.server.ID, now) && !q.ForOthers {
 			continue
 		}
 		c := e.candidate(s, q.Domain, now)
@@ -54,13 +54,13 @@
 func (e *entry) candidate(s *service, domain string, now time.Time) placement.Candidate {
 	c := placement.Candidate{
 		ID: e.server.ID, SameDomain: e.server.Domain == domain, Slots: e.server.Slots, MemoryTokens: s.memoryTokens,
-		Doubtful: e.health.doubtful || now.Before(e.shunnedUntil), Slow: e.cold(now), Pace: e.pace.least,
+		Doubtful: e.health.doubtful || now.Before(e.shunnedUntil), Slow: e.cold(now), Pace: e.pace.estimate,
 	}
 	load := e.ownLoad()
 	load.add(e.othersLoad(now))
 	c.Running, c.HeldTokens, c.UsedTokens = load.Requests, load.HeldTokens, load.UsedTokens
 	if s.memoryTokens == 0 {
-		c.Running = max(c.Running, e.said.counting(now))
+		c.Running = max(c.Running, e.reported.current(now))
 	}
 	c.UnreadTokens, c.BriefUnreadTokens = load.UnreadTokens, load.BriefUnreadTokens
 	return c
--- a/fleet/cold.go
+++ b/fleet/cold.go
@@ -12,8 +12,8 @@
 // delay.
 const coldWindow = 1100 * time.Millisecond
 
-// mostCold bounds the cold time that a report or host list entry can set.
-const mostCold = 10 * time.Minute
+// maxColdTime bounds the cold time that a report or host list entry can set.
+const maxColdTime = 10 * time.Minute
 
 // SetColdRate sets how many requests per second each server of a service
 // accepts while it is cold; zero: unlimited.
@@ -24,19 +24,19 @@
 }
 
 // Heed applies the status that a server reported about itself.
-func (t *Table) Heed(life Life, word OwnWord) {
-	if word.Leaves {
+func (t *Table) Heed(life Life, status OwnWord) {
+	if status.Leaves {
 		t.MarkLeaving(life, SourceAnswer)
 	}
-	t.NoteCold(life, word.ColdFor)
+	t.MarkCold(life, status.ColdFor)
 }
 
-// NoteCold applies a server's own report that it remains cold for the given time.
-func (t *Table) NoteCold(life Life, left time.Duration) {
+// MarkCold applies a server's own report that it remains cold for the given time.
+func (t *Table) MarkCold(life Life, left time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.entryOf(life); e != nil {
-		e.coldFor(left)
+		e.markColdFor(left)
 	}
 }
 
@@ -47,7 +47,7 @@
 	var servers []Server
 	for _, s := range t.services {
 		for _, e := range s.members {
-			if s.coldRate > 0 && e.server.Address == address && e.takesRequests() {
+			if s.coldRate > 0 && e.server.Address == address && e.acceptsRequests() {
 				servers = append(servers, e.server)
 			}
 		}
@@ -55,28 +55,30 @@
 	return servers
 }
 
-// coldFor makes the server count as cold for at least the given time. Its host
-// list entry may be older and does not shorten that time.
-func (e *entry) coldFor(left time.Duration) {
-	if until := time.Now().Add(min(left, mostCold)); until.After(e.coldUntil) {
+// markColdFor makes the server count as cold for at least the given time. Its
+// host list entry may be older and does not shorten that time.
+func (e *entry) markColdFor(left time.Duration) {
+	if until := time.Now().Add(min(left, maxColdTime)); until.After(e.coldUntil) {
 		e.coldUntil = until
 	}
 }
 
-func (e *entry) cold(now time.Time) bool { return now.Before(e.slowUntil) || now.Before(e.coldUntil) }
+func (e *entry) cold(now time.Time) bool {
+	return now.Before(e.listedColdUntil) || now.Before(e.coldUntil)
+}
 
-// noteStart counts a request sent to the server. Requires mu.
-func (e *entry) noteStart(now time.Time) {
-	e.dropStarts(now)
+// recordStart counts a request sent to the server. Requires mu.
+func (e *entry) recordStart(now time.Time) {
+	e.pruneStarts(now)
 	e.starts = append(e.starts, now)
 }
 
-func (e *entry) dropStarts(now time.Time) {
-	over := 0
-	for over < len(e.starts) && now.Sub(e.starts[over]) > coldWindow {
-		over++
+func (e *entry) pruneStarts(now time.Time) {
+	expired := 0
+	for expired < len(e.starts) && now.Sub(e.starts[expired]) > coldWindow {
+		expired++
 	}
-	e.starts = slices.Delete(e.starts, 0, over)
+	e.starts = slices.Delete(e.starts, 0, expired)
 }
 
 // coldFull reports whether a host has used up its share of a cold server's
@@ -88,16 +90,16 @@
 // do not coordinate: if a host's share is below one request, a hash decides
 // which hosts may send one and which none, and spreads servers over hosts.
 func (e *entry) coldFull(host string, allowed float64, now time.Time) bool {
-	e.dropStarts(now)
-	whole := int(allowed)
-	if part := allowed - float64(whole); part > 0 && hashShare(host, e.server.ID) < part {
-		whole++
+	e.pruneStarts(now)
+	limit := int(allowed)
+	if fraction := allowed - float64(limit); fraction > 0 && hashFraction(host, e.server.ID) < fraction {
+		limit++
 	}
-	return len(e.starts) >= whole
+	return len(e.starts) >= limit
 }
 
-// hashShare returns a fixed number in [0, 1) for a pair of host and server.
-func hashShare(host, server string) float64 {
+// hashFraction returns a fixed number in [0, 1) for a pair of host and server.
+func hashFraction(host, server string) float64 {
 	const steps = 1 << 20
 	return float64(xxhash.Sum64String(host+"\x00"+server)%steps) / steps
 }
--- a/fleet/cold_test.go
+++ b/fleet/cold_test.go
@@ -13,7 +13,7 @@
 )
 
 // Guards against uncoordinated hosts that together overload and crash a cold server.
-func TestHostsShareWhatAColdServerBears(t *testing.T) {
+func TestHostsShareColdServerRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const hosts, rate = 72, 25.0
@@ -35,22 +35,22 @@
 	})
 }
 
-func TestOwnWordOnBeingCold(t *testing.T) {
+func TestSelfReportedColdTime(t *testing.T) {
 	// A server becomes cold during its lifetime while the store is down, and
 	// reports so in health responses. An implausibly long time is capped.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := newTable()
-		table.NoteCold(Life{ID: "a"}, 2*time.Second)
-		table.NoteCold(Life{ID: "nobody"}, time.Second)
+		table.MarkCold(Life{ID: "a"}, 2*time.Second)
+		table.MarkCold(Life{ID: "nobody"}, time.Second)
 		is.True(candidate(table, "a", 1).Slow)
-		table.NoteCold(Life{ID: "a"}, time.Second) // a shorter time does not replace a longer one
+		table.MarkCold(Life{ID: "a"}, time.Second) // a shorter time does not replace a longer one
 		time.Sleep(1500 * time.Millisecond)
 		is.True(candidate(table, "a", 1).Slow)
 		time.Sleep(time.Second)
 		is.True(!candidate(table, "a", 1).Slow)
-		table.NoteCold(Life{ID: "a"}, 1<<62)
-		time.Sleep(mostCold + time.Millisecond)
+		table.MarkCold(Life{ID: "a"}, 1<<62)
+		time.Sleep(maxColdTime + time.Millisecond)
 		is.True(!candidate(table, "a", 1).Slow)
 	})
 }
--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -41,7 +41,7 @@
 		work += len(e.work)
 		e.evacuated = evacuated
 		if !evacuated {
-			e.coldFor(returnedCold)
+			e.markColdFor(returnedCold)
 		}
 	}
 	fields := []zap.Field{zap.String("domain", domain), zap.Int("servers", servers), zap.Int("own_work", work)}
@@ -52,12 +52,12 @@
 	}
 	delete(t.evacuated, domain)
 	t.logger.Info(msgReturned, fields...)
-	t.wake()
+	t.notifyChanged()
 }
 
-// takesRequests reports whether requests may be sent to the server, according
+// acceptsRequests reports whether requests may be sent to the server, according
 // to its host list entry, its own reports and the evacuations.
-func (e *entry) takesRequests() bool { return e.takesWork() && !e.evacuated }
+func (e *entry) acceptsRequests() bool { return e.acceptsWork() && !e.evacuated }
 
 // EvacuatedOnly reports whether a service has servers that accept work, and all
 // of them are in evacuated failure domains.
@@ -65,5 +65,5 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	members := t.service(name).members
-	return slices.ContainsFunc(members, (*entry).takesWork) && !slices.ContainsFunc(members, (*entry).takesRequests)
+	return slices.ContainsFunc(members, (*entry).acceptsWork) && !slices.ContainsFunc(members, (*entry).acceptsRequests)
 }
--- a/fleet/evidence.go
+++ b/fleet/evidence.go
@@ -11,13 +11,13 @@
 const (
 	msgAvoided = "backend server is avoided: requests of several hosts failed there"
 
-	// witnessWindow is how long a host's failure counts. Hosts report failures
+	// failureWindow is how long a host's failure counts. Hosts report failures
 	// immediately, and every 0.7 s at the latest.
-	witnessWindow = time.Second
-	// witnessesNeeded is the number of hosts that must have failed at a server
+	failureWindow = time.Second
+	// failureQuorum is the number of hosts that must have failed at a server
 	// with no request answered since. A single host may be partitioned from the
 	// server itself.
-	witnessesNeeded = 2
+	failureQuorum = 2
 	// avoidedFor is how long such a server gets no work. A crashed server
 	// returns as a new incarnation and is not held back by a longer time.
 	avoidedFor = 3 * time.Second
@@ -29,16 +29,16 @@
 	Born             int64 // start time of the server's incarnation, Unix ms; zero: not reported
 }
 
-// noteOwn records the outcome of a request of this host. Requires mu.
-func (t *Table) noteOwn(e *entry, failed bool) {
+// recordOwnOutcome records the outcome of a request of this host. Requires mu.
+func (t *Table) recordOwnOutcome(e *entry, failed bool) {
 	if failed {
 		e.evidence.Failed++
 	} else {
 		e.evidence.Answered++
 	}
-	t.witness(e, t.host, failed)
+	t.recordHostOutcome(e, t.host, failed)
 	if failed || t.isEngine(e) {
-		t.tellOwn()
+		t.notifyOwnChange()
 	}
 }
 
@@ -52,34 +52,34 @@
 
 // takeEvidence requires Table.mu.
 func takeEvidence(s *service) map[string]Evidence {
-	taken := map[string]Evidence{}
+	outcomes := map[string]Evidence{}
 	for _, e := range s.members {
 		if e.evidence == (Evidence{}) {
 			continue
 		}
 		e.evidence.Born = e.server.Born
-		taken[e.server.ID] = e.evidence
+		outcomes[e.server.ID] = e.evidence
 		e.evidence = Evidence{}
 	}
-	return taken
+	return outcomes
 }
 
 // TakeCallEvidence returns the outcomes of this host's calls to plain servers
 // since the last call, and whether any of them failed.
-func (t *Table) TakeCallEvidence() (taken map[string]Evidence, failed bool) {
+func (t *Table) TakeCallEvidence() (outcomes map[string]Evidence, failed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	taken = map[string]Evidence{}
+	outcomes = map[string]Evidence{}
 	for _, s := range t.services {
 		if s.memoryTokens > 0 {
 			continue
 		}
 		for id, evidence := range takeEvidence(s) {
-			taken[id] = evidence
+			outcomes[id] = evidence
 			failed = failed || evidence.Failed > 0
 		}
 	}
-	return taken, failed
+	return outcomes, failed
 }
 
 // Shunned returns the plain servers at which calls of several hosts failed,
@@ -115,49 +115,49 @@
 		return
 	}
 	for i := range evidence.Failed + evidence.Answered {
-		t.judge(e, i < evidence.Failed)
+		t.recordOutcome(e, i < evidence.Failed)
 	}
 	if evidence.Failed > 0 || evidence.Answered > 0 {
-		t.witness(e, host, evidence.Answered == 0)
+		t.recordHostOutcome(e, host, evidence.Answered == 0)
 	}
 }
 
-// witness records that a host's request failed or was answered. A server is
-// avoided once requests of two hosts have failed there with no request answered
-// in between. Requires mu.
+// recordHostOutcome records that a host's request failed or was answered. A
+// server is avoided once requests of two hosts have failed there with no
+// request answered in between. Requires mu.
 //
 // When an engine crashes, all its generations end at once. To an allocator it
 // then looks like the emptiest engine, and gets one generation after another
 // until its host list entry expires seconds later.
-func (t *Table) witness(e *entry, host string, failed bool) {
+func (t *Table) recordHostOutcome(e *entry, host string, failed bool) {
 	now := time.Now()
 	if !failed {
-		clear(e.witnesses)
-		e.answered = now
+		clear(e.failedHosts)
+		e.lastAnswer = now
 		return
 	}
-	e.witnesses[host] = now
-	for other, at := range e.witnesses {
-		if now.Sub(at) > witnessWindow {
-			delete(e.witnesses, other)
+	e.failedHosts[host] = now
+	for other, at := range e.failedHosts {
+		if now.Sub(at) > failureWindow {
+			delete(e.failedHosts, other)
 		}
 	}
-	rest := e.restOf(t.isEngine(e))
-	if len(e.witnesses) < witnessesNeeded || now.Before(*rest) {
+	until := e.avoidedUntil(t.isEngine(e))
+	if len(e.failedHosts) < failureQuorum || now.Before(*until) {
 		return
 	}
-	*rest = now.Add(avoidedFor)
+	*until = now.Add(avoidedFor)
 	t.logger.Warn(msgAvoided, zap.String("server", e.server.ID), zap.String("address", e.server.Address),
-		zap.Strings("witnesses", slices.Sorted(maps.Keys(e.witnesses))), zap.Duration("for", avoidedFor))
+		zap.Strings("witnesses", slices.Sorted(maps.Keys(e.failedHosts))), zap.Duration("for", avoidedFor))
 }
 
-// restOf returns the field with the end of the time for which a server is
+// avoidedUntil returns the field with the end of the time for which a server is
 // avoided after failures of several hosts. An engine gets nothing during that
 // time. Plain servers are few, so an avoided one still gets calls if no other
 // has capacity.
-func (e *entry) restOf(engine bool) *time.Time {
+func (e *entry) avoidedUntil(engine bool) *time.Time {
 	if engine {
-		return &e.unreachable
+		return &e.unavailableUntil
 	}
 	return &e.shunnedUntil
 }
@@ -172,7 +172,7 @@
 	var ids []string
 	now := time.Now()
 	for _, e := range t.service(service).members {
-		if now.Before(e.unreachable) || t.resting(e.server.ID, now) || t.saysLeaving(e.server.Life()) {
+		if now.Before(e.unavailableUntil) || t.inBackoff(e.server.ID, now) || t.reportedLeaving(e.server.Life()) {
 			ids = append(ids, e.server.ID)
 		}
 	}
--- a/fleet/evidence_test.go
+++ b/fleet/evidence_test.go
@@ -33,7 +33,7 @@
 		table.Witness("h3", "a", Evidence{Failed: 1, Answered: 1})
 		table.Witness("h2", "a", Evidence{Failed: 1})
 		is.Equal(len(table.Candidates("llm", "d1")), 2)
-		time.Sleep(witnessWindow + time.Millisecond)
+		time.Sleep(failureWindow + time.Millisecond)
 		table.Witness("h4", "a", Evidence{Failed: 1}) // the earlier failure has expired
 		is.Equal(len(table.Candidates("llm", "d1")), 2)
 	})
@@ -48,19 +48,19 @@
 		silent := table.Begin("a", Work{ID: "1"}, false)
 		time.Sleep(time.Second)
 		table.Witness("h2", "a", Evidence{Answered: 1})
-		frozen := table.Begin("a", Work{ID: "2"}, false)
+		unanswered := table.Begin("a", Work{ID: "2"}, false)
 		time.Sleep(time.Second)
 		table.Witness("h2", "a", Evidence{Failed: 1})
 		silent.TimedOut()
 		is.Equal(len(table.TakeEvidence("llm")), 0)
 		is.Equal(len(table.Avoided("llm")), 0)
-		frozen.TimedOut() // no request was answered since it was sent
+		unanswered.TimedOut() // no request was answered since it was sent
 		is.Equal(table.TakeEvidence("llm"), map[string]Evidence{"a": {Failed: 1}})
 		is.Equal(table.Avoided("llm"), []string{"a"})
 	})
 }
 
-func TestOwnOutcomesAreToldOnce(t *testing.T) {
+func TestOwnOutcomesAreReportedOnce(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
 	work := table.Begin("a", Work{ID: "1", PromptTokens: 3000, OutputTokens: 400}, false)
--- a/fleet/health.go
+++ b/fleet/health.go
@@ -19,13 +19,13 @@
 
 func newHealth() health { return health{} }
 
-// judge adds one outcome to the failure rate of a server. Requires mu.
+// recordOutcome adds one outcome to the failure rate of a server. Requires mu.
 //
 // A server may fail many of its requests while its health check passes.
 // Failures are quick, so its load looks low and least-loaded placement would
 // send it more and more. A doubtful server gets work only when the others are
 // full; that work also shows when it has recovered.
-func (t *Table) judge(e *entry, failed bool) {
+func (t *Table) recordOutcome(e *entry, failed bool) {
 	sample := 0.0
 	if failed {
 		sample = 1
--- a/fleet/leaving.go
+++ b/fleet/leaving.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// wordKept is the minimum time for which a server's own report of leaving is
-// kept. A host list entry that expired during a store outage returns within
-// that time.
-const wordKept = 30 * time.Minute
+// leavingReportTTL is the minimum time for which a server's own report of
+// leaving is kept. A host list entry that expired during a store outage returns
+// within that time.
+const leavingReportTTL = 30 * time.Minute
 
-// leavingWord records that a server reported itself as leaving.
-type leavingWord struct {
+// leavingReport records that a server reported itself as leaving.
+type leavingReport struct {
 	life Life
 	at   time.Time
 }
 
-// noteWord records that a server reported itself as leaving. The report holds
-// for the rest of the incarnation, whatever the host list contains. Requires
-// mu.
-func (t *Table) noteWord(life Life) {
-	for id, word := range t.saidLeaving {
-		if time.Since(word.at) >= wordKept && t.servers[id] == nil {
-			delete(t.saidLeaving, id)
+// recordLeavingReport records that a server reported itself as leaving. The
+// report holds for the rest of the incarnation, whatever the host list
+// contains. Requires mu.
+func (t *Table) recordLeavingReport(life Life) {
+	for id, report := range t.leavingReports {
+		if time.Since(report.at) >= leavingReportTTL && t.servers[id] == nil {
+			delete(t.leavingReports, id)
 		}
 	}
-	t.saidLeaving[life.ID] = leavingWord{life, time.Now()}
+	t.leavingReports[life.ID] = leavingReport{life, time.Now()}
 }
 
-// saysLeaving reports whether a server has reported itself as leaving in this
-// incarnation. Requires mu.
-func (t *Table) saysLeaving(life Life) bool {
-	word, known := t.saidLeaving[life.ID]
-	return known && word.life.Is(life)
+// reportedLeaving reports whether a server has reported itself as leaving in
+// this incarnation. Requires mu.
+func (t *Table) reportedLeaving(life Life) bool {
+	report, known := t.leavingReports[life.ID]
+	return known && report.life.Is(life)
 }
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -43,7 +43,7 @@
 }
 
 // Guards against memory that grows with the number of servers that ever left.
-func TestWordsOfServersThatLeftAreForgotten(t *testing.T) {
+func TestLeavingReportsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := newTable()
@@ -51,8 +51,8 @@
 			table.Put(Server{ID: id, Service: "llm", Address: "10.0.0.9:1"})
 			table.MarkLeaving(Life{ID: id}, SourceAnswer)
 			table.Remove(id)
-			time.Sleep(wordKept)
+			time.Sleep(leavingReportTTL)
 		}
-		is.True(len(table.saidLeaving) <= 1)
+		is.True(len(table.leavingReports) <= 1)
 	})
 }
--- a/fleet/life.go
+++ b/fleet/life.go
@@ -26,11 +26,11 @@
 // the old loads would keep requests away, and a copy ordered there could be
 // mistaken for that of another run.
 func (t *Table) replace(e *entry, server Server) {
-	t.logger.Info(msgReborn, zap.String("server", server.ID), zap.Int64("born", server.Born), zap.Int64("born_before", e.server.Born),
+	t.logger.Info(msgRestarted, zap.String("server", server.ID), zap.Int64("born", server.Born), zap.Int64("born_before", e.server.Born),
 		zap.Int("own_work", len(e.work)))
 	e.endLife() // before leave, whose waiters must not request a run from the new incarnation
 	e.removed = true
-	t.leave(e, SourceReborn)
+	t.setLeaving(e, SourceRestarted)
 	t.drop(e)
 }
 
@@ -41,17 +41,17 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.servers[id]; e != nil {
-		t.disregard(e)
+		t.markInvalid(e)
 	}
 }
 
-// disregard requires mu.
-func (t *Table) disregard(e *entry) {
-	if e.unnamed {
+// markInvalid requires mu.
+func (t *Table) markInvalid(e *entry) {
+	if e.invalid {
 		return
 	}
-	e.unnamed = true
-	t.logger.Warn(msgUnnamed, zap.String("server", e.server.ID), zap.String("address", e.server.Address), zap.Int("own_work", len(e.work)))
+	e.invalid = true
+	t.logger.Warn(msgInvalidEntry, zap.String("server", e.server.ID), zap.String("address", e.server.Address), zap.Int("own_work", len(e.work)))
 }
 
 // entryOf returns the entry of an incarnation, or nil. Requires mu.
--- a/fleet/life_test.go
+++ b/fleet/life_test.go
@@ -8,7 +8,7 @@
 
 func everywhere(Server) bool { return true }
 
-func life(born int64) Server {
+func serverBorn(born int64) Server {
 	return Server{ID: "a", Born: born, Service: "llm", Address: "10.0.0.1:1", Domain: "d1", Slots: 24}
 }
 
@@ -16,16 +16,16 @@
 func TestServerThatStartsAgainUnderItsID(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
-	table.Put(life(100))
+	table.Put(serverBorn(100))
 	lost := table.Begin("a", Work{ID: "1", PromptTokens: 3000, OutputTokens: 400}, false)
 	for range 10 {
 		lost.Outcome(true)
 	}
 	table.SetOthers("h2", "llm", map[string]Load{"a": {Requests: 9, HeldTokens: 30000, Born: 100}}, everywhere)
 	table.MarkLeaving(Life{"a", 100}, SourceAnswer)
-	table.Put(life(100))
+	table.Put(serverBorn(100))
 	is.NoErr(lost.Life().Err()) // the same incarnation again
-	table.Put(life(200))
+	table.Put(serverBorn(200))
 	is.True(lost.Life().Err() != nil)
 	select {
 	case <-lost.Gone():
@@ -48,7 +48,7 @@
 func TestWordsOfAnEarlierLifeAreNotOfTheLater(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
-	table.Put(life(200))
+	table.Put(serverBorn(200))
 	table.SetOthers("h2", "llm", map[string]Load{"a": {Requests: 9, HeldTokens: 30000, Born: 100}}, everywhere)
 	table.Witness("h2", "a", Evidence{Failed: 1, Born: 100})
 	table.Witness("h3", "a", Evidence{Failed: 1, Born: 100})
@@ -86,20 +86,20 @@
 func TestEntryThatMovesAServerNamesNone(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
-	table.Put(life(100))
+	table.Put(serverBorn(100))
 	for _, change := range []func(*Server){
 		func(s *Server) { s.Service = "plain" },
 		func(s *Server) { s.Address = "10.0.0.9:1" },
 	} {
-		moved := life(100)
+		moved := serverBorn(100)
 		change(&moved)
 		table.Put(moved)
 		is.Equal(len(table.Candidates("plain", "d1")), 0)
 		is.Equal(len(table.Candidates("llm", "d1")), 1)
-		table.Put(life(100))
+		table.Put(serverBorn(100))
 		is.Equal(len(table.Candidates("llm", "d1")), 2)
 	}
-	later := life(200)
+	later := serverBorn(200)
 	later.Address = "10.0.0.9:1"
 	table.Put(later)
 	is.Equal(len(table.Candidates("llm", "d1")), 2)
--- a/fleet/load_fuzz_test.go
+++ b/fleet/load_fuzz_test.go
@@ -38,10 +38,10 @@
 	}), 1, 40)
 }
 
-// heard is the oracle: the load of each host on each server, kept without cached sums.
-type heard map[[2]string]Load
+// loadOracle is the oracle: the load of each host on each server, kept without cached sums.
+type loadOracle map[[2]string]Load
 
-func (h heard) add(host, server string, load Load, now time.Time) {
+func (h loadOracle) add(host, server string, load Load, now time.Time) {
 	known := h[[2]string{host, server}]
 	if now.Sub(known.At) >= loadLifetime {
 		known = Load{}
@@ -52,7 +52,7 @@
 	h[[2]string{host, server}] = known
 }
 
-func (h heard) held(server string, now time.Time) (tokens int) {
+func (h loadOracle) held(server string, now time.Time) (tokens int) {
 	for key, load := range h {
 		if key[1] == server && now.Sub(load.At) < loadLifetime {
 			tokens += load.HeldTokens
@@ -72,7 +72,7 @@
 		steps := genLoadSteps().Draw(rt, "steps")
 		broken := ""
 		synctest.Test(t, func(*testing.T) {
-			table, oracle := newTable(), heard{}
+			table, oracle := newTable(), loadOracle{}
 			for i := range 4 {
 				table.Put(Server{ID: serverName(i), Service: "llm", Address: "x", Slots: 24})
 			}
@@ -91,7 +91,7 @@
 	})
 }
 
-func play(table *Table, oracle heard, step loadStep) {
+func play(table *Table, oracle loadOracle, step loadStep) {
 	now := time.Now()
 	switch step.kind {
 	case "wait":
@@ -101,7 +101,7 @@
 			return // a host reserves its own work with Begin
 		}
 		server := serverName(step.servers[0])
-		table.BookFor(step.host, server, step.load)
+		table.ReserveFor(step.host, server, step.load)
 		oracle.add(step.host, server, step.load, now)
 	case "report":
 		inPart := func(server string) bool { return partOfServer(server) == step.part }
--- a/fleet/pace.go
+++ b/fleet/pace.go
@@ -16,21 +16,21 @@
 
 // pace estimates the time per token of an engine, weighted towards its fastest
 // measurements.
-type pace struct{ least time.Duration }
+type pace struct{ estimate time.Duration }
 
 // observe adds a measurement of the time per token; zero: no measurement.
 func (p *pace) observe(perToken time.Duration) {
-	part := paceRise
+	factor := paceRise
 	switch {
 	case perToken <= 0:
 		return
-	case p.least == 0:
-		p.least = perToken
+	case p.estimate == 0:
+		p.estimate = perToken
 		return
-	case perToken < p.least:
-		part = paceFall
+	case perToken < p.estimate:
+		factor = paceFall
 	}
-	p.least += time.Duration(part * float64(perToken-p.least))
+	p.estimate += time.Duration(factor * float64(perToken-p.estimate))
 }
 
 // paceWindow measures one generation in windows of paceTokens tokens.
@@ -42,8 +42,8 @@
 // next records the number of tokens produced so far. It returns the time per
 // token when a window is complete, else zero.
 func (w *paceWindow) next(tokens int, now time.Time) time.Duration {
-	made := tokens - w.tokens
-	if w.tokens > 0 && made < paceTokens {
+	produced := tokens - w.tokens
+	if w.tokens > 0 && produced < paceTokens {
 		return 0
 	}
 	began := w.began
@@ -51,5 +51,5 @@
 	if began.IsZero() {
 		return 0
 	}
-	return now.Sub(began) / time.Duration(made)
+	return now.Sub(began) / time.Duration(produced)
 }
--- a/fleet/said.go
+++ b/fleet/reportedload.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// saidLifetime is how long the load reported by a plain server is valid. A full
-// queue drains within that time.
-const saidLifetime = 300 * time.Millisecond
+// reportedLoadTTL is how long the load reported by a plain server is valid. A
+// full queue drains within that time.
+const reportedLoadTTL = 300 * time.Millisecond
 
-// saidLoad is the load that a server reported about itself.
-type saidLoad struct {
+// reportedLoad is the load that a server reported about itself.
+type reportedLoad struct {
 	requests int // running or queued
 	at       time.Time
 }
 
-// counting returns the reported number of requests, or zero once the report has expired.
-func (l saidLoad) counting(now time.Time) int {
-	if now.Sub(l.at) >= saidLifetime {
+// current returns the reported number of requests, or zero once the report has expired.
+func (l reportedLoad) current(now time.Time) int {
+	if now.Sub(l.at) >= reportedLoadTTL {
 		return 0
 	}
 	return l.requests
@@ -29,5 +29,5 @@
 func (w *Work) Says(requests int) {
 	w.table.mu.Lock()
 	defer w.table.mu.Unlock()
-	w.entry.said = saidLoad{requests, time.Now()}
+	w.entry.reported = reportedLoad{requests, time.Now()}
 }
--- a/fleet/rest.go
+++ b/fleet/rest.go
@@ -7,7 +7,7 @@
 	"go.uber.org/zap"
 )
 
-const msgRests = "backend server wants nothing from this host for a while"
+const msgBackoff = "backend server wants nothing from this host for a while"
 
 // Rest records that a server accepts no requests from this host for the given
 // time. The server notifies other hosts itself. The backoff is kept by server
@@ -19,22 +19,22 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	maps.DeleteFunc(t.rests, func(_ string, until time.Time) bool { return !now.Before(until) })
-	if until := now.Add(left); until.After(t.rests[id]) {
-		t.rests[id] = until
-		t.logger.Info(msgRests, zap.String("server", id), zap.Duration("for", left))
+	maps.DeleteFunc(t.backoffs, func(_ string, until time.Time) bool { return !now.Before(until) })
+	if until := now.Add(left); until.After(t.backoffs[id]) {
+		t.backoffs[id] = until
+		t.logger.Info(msgBackoff, zap.String("server", id), zap.Duration("for", left))
 	}
 }
 
-// Resting reports whether a server currently accepts nothing from this host.
-func (t *Table) Resting(id string) bool {
+// InBackoff reports whether a server currently accepts nothing from this host.
+func (t *Table) InBackoff(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.resting(id, time.Now())
+	return t.inBackoff(id, time.Now())
 }
 
-// resting requires mu.
-func (t *Table) resting(id string, now time.Time) bool { return now.Before(t.rests[id]) }
+// inBackoff requires mu.
+func (t *Table) inBackoff(id string, now time.Time) bool { return now.Before(t.backoffs[id]) }
 
 // RestLeft returns the shortest remaining backoff among the servers of a
 // service that otherwise accept requests. It returns zero if one of them has no
@@ -44,10 +44,10 @@
 	defer t.mu.Unlock()
 	now, least := time.Now(), time.Duration(0)
 	for _, e := range t.service(name).members {
-		if !e.takesRequests() {
+		if !e.acceptsRequests() {
 			continue
 		}
-		left := t.rests[e.server.ID].Sub(now)
+		left := t.backoffs[e.server.ID].Sub(now)
 		if left <= 0 {
 			return 0
 		}
--- a/fleet/rest_test.go
+++ b/fleet/rest_test.go
@@ -30,7 +30,7 @@
 
 // Guards against requests sent before the end of a backoff because the server
 // restarted or lost its host list entry in the meantime.
-func TestRestOutlivesALifeAndAnEntry(t *testing.T) {
+func TestBackoffSurvivesRestartAndEntryExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := newTable()
--- a/fleet/server.go
+++ b/fleet/server.go
@@ -34,10 +34,10 @@
 
 // Sources of the information that a server is leaving.
 const (
-	SourceList     LeavingSource = "host_list"   // its host list entry is marked as leaving
-	SourceRemoved  LeavingSource = "removed"     // its host list entry was removed
-	SourceReplaced LeavingSource = "replaced"    // another server has its address
-	SourceAnswer   LeavingSource = "its_answers" // it reported so itself
-	SourcePeer     LeavingSource = "peer"        // another entry host reported so
-	SourceReborn   LeavingSource = "reborn"      // a later incarnation is known
+	SourceList      LeavingSource = "host_list"   // its host list entry is marked as leaving
+	SourceRemoved   LeavingSource = "removed"     // its host list entry was removed
+	SourceReplaced  LeavingSource = "replaced"    // another server has its address
+	SourceAnswer    LeavingSource = "its_answers" // it reported so itself
+	SourcePeer      LeavingSource = "peer"        // another entry host reported so
+	SourceRestarted LeavingSource = "reborn"      // a later incarnation is known
 )
--- a/fleet/silent.go
+++ b/fleet/silent.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// silentAfter is how long a generation may make no progress before its engine is queried for it.
-const silentAfter = 2 * time.Second
+// stallTimeout is how long a generation may make no progress before its engine is queried for it.
+const stallTimeout = 2 * time.Second
 
 // Held is the set of generations that an engine reports.
 type Held struct {
@@ -22,24 +22,24 @@
 	var servers []Server
 	now := time.Now()
 	for _, e := range t.servers {
-		mayGetWork := e.takesRequests() && !t.resting(e.server.ID, now)
-		if t.isEngine(e) && mayGetWork && len(e.silent(now)) > 0 {
+		eligible := e.acceptsRequests() && !t.inBackoff(e.server.ID, now)
+		if t.isEngine(e) && eligible && len(e.stalledWork(now)) > 0 {
 			servers = append(servers, e.server)
 		}
 	}
 	return servers
 }
 
-// silent returns the stalled work on a server. Requires Table.mu.
-func (e *entry) silent(now time.Time) []*Work {
-	var silent []*Work
+// stalledWork returns the stalled work on a server. Requires Table.mu.
+func (e *entry) stalledWork(now time.Time) []*Work {
+	var stalledWork []*Work
 	for w := range e.work {
 		elsewhere := w.Copied && w.produced == 0
-		if !elsewhere && now.Sub(w.progress) >= silentAfter {
-			silent = append(silent, w)
+		if !elsewhere && now.Sub(w.progress) >= stallTimeout {
+			stalledWork = append(stalledWork, w)
 		}
 	}
-	return silent
+	return stalledWork
 }
 
 // Release ends the reservations of stalled generations that the engine no
@@ -53,7 +53,7 @@
 	e := t.entryOf(life)
 	var lost []*Work
 	if e != nil && held.Unnamed == 0 {
-		lost = slices.DeleteFunc(e.silent(time.Now()), func(w *Work) bool { return slices.Contains(held.Running, w.ID) })
+		lost = slices.DeleteFunc(e.stalledWork(time.Now()), func(w *Work) bool { return slices.Contains(held.Running, w.ID) })
 	}
 	t.mu.Unlock()
 	var ids []string
--- a/fleet/silent_test.go
+++ b/fleet/silent_test.go
@@ -18,10 +18,10 @@
 		begin("lost", false)
 		begin("runs", false)
 		begin("copied", true)
-		flows, moved := begin("flows", false), begin("moved", true)
-		time.Sleep(silentAfter - time.Second)
+		progressing, moved := begin("flows", false), begin("moved", true)
+		time.Sleep(stallTimeout - time.Second)
 		is.Equal(len(table.Silent()), 0)
-		flows.Produced(1)
+		progressing.Produced(1)
 		time.Sleep(time.Second)
 		is.Equal(len(table.Silent()), 1)
 		held := Held{Running: []string{"runs"}, Unnamed: 1}
@@ -31,14 +31,14 @@
 		is.Equal(table.Release(Life{ID: "a"}, held), []string{"lost"})
 		is.Equal(len(table.Release(Life{ID: "a"}, held)), 0)
 		moved.Produced(4) // it continues here
-		time.Sleep(silentAfter)
+		time.Sleep(stallTimeout)
 		is.Equal(len(table.Release(Life{ID: "a"}, held)), 2) // flows and moved
 		is.Equal(table.OwnGenerations()["llm"]["a"].Requests, 2)
 	})
 }
 
 // Guards against querying servers that get no work from this host.
-func TestServersThatGetNoWorkAreNotAsked(t *testing.T) {
+func TestServersThatGetNoWorkAreNotQueried(t *testing.T) {
 	for name, leaveAlone := range map[string]func(*Table){
 		"leaves":     func(table *Table) { table.MarkLeaving(Life{ID: "a"}, SourceList) },
 		"evacuated":  func(table *Table) { table.SetEvacuated("d1", true) },
@@ -49,7 +49,7 @@
 				is := is.New(t)
 				table := newTable()
 				table.Begin("a", Work{ID: "lost"}, false)
-				time.Sleep(silentAfter)
+				time.Sleep(stallTimeout)
 				is.Equal(len(table.Silent()), 1)
 				leaveAlone(table)
 				is.Equal(len(table.Silent()), 0)
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	msgLeaving  = "backend server takes no new work"
-	msgAdded    = "backend server added"
-	msgDoubtful = "backend server is doubtful"
-	msgTrusted  = "backend server is no longer doubtful"
-	msgReborn   = "backend server has started again under its id"
-	msgUnnamed  = "backend server is not named by its entry any more"
+	msgLeaving      = "backend server takes no new work"
+	msgAdded        = "backend server added"
+	msgDoubtful     = "backend server is doubtful"
+	msgTrusted      = "backend server is no longer doubtful"
+	msgRestarted    = "backend server has started again under its id"
+	msgInvalidEntry = "backend server is not named by its entry any more"
 
 	// unreachableFor is how long a server gets no work after it refused or did
 	// not accept a connection. Restarting a process takes about a second.
@@ -37,12 +37,12 @@
 	services map[string]*service
 	// evacuated is the set of failure domains whose servers get no requests.
 	evacuated map[string]bool
-	// saidLeaving records, by server ID, the servers that reported themselves as leaving.
-	saidLeaving map[string]leavingWord
-	// rests maps a server ID to the time until which the server accepts nothing from this host.
-	rests   map[string]time.Time
-	own     chan struct{} // receives a token when this host's work on engines has changed
-	changed chan struct{} // closed and replaced on each change that may free capacity
+	// leavingReports records, by server ID, the servers that reported themselves as leaving.
+	leavingReports map[string]leavingReport
+	// backoffs maps a server ID to the time until which the server accepts nothing from this host.
+	backoffs   map[string]time.Time
+	ownChanges chan struct{} // receives a token when this host's work on engines has changed
+	changed    chan struct{} // closed and replaced on each change that may free capacity
 }
 
 type service struct {
@@ -52,36 +52,36 @@
 	departed     map[Life]time.Time // incarnations dropped from the table, and when
 }
 
-// departedKept is how long a dropped server is still reported as leaving to
+// departedTTL is how long a dropped server is still reported as leaving to
 // hosts that query the list of leaving servers. Hosts that cannot reach the
 // store learn of its departure this way.
-const departedKept = 10 * time.Second
+const departedTTL = 10 * time.Second
 
 // entry is the state of one incarnation of a server.
 type entry struct {
-	server         Server
-	life           context.Context // cancelled once another incarnation is known
-	endLife        context.CancelFunc
-	leaving        bool
-	removed        bool
-	unnamed        bool        // its host list entry is invalid
-	evacuated      bool        // its failure domain is evacuated
-	slowUntil      time.Time   // cold until then, according to its host list entry
-	coldUntil      time.Time   // cold until then, as it reported itself or as assumed after an evacuation
-	starts         []time.Time // times of requests that this host sent or placed there within coldWindow
-	said           saidLoad
-	shunnedUntil   time.Time // until then it gets calls only if no other server has capacity
-	unreachable    time.Time // until then it gets no work
-	health         health
-	pace           pace
-	evidence       Evidence             // outcomes of this host's requests since the last report
-	witnesses      map[string]time.Time // entry hosts whose requests failed there, and when; cleared by an answer
-	answered       time.Time            // when it last answered a request of any host
-	work           map[*Work]struct{}
-	others         map[string]Load // load of other entry hosts, by host name
-	sum            loadSum         // cached sum of others
-	gone           chan struct{}   // closed when the server starts leaving
-	leavingBecause LeavingSource
+	server           Server
+	life             context.Context // cancelled once another incarnation is known
+	endLife          context.CancelFunc
+	leaving          bool
+	removed          bool
+	invalid          bool        // its host list entry is invalid
+	evacuated        bool        // its failure domain is evacuated
+	listedColdUntil  time.Time   // cold until then, according to its host list entry
+	coldUntil        time.Time   // cold until then, as it reported itself or as assumed after an evacuation
+	starts           []time.Time // times of requests that this host sent or placed there within coldWindow
+	reported         reportedLoad
+	shunnedUntil     time.Time // until then it gets calls only if no other server has capacity
+	unavailableUntil time.Time // until then it gets no work
+	health           health
+	pace             pace
+	evidence         Evidence             // outcomes of this host's requests since the last report
+	failedHosts      map[string]time.Time // entry hosts whose requests failed there, and when; cleared by an answer
+	lastAnswer       time.Time            // when it last answered a request of any host
+	work             map[*Work]struct{}
+	others           map[string]Load // load of other entry hosts, by host name
+	sum              loadSum         // cached sum of others
+	leavingCh        chan struct{}   // closed when the server starts leaving
+	leavingBecause   LeavingSource
 }
 
 // NewTable returns an empty table for the entry host of that name.
@@ -89,7 +89,7 @@
 	return &Table{
 		host: host, logger: logger,
 		servers: map[string]*entry{}, services: map[string]*service{}, evacuated: map[string]bool{},
-		saidLeaving: map[string]leavingWord{}, rests: map[string]time.Time{}, changed: make(chan struct{}), own: make(chan struct{}, 1),
+		leavingReports: map[string]leavingReport{}, backoffs: map[string]time.Time{}, changed: make(chan struct{}), ownChanges: make(chan struct{}, 1),
 	}
 }
 
@@ -128,32 +128,32 @@
 		e = t.add(server)
 	}
 	if e.server.Service != server.Service || e.server.Address != server.Address {
-		t.disregard(e)
+		t.markInvalid(e)
 		return
 	}
 	if server.Born == 0 {
 		server.Born = e.server.Born
 	}
-	e.server, e.unnamed, e.evacuated = server, false, t.evacuated[server.Domain]
-	e.slowUntil = time.Now().Add(min(server.SlowFor, mostCold))
+	e.server, e.invalid, e.evacuated = server, false, t.evacuated[server.Domain]
+	e.listedColdUntil = time.Now().Add(min(server.SlowFor, maxColdTime))
 	delete(t.service(server.Service).departed, server.Life())
 	switch {
-	case t.saysLeaving(server.Life()):
+	case t.reportedLeaving(server.Life()):
 		e.removed = false
-		t.leave(e, SourceAnswer)
+		t.setLeaving(e, SourceAnswer)
 	case server.Leaving:
-		t.leave(e, SourceList)
+		t.setLeaving(e, SourceList)
 	case e.mayReturn():
-		e.removed, e.leaving, e.gone = false, false, make(chan struct{})
+		e.removed, e.leaving, e.leavingCh = false, false, make(chan struct{})
 	}
-	t.wake()
+	t.notifyChanged()
 }
 
 // add requires mu.
 func (t *Table) add(server Server) *entry {
 	e := &entry{
-		server: server, health: newHealth(), work: map[*Work]struct{}{}, others: map[string]Load{}, witnesses: map[string]time.Time{},
-		gone: make(chan struct{}),
+		server: server, health: newHealth(), work: map[*Work]struct{}{}, others: map[string]Load{}, failedHosts: map[string]time.Time{},
+		leavingCh: make(chan struct{}),
 	}
 	e.life, e.endLife = context.WithCancel(context.Background())
 	t.servers[server.ID] = e
@@ -176,7 +176,7 @@
 	defer t.mu.Unlock()
 	if e := t.servers[id]; e != nil {
 		e.removed = true
-		t.leave(e, SourceRemoved)
+		t.setLeaving(e, SourceRemoved)
 		t.forget(e)
 	}
 }
@@ -186,20 +186,20 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if because == SourceAnswer {
-		t.noteWord(life)
+		t.recordLeavingReport(life)
 	}
 	if e := t.entryOf(life); e != nil {
-		t.leave(e, because)
+		t.setLeaving(e, because)
 	}
 }
 
-// leave requires mu.
-func (t *Table) leave(e *entry, because LeavingSource) {
+// setLeaving requires mu.
+func (t *Table) setLeaving(e *entry, because LeavingSource) {
 	if e.leaving {
 		return
 	}
 	e.leaving, e.leavingBecause = true, because
-	close(e.gone)
+	close(e.leavingCh)
 	t.logger.Info(msgLeaving, zap.String("server", e.server.ID), zap.String("address", e.server.Address),
 		zap.String("because", string(because)), zap.Int("own_work", len(e.work)))
 }
@@ -229,15 +229,15 @@
 	if e == nil {
 		return Server{}, false
 	}
-	return e.server, e.takesRequests()
+	return e.server, e.acceptsRequests()
 }
 
-// takesWork reports whether the server accepts new work according to its host
+// acceptsWork reports whether the server accepts new work according to its host
 // list entry and its own reports.
-func (e *entry) takesWork() bool { return !e.leaving && !e.unnamed }
+func (e *entry) acceptsWork() bool { return !e.leaving && !e.invalid }
 
 // Leaving returns, in order, the incarnations of a service's servers that are
-// leaving or were dropped within departedKept.
+// leaving or were dropped within departedTTL.
 func (t *Table) Leaving(name string) []Life {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -249,7 +249,7 @@
 		}
 	}
 	for life, at := range s.departed {
-		if time.Since(at) > departedKept {
+		if time.Since(at) > departedTTL {
 			delete(s.departed, life)
 			continue
 		}
@@ -274,7 +274,7 @@
 	defer t.mu.Unlock()
 	var usable []Server
 	for _, e := range t.service(name).members {
-		if e.takesWork() && wanted(e) {
+		if e.acceptsWork() && wanted(e) {
 			usable = append(usable, e.server)
 		}
 	}
@@ -316,28 +316,28 @@
 // OwnChanged returns a channel that receives a token when this host's view of
 // its own work has changed: a generation produced its first token or ended, or
 // the outcome of a request has to be reported.
-func (t *Table) OwnChanged() <-chan struct{} { return t.own }
+func (t *Table) OwnChanged() <-chan struct{} { return t.ownChanges }
 
 // isEngine requires mu.
 func (t *Table) isEngine(e *entry) bool { return t.service(e.server.Service).memoryTokens > 0 }
 
-// ownChanged requires mu. Only work on engines is reported to other hosts.
-func (t *Table) ownChanged(e *entry) {
+// engineWorkChanged requires mu. Only work on engines is reported to other hosts.
+func (t *Table) engineWorkChanged(e *entry) {
 	if t.isEngine(e) {
-		t.tellOwn()
+		t.notifyOwnChange()
 	}
 }
 
-// tellOwn requests an early report of this host's own work to other hosts.
-func (t *Table) tellOwn() {
+// notifyOwnChange requests an early report of this host's own work to other hosts.
+func (t *Table) notifyOwnChange() {
 	select {
-	case t.own <- struct{}{}:
+	case t.ownChanges <- struct{}{}:
 	default:
 	}
 }
 
-// wake requires mu.
-func (t *Table) wake() {
+// notifyChanged requires mu.
+func (t *Table) notifyChanged() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
--- a/fleet/table_test.go
+++ b/fleet/table_test.go
@@ -55,7 +55,7 @@
 	work.End()
 }
 
-func TestUnreachableServersRest(t *testing.T) {
+func TestUnreachableServersGetNoWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := newTable()
@@ -68,15 +68,15 @@
 	})
 }
 
-func TestLoadsOfOtherHostsAreForgottenWithThem(t *testing.T) {
+func TestLoadsOfFailedHostsExpire(t *testing.T) {
 	// Guards against an engine that looks full permanently because a failed
 	// host's last report of ten generations is kept.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := newTable()
 		table.SetOthers("h2", "llm", map[string]Load{"a": {Requests: 10, HeldTokens: 30000}}, func(Server) bool { return true })
-		table.BookFor("h2", "a", Load{Requests: 1, HeldTokens: 3000, UnreadTokens: 3000})
-		table.BookFor("me", "a", Load{Requests: 1}) // own work is reserved by Begin
+		table.ReserveFor("h2", "a", Load{Requests: 1, HeldTokens: 3000, UnreadTokens: 3000})
+		table.ReserveFor("me", "a", Load{Requests: 1}) // own work is reserved by Begin
 		is.Equal(table.Candidates("llm", "d1")[0].HeldTokens, 33000)
 		is.Equal(table.Candidates("llm", "d1")[0].Running, 11)
 		time.Sleep(loadLifetime)
@@ -84,7 +84,7 @@
 	})
 }
 
-func TestWorkCountsWhatItHolds(t *testing.T) {
+func TestWorkCountsItsTokens(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
 	work := table.Begin("a", Work{ID: "1", PromptTokens: 3000, OutputTokens: 400}, false)
--- a/fleet/work.go
+++ b/fleet/work.go
@@ -100,14 +100,14 @@
 	defer t.mu.Unlock()
 	e := t.servers[server]
 	now := time.Now()
-	if e == nil || e.evacuated || !resumed && (!e.takesWork() || t.resting(server, now)) {
+	if e == nil || e.evacuated || !resumed && (!e.acceptsWork() || t.inBackoff(server, now)) {
 		return nil
 	}
-	e.noteStart(now)
-	booked := &work
-	booked.table, booked.entry, booked.began, booked.progress = t, e, now, now
-	e.work[booked] = struct{}{}
-	return booked
+	e.recordStart(now)
+	reserved := &work
+	reserved.table, reserved.entry, reserved.began, reserved.progress = t, e, now, now
+	e.work[reserved] = struct{}{}
+	return reserved
 }
 
 // Produced records how many tokens a generation has produced so far.
@@ -115,7 +115,7 @@
 	w.table.mu.Lock()
 	defer w.table.mu.Unlock()
 	if w.produced == 0 && tokens > 0 {
-		w.table.ownChanged(w.entry)
+		w.table.engineWorkChanged(w.entry)
 	}
 	w.produced, w.progress = max(w.produced, tokens), time.Now()
 	w.entry.pace.observe(w.window.next(w.produced, w.progress))
@@ -125,20 +125,20 @@
 func (w *Work) End() {
 	w.table.mu.Lock()
 	defer w.table.mu.Unlock()
-	if _, booked := w.entry.work[w]; !booked {
+	if _, reserved := w.entry.work[w]; !reserved {
 		return
 	}
 	delete(w.entry.work, w)
 	w.table.forget(w.entry)
-	w.table.wake()
-	w.table.ownChanged(w.entry)
+	w.table.notifyChanged()
+	w.table.engineWorkChanged(w.entry)
 }
 
 // Gone returns a channel that is closed when the server starts leaving.
 func (w *Work) Gone() <-chan struct{} {
 	w.table.mu.Lock()
 	defer w.table.mu.Unlock()
-	return w.entry.gone
+	return w.entry.leavingCh
 }
 
 // Server returns the server on which the request runs.
@@ -156,15 +156,15 @@
 func (w *Work) Unreachable() {
 	w.table.mu.Lock()
 	defer w.table.mu.Unlock()
-	w.entry.unreachable = time.Now().Add(unreachableFor)
+	w.entry.unavailableUntil = time.Now().Add(unreachableFor)
 }
 
 // Outcome records whether a request failed, for the health of its server.
 func (w *Work) Outcome(failed bool) {
 	w.table.mu.Lock()
 	defer w.table.mu.Unlock()
-	w.table.judge(w.entry, failed)
-	w.table.noteOwn(w.entry, failed)
+	w.table.recordOutcome(w.entry, failed)
+	w.table.recordOwnOutcome(w.entry, failed)
 }
 
 // TimedOut records that a request reached its deadline before its answer
@@ -177,9 +177,9 @@
 func (w *Work) TimedOut() {
 	w.table.mu.Lock()
 	defer w.table.mu.Unlock()
-	w.table.judge(w.entry, true)
-	if !w.entry.answered.After(w.began) {
-		w.table.noteOwn(w.entry, true)
+	w.table.recordOutcome(w.entry, true)
+	if !w.entry.lastAnswer.After(w.began) {
+		w.table.recordOwnOutcome(w.entry, true)
 	}
 }
 
@@ -188,14 +188,14 @@
 func (w *Work) AnsweredBadly() {
 	w.table.mu.Lock()
 	defer w.table.mu.Unlock()
-	w.table.judge(w.entry, true)
-	w.table.noteOwn(w.entry, false)
+	w.table.recordOutcome(w.entry, true)
+	w.table.recordOwnOutcome(w.entry, false)
 }
 
 // ownLoad requires Table.mu.
 func (e *entry) ownLoad() Load {
 	var load Load
-	load.Pace, load.Born = e.pace.least, e.server.Born
+	load.Pace, load.Born = e.pace.estimate, e.server.Born
 	for w := range e.work {
 		load.add(LoadOf(placement.Need{PromptTokens: w.PromptTokens, OutputTokens: w.OutputTokens}, w.produced, w.produced > 0))
 	}
@@ -248,18 +248,18 @@
 		e.others[host] = load
 		e.pace.observe(load.Pace)
 	}
-	t.wake()
+	t.notifyChanged()
 }
 
-// BookFor adds a reservation to another host's load until its next report.
-func (t *Table) BookFor(host, server string, load Load) {
+// ReserveFor adds a reservation to another host's load until its next report.
+func (t *Table) ReserveFor(host, server string, load Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.servers[server]
 	if e == nil || host == t.host {
 		return // this host's own work is reserved by Begin
 	}
-	e.noteStart(time.Now())
+	e.recordStart(time.Now())
 	known := e.others[host]
 	if time.Since(known.At) >= loadLifetime {
 		known = Load{}
