--- a/allocation/allocation_test.go
+++ b/allocation/allocation_test.go
@@ -58,7 +58,7 @@
 	return f(h.conn)
 }
 
-func (h *hosts) cut(down bool) {
+func (h *hosts) setDown(down bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.down = down
@@ -83,7 +83,7 @@
 	t.Cleanup(func() { _ = conn.Close() })
 	h := &hosts{members: members, conn: conn}
 	self := "a"
-	if Chosen(members, Whole(llm)) == "a" {
+	if PreferredAllocator(members, WholeService(llm)) == "a" {
 		self = "b"
 	}
 	local := NewAllocator(from, placement.DefaultLimits, first, zap.NewNop())
@@ -97,22 +97,22 @@
 	at, from := engines("a", "e1", "e2"), engines("b", "e1", "e2")
 	_, allocator, client := pair(t, at, from)
 	need := placement.Need{PromptTokens: 6000, OutputTokens: 400}
-	own := allocator.Place("other", "d", Whole(llm), Asked{Request: "r1", Need: need}, nil)
+	own := allocator.Place("other", "d", WholeService(llm), Asked{Request: "r1", Need: need}, nil)
 	other := client.Place(context.Background(), llm, Asked{Request: "r2", Need: need}, nil)
 	is.True(own.Server != other)
 	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r3", Need: need}, []string{"e1", "e2"}), "") // both already tried
 }
 
 // Guards against callers that retry when they were told to and are refused again.
-func TestCallersThatComeBackGoFirst(t *testing.T) {
+func TestReturningCallersGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		at := engines("a", "e1")
 		allocator := NewAllocator(at, placement.DefaultLimits, first, zap.NewNop())
-		at.SetOthers("h", llm, map[string]fleet.Load{"e1": {Requests: 9, HeldTokens: 31000}}, Whole(llm).Holds)
+		at.SetOthers("h", llm, map[string]fleet.Load{"e1": {Requests: 9, HeldTokens: 31000}}, WholeService(llm).Contains)
 		need := placement.Need{PromptTokens: 3000, OutputTokens: 400}
 		ask := func(request string, fingerprint uint64) string {
-			return allocator.Place("h", "d", Whole(llm), Asked{Request: request, Fingerprint: fingerprint, Need: need}, nil).Server
+			return allocator.Place("h", "d", WholeService(llm), Asked{Request: request, Fingerprint: fingerprint, Need: need}, nil).Server
 		}
 		is.Equal(ask("r1", 7), "")
 		time.Sleep(100 * time.Millisecond)
@@ -120,7 +120,7 @@
 		is.Equal(ask("r2", 8), "") // a different request
 		time.Sleep(time.Second)
 		is.Equal(ask("r3", 7), "e1")
-		time.Sleep(refusalKept)
+		time.Sleep(refusalTTL)
 		is.True(!allocator.refusals.returning(8, "r4"))
 	})
 }
@@ -130,9 +130,9 @@
 	h, _, client := pair(t, engines("a", "e1"), engines("b", "e2"))
 	need := placement.Need{PromptTokens: 100}
 	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r1", Need: need}, nil), "e1")
-	h.cut(true)
+	h.setDown(true)
 	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r2", Need: need}, nil), "e2")
-	h.cut(false)
+	h.setDown(false)
 	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r3", Need: need}, nil), "e2") // the allocator is in backoff
 }
 
@@ -146,7 +146,7 @@
 	allocator.Revision = func() uint64 { return 17 }
 	work := from.Begin("e1", fleet.Work{ID: "r1", PromptTokens: 3000, OutputTokens: 400}, false)
 	at.Put(fleet.Server{ID: "e1", Service: llm, Address: "e1", Leaving: true})
-	is.True(client.report(context.Background(), Whole(llm), from.OwnGenerations()[llm], nil))
+	is.True(client.report(context.Background(), WholeService(llm), from.OwnGenerations()[llm], nil))
 	select {
 	case <-work.Gone():
 	default:
@@ -171,7 +171,7 @@
 	_, _, client := pair(t, at, from)
 	report := func() {
 		calls, _ := from.TakeCallEvidence()
-		is.True(client.report(context.Background(), Whole(llm), nil, calls))
+		is.True(client.report(context.Background(), WholeService(llm), nil, calls))
 	}
 	doubtful := func(table *fleet.Table) (ids []string) {
 		for _, c := range table.Candidates("plain", "d") {
@@ -249,9 +249,9 @@
 func TestAllocatorWatchesTheStore(t *testing.T) {
 	is := is.New(t)
 	members := []peer.Member{{Host: "gone", State: peer.StateGone, FailureDomain: "d"}}
-	is.Equal(Chosen(members, Whole(llm)), "")
+	is.Equal(PreferredAllocator(members, WholeService(llm)), "")
 	members = append(members, peer.Member{Host: "x", State: peer.StateAlive, FailureDomain: "d"})
-	is.Equal(Chosen(members, Whole(llm)), "x")
+	is.Equal(PreferredAllocator(members, WholeService(llm)), "x")
 }
 
 func TestCutOffHostAsksItsOwnEnginesOnly(t *testing.T) {
@@ -262,13 +262,13 @@
 	table.Begin("e1", fleet.Work{ID: "r1"}, false)
 	members := []peer.Member{{Host: "a", State: peer.StateAlive, FailureDomain: "d"}}
 	sentinel := &Sentinel{Host: "b", Fleet: table, Client: NewClient("b", "d", &hosts{members: members}, nil, table, zap.NewNop())}
-	asked := sentinel.asked(Whole(llm))
-	is.Equal(len(asked), 1)
-	is.Equal(asked[0].ID, "e1")
+	serversToQuery := sentinel.serversToQuery(WholeService(llm))
+	is.Equal(len(serversToQuery), 1)
+	is.Equal(serversToQuery[0].ID, "e1")
 	sentinel.Host = "a"
-	is.Equal(len(sentinel.asked(Whole(llm))), 2)
+	is.Equal(len(sentinel.serversToQuery(WholeService(llm))), 2)
 	table.Rest("e1", time.Second) // it requested a backoff from this host
-	is.Equal(len(sentinel.asked(Whole(llm))), 1)
+	is.Equal(len(sentinel.serversToQuery(WholeService(llm))), 1)
 }
 
 // Guards against an allocator that mixes up backoffs for its own host with
--- a/allocation/allocator.go
+++ b/allocation/allocator.go
@@ -64,10 +64,10 @@
 	ColdShare func(part Part) float64
 
 	mu     sync.Mutex // guards queues
-	queues map[Part]*moves
+	queues map[Part]*moveQueue
 
-	refusals *refusals
-	market   *market
+	refusals   *refusals
+	offerTable *offerTable
 }
 
 // Asked is a generation that needs a server.
@@ -80,76 +80,76 @@
 	Settled bool
 }
 
-// Placed is the result of a placement: a server, another part to be asked instead, or neither.
-type Placed struct {
+// Placement is the result of a placement: a server, another part to be asked instead, or neither.
+type Placement struct {
 	Server    string
 	Elsewhere Part // none if its service is empty
 }
 
-// moves is the migration queue of one part of a service.
-type moves struct {
+// moveQueue is the migration queue of one part of a service.
+type moveQueue struct {
 	queue *migration.Queue
 	wake  chan struct{} // receives a token when the queue has to be stepped
 }
 
 // NewAllocator returns an allocator that places work on the servers in table; draw breaks ties.
 func NewAllocator(table *fleet.Table, limits placement.Limits, draw func(n int) int, logger *zap.Logger) *Allocator {
-	return &Allocator{fleet: table, limits: limits, draw: draw, logger: logger, queues: map[Part]*moves{}, refusals: newRefusals(), market: newMarket()}
+	return &Allocator{fleet: table, limits: limits, draw: draw, logger: logger, queues: map[Part]*moveQueue{}, refusals: newRefusals(), offerTable: newOfferTable()}
 }
 
 // Place chooses a server for a host's generation and reserves it there until
 // the host's own report includes it. If another part is cheaper by more than
 // the cost of crossing failure domains, that part is returned instead.
-func (a *Allocator) Place(host, domain string, part Part, asked Asked, except []string) Placed {
+func (a *Allocator) Place(host, domain string, part Part, asked Asked, except []string) Placement {
 	need, request := asked.Need, asked.Request
 	need.Returning = a.refusals.returning(asked.Fingerprint, request)
 	candidates := a.candidates(part, domain, except...)
 	i := placement.Pick(need, candidates, a.limits, a.draw)
-	if elsewhere, found := a.elsewhere(part, asked, candidates, i >= 0); found {
-		a.logger.Info(msgOnward, zap.String("request", request), zap.String("for", host), zap.String("domain", elsewhere.Domain),
+	if betterPart, found := a.betterPart(part, asked, candidates, i >= 0); found {
+		a.logger.Info(msgOnward, zap.String("request", request), zap.String("for", host), zap.String("domain", betterPart.Domain),
 			zap.Bool("place_here", i >= 0), zap.Int("candidates", len(candidates)))
-		return Placed{Elsewhere: elsewhere}
+		return Placement{Elsewhere: betterPart}
 	}
 	if i < 0 {
-		a.refusals.note(asked.Fingerprint, request)
-		lacking := placement.ShortageOf(need, candidates, a.limits)
+		a.refusals.record(asked.Fingerprint, request)
+		shortage := placement.ShortageOf(need, candidates, a.limits)
 		a.logger.Info(MsgNoPlace, zap.String("request", request), zap.String("for", host), zap.Int("candidates", len(candidates)),
 			zap.Int("prompt_tokens", need.PromptTokens), zap.Int("output_tokens", need.OutputTokens), zap.Bool("returning", need.Returning),
-			zap.Int("lack_reading", lacking.Reading), zap.Int("lack_slots", lacking.Slots), zap.Int("lack_memory", lacking.Memory),
-			zap.Int("lack_warmth", lacking.Warmth))
-		return Placed{}
+			zap.Int("lack_reading", shortage.Reading), zap.Int("lack_slots", shortage.Slots), zap.Int("lack_memory", shortage.Memory),
+			zap.Int("lack_warmth", shortage.Warmth))
+		return Placement{}
 	}
 	chosen := &candidates[i]
 	a.logger.Info(MsgPlaced, zap.String("request", request), zap.String("for", host), zap.String("to", chosen.ID),
 		zap.Int("running", chosen.Running), zap.Int("held_tokens", chosen.HeldTokens), zap.Int("unread_tokens", chosen.UnreadTokens),
 		zap.Bool("returning", need.Returning), zap.Int("candidates", len(candidates)))
 	a.fleet.ReserveFor(host, candidates[i].ID, fleet.LoadOf(need, 0, false))
-	return Placed{Server: candidates[i].ID}
+	return Placement{Server: candidates[i].ID}
 }
 
-// elsewhere returns the part to be asked instead, if any. Costs are compared
+// betterPart returns the part to be asked instead, if any. Costs are compared
 // for a typical generation, because other parts make their offers for one.
-func (a *Allocator) elsewhere(part Part, asked Asked, candidates []placement.Candidate, placeHere bool) (Part, bool) {
+func (a *Allocator) betterPart(part Part, asked Asked, candidates []placement.Candidate, placeHere bool) (Part, bool) {
 	if part.Domain == "" || asked.Settled {
 		return Part{}, false
 	}
-	a.market.observe(asked.Need)
+	a.offerTable.observe(asked.Need)
 	brief := asked.Need.Brief()
 	limit := math.Inf(1)
 	if placeHere {
-		typical := a.market.typical(brief)
+		typical := a.offerTable.typical(brief)
 		if own := placement.Costs(typical, candidates, a.limits, 1); len(own) > 0 {
 			limit = own[0] - placement.OtherDomainCost(typical)
 		}
 	}
-	return a.market.below(part, brief, limit)
+	return a.offerTable.takeCheapest(part, brief, limit)
 }
 
 // offers returns the costs at which a part offers places to generations of other parts.
 func (a *Allocator) offers(part Part) (brief, long []float64) {
 	candidates := a.candidates(part, part.Domain)
-	return placement.Costs(a.market.typical(true), candidates, a.limits, offersKept),
-		placement.Costs(a.market.typical(false), candidates, a.limits, offersKept)
+	return placement.Costs(a.offerTable.typical(true), candidates, a.limits, offersPerPart),
+		placement.Costs(a.offerTable.typical(false), candidates, a.limits, offersPerPart)
 }
 
 // candidates returns the servers of a part that may get work.
@@ -159,28 +159,28 @@
 		share = a.ColdShare(part)
 	}
 	return a.fleet.CandidatesFor(fleet.Query{
-		Service: part.Service, Domain: domain, Among: part.Holds, Except: except, ForOthers: true, ColdShare: share,
+		Service: part.Service, Domain: domain, Among: part.Contains, Except: except, ForOthers: true, ColdShare: share,
 	})
 }
 
 // TakeTurn waits until a host's run may move. If it succeeds, the turn has to
 // be ended with EndTurn. If the part has no server left, another part is
 // returned.
-func (a *Allocator) TakeTurn(ctx context.Context, host string, part Part, move migration.Move) (to Placed, err error) {
-	m := a.moves(part)
+func (a *Allocator) TakeTurn(ctx context.Context, host string, part Part, move migration.Move) (to Placement, err error) {
+	m := a.moveQueue(part)
 	entered := time.Now()
 	granted, cancel := m.queue.Enter(move)
-	m.look()
+	m.signal()
 	select {
 	case grant := <-granted:
 		a.logger.Info(msgGranted, zap.String("request", move.Run), zap.String("for", host), zap.String("from", move.Source),
 			zap.String("to", grant.Destination), zap.Duration("waited", time.Since(entered)), zap.Int("tokens", move.Need.PromptTokens))
 		if grant.Destination != "" {
 			a.fleet.ReserveFor(host, grant.Destination, fleet.LoadOf(move.Need, 0, true))
-			return Placed{Server: grant.Destination}, nil
+			return Placement{Server: grant.Destination}, nil
 		}
-		elsewhere, _ := a.market.below(part, false, math.Inf(1))
-		return Placed{Elsewhere: elsewhere}, nil
+		elsewhere, _ := a.offerTable.takeCheapest(part, false, math.Inf(1))
+		return Placement{Elsewhere: elsewhere}, nil
 	case <-ctx.Done():
 	}
 	cancel()
@@ -189,23 +189,23 @@
 		a.EndTurn(part, move.Source, move.Run)
 	default:
 	}
-	return Placed{}, ctx.Err()
+	return Placement{}, ctx.Err()
 }
 
 // EndTurn ends a run's turn.
 func (a *Allocator) EndTurn(part Part, source, run string) {
-	m := a.moves(part)
+	m := a.moveQueue(part)
 	m.queue.End(source, run)
-	m.look()
+	m.signal()
 }
 
-// moves returns the migration queue of a part, and starts it on first use.
-func (a *Allocator) moves(part Part) *moves {
+// moveQueue returns the migration queue of a part, and starts it on first use.
+func (a *Allocator) moveQueue(part Part) *moveQueue {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	m := a.queues[part]
 	if m == nil {
-		m = &moves{wake: make(chan struct{}, 1)}
+		m = &moveQueue{wake: make(chan struct{}, 1)}
 		m.queue = migration.NewQueue(func(source string) []placement.Candidate {
 			server, _ := a.fleet.Get(source)
 			return a.candidates(part, server.Domain)
@@ -216,7 +216,7 @@
 	return m
 }
 
-func (m *moves) look() {
+func (m *moveQueue) signal() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
@@ -224,7 +224,7 @@
 }
 
 // run steps the queue until the process ends. There are few parts, so queues are never stopped.
-func (m *moves) run() {
+func (m *moveQueue) run() {
 	for range m.wake {
 		for next := m.queue.Step(); next > 0; next = m.queue.Step() {
 			select {
--- a/allocation/client.go
+++ b/allocation/client.go
@@ -23,10 +23,10 @@
 
 	// placeTimeout bounds a placement call, which takes 3 ms between failure domains.
 	placeTimeout = 80 * time.Millisecond
-	// avoidFor is how long an allocator that did not answer is not called. It
-	// doubles with each further failure, up to avoidMost.
-	avoidFor  = time.Second
-	avoidMost = 8 * time.Second
+	// minBackoff is how long an allocator that did not answer is not called. It
+	// doubles with each further failure, up to maxBackoff.
+	minBackoff = time.Second
+	maxBackoff = 8 * time.Second
 )
 
 // Peers calls other entry hosts. *peer.Node implements it.
@@ -55,12 +55,12 @@
 
 	view atomic.Pointer[view]
 
-	mu        sync.Mutex              // guards all fields below
-	avoided   map[string]rest         // hosts that did not answer
-	leaving   map[string]knownLeaving // by allocator
-	disturbed time.Time               // when the store last failed to answer an allocator, as reported
-	revision  uint64                  // newest configuration, as reported
-	revisedAt time.Time               // when revision was requested
+	mu                  sync.Mutex             // guards all fields below
+	avoided             map[string]backoff     // hosts that did not answer
+	leaving             map[string]leavingList // by allocator
+	disturbed           time.Time              // when the store last failed to answer an allocator, as reported
+	revision            uint64                 // newest configuration, as reported
+	revisionRequestedAt time.Time              // when revision was requested
 }
 
 // Newest returns the newest configuration revision received from an allocator,
@@ -68,14 +68,14 @@
 func (c *Client) Newest() (revision uint64, age time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.revision, time.Since(c.revisedAt)
+	return c.revision, time.Since(c.revisionRequestedAt)
 }
 
-func (c *Client) toldRevision(revision uint64, asked time.Time) {
+func (c *Client) recordRevision(revision uint64, asked time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if revision >= c.revision {
-		c.revision, c.revisedAt = revision, asked
+		c.revision, c.revisionRequestedAt = revision, asked
 	}
 }
 
@@ -87,7 +87,7 @@
 	return time.Since(c.disturbed)
 }
 
-func (c *Client) toldDisturbed(ago time.Duration) {
+func (c *Client) recordDisturbance(ago time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if at := time.Now().Add(-ago); at.After(c.disturbed) {
@@ -97,7 +97,7 @@
 
 // NewClient returns the client of a host; local is the host's own allocator.
 func NewClient(host, domain string, peers Peers, local *Allocator, table *fleet.Table, logger *zap.Logger) *Client {
-	c := &Client{host: host, domain: domain, peers: peers, local: local, fleet: table, logger: logger, avoided: map[string]rest{}, leaving: map[string]knownLeaving{}}
+	c := &Client{host: host, domain: domain, peers: peers, local: local, fleet: table, logger: logger, avoided: map[string]backoff{}, leaving: map[string]leavingList{}}
 	if local != nil {
 		local.ColdShare = c.coldShare
 	}
@@ -112,17 +112,17 @@
 
 // coldShare returns the share of cold servers' request rate in a part that this host may use.
 func (c *Client) coldShare(part Part) float64 {
-	if c.chosen(part) == c.host {
+	if c.preferredAllocator(part) == c.host {
 		return allocatorsColdShare
 	}
-	return (1 - allocatorsColdShare) / float64(max(1, c.hosts()))
+	return (1 - allocatorsColdShare) / float64(max(1, c.hostCount()))
 }
 
 // Place chooses a server for a generation. It returns "" if none has capacity.
 // If this host's part of the service is full, or another part is much emptier,
 // that other part is asked.
 func (c *Client) Place(ctx context.Context, service string, asked Asked, except []string) string {
-	placed := c.placeIn(ctx, c.cut(service).partOf(c.domain, c.host), asked, except)
+	placed := c.placeIn(ctx, c.partitioning(service).partOf(c.domain, c.host), asked, except)
 	if placed.Elsewhere.Service == "" {
 		return placed.Server
 	}
@@ -130,7 +130,7 @@
 	return c.placeIn(ctx, placed.Elsewhere, asked, except).Server
 }
 
-func (c *Client) placeIn(ctx context.Context, part Part, asked Asked, except []string) Placed {
+func (c *Client) placeIn(ctx context.Context, part Part, asked Asked, except []string) Placement {
 	allocator := c.allocator(part)
 	// Servers that this host cannot reach, or that requested a backoff from it,
 	// may accept other hosts.
@@ -143,7 +143,7 @@
 	var response *allocationpb.PlaceResponse
 	err := c.call(ctx, allocator, func(client allocationpb.AllocationClient) (err error) {
 		response, err = client.Place(ctx, &allocationpb.PlaceRequest{
-			Host: c.host, FailureDomain: c.domain, Part: part.message(), Request: asked.Request, Fingerprint: asked.Fingerprint, Except: except,
+			Host: c.host, FailureDomain: c.domain, Part: part.toProto(), Request: asked.Request, Fingerprint: asked.Fingerprint, Except: except,
 			PromptTokens: uint32(asked.Need.PromptTokens), OutputTokens: uint32(asked.Need.OutputTokens), Settled: asked.Settled,
 		})
 		return err
@@ -151,15 +151,15 @@
 	if err != nil {
 		return c.placeHere(part, asked, except)
 	}
-	return Placed{Server: response.GetServer(), Elsewhere: partFrom(response.GetElsewhere())}
+	return Placement{Server: response.GetServer(), Elsewhere: partFromProto(response.GetElsewhere())}
 }
 
 // placeHere places with this host's own table: on the part if other hosts may
 // consider this one its allocator, else on all servers, as no allocator
 // answers.
-func (c *Client) placeHere(part Part, asked Asked, except []string) Placed {
+func (c *Client) placeHere(part Part, asked Asked, except []string) Placement {
 	if !c.decidesFor(part) {
-		part = Whole(part.Service)
+		part = WholeService(part.Service)
 	}
 	return c.local.Place(c.host, c.domain, part, asked, except)
 }
@@ -168,7 +168,7 @@
 // destination ("" if there is none) and a function that ends the turn.
 func (c *Client) TakeTurn(ctx context.Context, service string, move migration.Move) (destination string, end func(), err error) {
 	source, _ := c.fleet.Get(move.Source)
-	to, end, err := c.takeTurnIn(ctx, c.cut(service).partOf(source.Domain, move.Source), move)
+	to, end, err := c.takeTurnIn(ctx, c.partitioning(service).partOf(source.Domain, move.Source), move)
 	if err != nil || to.Elsewhere.Service == "" {
 		return to.Server, end, err
 	}
@@ -177,7 +177,7 @@
 	return to.Server, end, err
 }
 
-func (c *Client) takeTurnIn(ctx context.Context, part Part, move migration.Move) (to Placed, end func(), err error) {
+func (c *Client) takeTurnIn(ctx context.Context, part Part, move migration.Move) (to Placement, end func(), err error) {
 	allocator := c.allocator(part)
 	if allocator != c.host {
 		to, err = c.takeTurnAt(ctx, allocator, part, move)
@@ -185,23 +185,23 @@
 			return to, func() { c.endTurnAt(allocator, part, move) }, nil
 		}
 		if ctx.Err() != nil {
-			return Placed{}, nil, ctx.Err()
+			return Placement{}, nil, ctx.Err()
 		}
 	}
 	to, err = c.local.TakeTurn(ctx, c.host, part, move)
 	return to, func() { c.local.EndTurn(part, move.Source, move.Run) }, err
 }
 
-func (c *Client) takeTurnAt(ctx context.Context, allocator string, part Part, move migration.Move) (Placed, error) {
+func (c *Client) takeTurnAt(ctx context.Context, allocator string, part Part, move migration.Move) (Placement, error) {
 	var response *allocationpb.TakeTurnResponse
 	err := c.callWaiting(ctx, allocator, func(client allocationpb.AllocationClient) (err error) {
 		response, err = client.TakeTurn(ctx, &allocationpb.TakeTurnRequest{
-			Host: c.host, Part: part.message(), Source: move.Source, Run: move.Run,
+			Host: c.host, Part: part.toProto(), Source: move.Source, Run: move.Run,
 			HeldTokens: uint32(move.Need.PromptTokens), RemainingTokens: uint32(move.Need.OutputTokens), Size: uint32(move.Size),
 		})
 		return err
 	})
-	return Placed{Server: response.GetDestination(), Elsewhere: partFrom(response.GetElsewhere())}, err
+	return Placement{Server: response.GetDestination(), Elsewhere: partFromProto(response.GetElsewhere())}, err
 }
 
 func (c *Client) endTurnAt(allocator string, part Part, move migration.Move) {
@@ -209,7 +209,7 @@
 	defer cancel()
 	// If this call is lost, the turn expires some hundred ms later.
 	_ = c.call(ctx, allocator, func(client allocationpb.AllocationClient) error {
-		_, err := client.EndTurn(ctx, &allocationpb.EndTurnRequest{Host: c.host, Part: part.message(), Source: move.Source, Run: move.Run})
+		_, err := client.EndTurn(ctx, &allocationpb.EndTurnRequest{Host: c.host, Part: part.toProto(), Source: move.Source, Run: move.Run})
 		return err
 	})
 }
@@ -221,7 +221,7 @@
 // Hosts that then place by themselves do not see each other's placements.
 // Falling back to the next allocator keeps a shared view.
 func (c *Client) allocator(part Part) string {
-	hosts := c.look().allocators(part)
+	hosts := c.currentView().allocators(part)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, host := range hosts {
@@ -235,7 +235,7 @@
 // call calls an allocator that has to answer before ctx ends, and records whether it did.
 func (c *Client) call(ctx context.Context, host string, f func(allocationpb.AllocationClient) error) error {
 	err := c.peers.Call(host, func(conn grpc.ClientConnInterface) error { return f(allocationpb.NewAllocationClient(conn)) })
-	c.note(host, err, err != nil && context.Cause(ctx) != context.Canceled)
+	c.recordCall(host, err, err != nil && context.Cause(ctx) != context.Canceled)
 	return err
 }
 
@@ -244,41 +244,41 @@
 // may arrive before ctx ends here, counts as a failure to answer.
 func (c *Client) callWaiting(ctx context.Context, host string, f func(allocationpb.AllocationClient) error) error {
 	err := c.peers.Call(host, func(conn grpc.ClientConnInterface) error { return f(allocationpb.NewAllocationClient(conn)) })
-	timeOver := status.Code(err) == codes.DeadlineExceeded
-	c.note(host, err, err != nil && ctx.Err() == nil && !timeOver)
+	deadlineExceeded := status.Code(err) == codes.DeadlineExceeded
+	c.recordCall(host, err, err != nil && ctx.Err() == nil && !deadlineExceeded)
 	return err
 }
 
-// note records the result of a call to an allocator. silent means that the
-// allocator did not answer.
-func (c *Client) note(host string, err error, silent bool) {
+// recordCall records the result of a call to an allocator. unanswered means
+// that the allocator did not answer.
+func (c *Client) recordCall(host string, err error, unanswered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	rest, avoided := c.avoided[host]
+	backoff, avoided := c.avoided[host]
 	switch {
-	case silent:
-		c.avoided[host] = rest.longer(time.Now())
+	case unanswered:
+		c.avoided[host] = backoff.next(time.Now())
 		if !avoided {
 			c.logger.Warn(msgLost, zap.String("allocator", host), zap.Error(err))
 		}
-	case err == nil && avoided && !time.Now().Before(rest.until):
+	case err == nil && avoided && !time.Now().Before(backoff.until):
 		delete(c.avoided, host)
 		c.logger.Info(msgRegained, zap.String("allocator", host))
 	}
 }
 
-// rest is the backoff after an allocator did not answer.
-type rest struct {
+// backoff is the backoff after an allocator did not answer.
+type backoff struct {
 	until  time.Time
 	lasted time.Duration
 }
 
-// longer returns the backoff after one more unanswered call: twice the last one, if that has ended.
-func (r rest) longer(now time.Time) rest {
+// next returns the backoff after one more unanswered call: twice the last one, if that has ended.
+func (r backoff) next(now time.Time) backoff {
 	if now.Before(r.until) {
 		return r // concurrent calls count once
 	}
-	r.lasted = min(max(avoidFor, 2*r.lasted), avoidMost)
+	r.lasted = min(max(minBackoff, 2*r.lasted), maxBackoff)
 	r.until = now.Add(r.lasted)
 	return r
 }
--- a/allocation/cold_test.go
+++ b/allocation/cold_test.go
@@ -68,7 +68,7 @@
 		return host
 	}
 	for i, c := range f.clients {
-		if c.chosen(Whole(llm)) == c.host {
+		if c.preferredAllocator(WholeService(llm)) == c.host {
 			return i
 		}
 	}
@@ -78,7 +78,7 @@
 // place places one generation of a host, and ends it after coldRunsFor.
 func (f *coldFleet) place(host int, id string) {
 	by := f.decider(host)
-	placed := f.clients[by].local.Place(f.clients[host].host, "d0", Whole(llm), Asked{Request: id, Need: placement.Need{PromptTokens: 10, OutputTokens: 5}}, nil)
+	placed := f.clients[by].local.Place(f.clients[host].host, "d0", WholeService(llm), Asked{Request: id, Need: placement.Need{PromptTokens: 10, OutputTokens: 5}}, nil)
 	if placed.Server == "" {
 		f.refused++
 		return
@@ -89,7 +89,7 @@
 	time.AfterFunc(coldRunsFor*time.Millisecond, func() {
 		work.End()
 		if by != host {
-			f.tables[by].SetOthers(f.clients[host].host, llm, f.tables[host].OwnGenerations()[llm], Whole(llm).Holds)
+			f.tables[by].SetOthers(f.clients[host].host, llm, f.tables[host].OwnGenerations()[llm], WholeService(llm).Contains)
 		}
 	})
 }
@@ -123,7 +123,7 @@
 	f := newColdFleet()
 	all := 0.0
 	for _, c := range f.clients {
-		all += c.coldShare(Whole(llm))
+		all += c.coldShare(WholeService(llm))
 	}
 	is.True(all <= 1)
 	is.True(all > 0.9)
--- a/allocation/exchange.go
+++ b/allocation/exchange.go
@@ -14,28 +14,28 @@
 func (c *Client) Exchange(ctx context.Context) error {
 	for sleep.For(ctx, offerInterval) == nil {
 		for _, service := range c.fleet.EngineServices() {
-			c.tellOffers(ctx, c.cut(service).parts())
+			c.sendOffers(ctx, c.partitioning(service).parts())
 		}
 	}
 	return ctx.Err()
 }
 
-// tellOffers sends this host's offers for the parts of a service.
-func (c *Client) tellOffers(ctx context.Context, parts []Part) {
+// sendOffers sends this host's offers for the parts of a service.
+func (c *Client) sendOffers(ctx context.Context, parts []Part) {
 	if len(parts) <= 1 {
 		return
 	}
 	request := &allocationpb.OfferRequest{Host: c.host}
 	others := map[string]bool{}
 	for _, part := range parts {
-		allocator := c.chosen(part)
+		allocator := c.preferredAllocator(part)
 		if allocator != c.host {
 			others[allocator] = true
 			continue
 		}
 		brief, long := c.local.offers(part)
-		c.local.market.hear(part, brief, long) // parts allocated by this host also use each other's offers
-		request.Offers = append(request.Offers, &allocationpb.PartOffer{Part: part.message(), Brief: costsMessage(brief), Long: costsMessage(long)})
+		c.local.offerTable.update(part, brief, long) // parts allocated by this host also use each other's offers
+		request.Offers = append(request.Offers, &allocationpb.PartOffer{Part: part.toProto(), Brief: costsToProto(brief), Long: costsToProto(long)})
 	}
 	if len(request.Offers) == 0 {
 		return
--- a/allocation/exchange_test.go
+++ b/allocation/exchange_test.go
@@ -18,12 +18,12 @@
 )
 
 // Guards against allocators that do not exchange offers, and that each query the store.
-func TestAllocatorsTellWhatTheyOffer(t *testing.T) {
+func TestAllocatorsExchangeOffers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		hosts, allocator, client, _ := largePair(t)
 		mine := Part{Service: llm, Domain: "d2", Count: 1}
-		client.host = Chosen(hosts.members, mine)
+		client.host = PreferredAllocator(hosts.members, mine)
 		client.local.Revision = func() uint64 { return 17 }
 		client.local.Verified = func() time.Duration { return 300 * time.Millisecond }
 		var age atomic.Int64
@@ -35,7 +35,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		go func() { _ = client.Exchange(ctx) }()
 		time.Sleep(offerInterval + 50*time.Millisecond)
-		part, found := allocator.market.below(Part{Service: llm, Domain: "d0", Count: 1}, false, 1)
+		part, found := allocator.offerTable.takeCheapest(Part{Service: llm, Domain: "d0", Count: 1}, false, 1)
 		is.True(found)
 		is.Equal(part, mine)
 		is.Equal(time.Duration(age.Load()), 300*time.Millisecond)
@@ -89,7 +89,7 @@
 		at, from := engines("a", "e1", "e2"), engines("b", "e1", "e2")
 		_, _, client := pair(t, at, from)
 		leaves := func() []fleet.Life {
-			is.True(client.report(t.Context(), Whole(llm), from.OwnGenerations()[llm], nil))
+			is.True(client.report(t.Context(), WholeService(llm), from.OwnGenerations()[llm], nil))
 			return from.Leaving(llm)
 		}
 		at.MarkLeaving(fleet.Life{ID: "e1"}, fleet.SourceList)
@@ -99,7 +99,7 @@
 		at.MarkLeaving(fleet.Life{ID: "e2"}, fleet.SourceList)
 		is.Equal(leaves(), []fleet.Life{{ID: "e1"}, {ID: "e2"}})
 		from.Put(fleet.Server{ID: "e1", Service: llm, Address: "e1", Slots: 24})
-		time.Sleep(leavingKept + time.Millisecond)
+		time.Sleep(leavingListTTL + time.Millisecond)
 		is.Equal(leaves(), []fleet.Life{{ID: "e1"}, {ID: "e2"}})
 		synctest.Wait()
 	})
@@ -111,14 +111,14 @@
 	is := is.New(t)
 	at, from := engines("a", "e1", "e2"), engines("b", "e1", "e2")
 	_, _, client := pair(t, at, from)
-	allocator := client.allocator(Whole(llm))
+	allocator := client.allocator(WholeService(llm))
 	ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 	defer cancel()
 	<-ctx.Done()
 	is.True(client.callWaiting(ctx, allocator, func(a allocationpb.AllocationClient) error {
-		_, err := a.TakeTurn(ctx, &allocationpb.TakeTurnRequest{Host: "b", Part: Whole(llm).message(), Source: "e1", Run: "r1"})
+		_, err := a.TakeTurn(ctx, &allocationpb.TakeTurnRequest{Host: "b", Part: WholeService(llm).toProto(), Source: "e1", Run: "r1"})
 		return err
 	}) != nil)
-	is.Equal(client.allocator(Whole(llm)), allocator)
+	is.Equal(client.allocator(WholeService(llm)), allocator)
 	is.Equal(client.Place(t.Context(), llm, Asked{Request: "r1", Need: placement.Need{PromptTokens: 100}}, nil), "e1")
 }
--- a/allocation/offers.go
+++ b/allocation/offers.go
@@ -12,9 +12,9 @@
 	// Reading a prompt takes about twice as long, so the cost of an engine is
 	// received while it is still valid.
 	offerInterval = 200 * time.Millisecond
-	// offersKept is how many servers of a part are offered at a time. Each
+	// offersPerPart is how many servers of a part are offered at a time. Each
 	// offer is for one generation from each other part.
-	offersKept = 16
+	offersPerPart = 16
 	// offerLifetime is how long an offer is valid. Three successive offers may be lost.
 	offerLifetime = 4 * offerInterval
 	// typicalWeight is the weight of one generation in the moving average.
@@ -27,30 +27,30 @@
 	at          time.Time // when it was received
 }
 
-// of returns the costs for brief or for long generations.
-func (o *offer) of(brief bool) *[]float64 {
+// costsFor returns the costs for brief or for long generations.
+func (o *offer) costsFor(brief bool) *[]float64 {
 	if brief {
 		return &o.brief
 	}
 	return &o.long
 }
 
-// market holds the offers of other parts.
+// offerTable holds the offers of other parts.
 //
 // When callers move to another failure domain, or its engines are lost, the
 // engines of its parts are full while other domains have capacity. Offers are
 // exchanged in advance, because asking the other parts one after the other
 // would take the most calls when there is the least time for them.
-type market struct {
-	mu     sync.Mutex // guards all below
+type offerTable struct {
+	mu     sync.Mutex // guards all fields below
 	offers map[Part]*offer
 	// typicalBrief and typicalLong are moving averages of the needs of
 	// generations placed here. Costs in different parts are compared for them.
 	typicalBrief, typicalLong placement.Need
 }
 
-func newMarket() *market {
-	return &market{
+func newOfferTable() *offerTable {
+	return &offerTable{
 		offers:       map[Part]*offer{},
 		typicalBrief: placement.Need{PromptTokens: 2000, OutputTokens: 16},
 		typicalLong:  placement.Need{PromptTokens: 3000, OutputTokens: 500},
@@ -58,14 +58,14 @@
 }
 
 // typical returns the average need of brief or of long generations.
-func (m *market) typical(brief bool) placement.Need {
+func (m *offerTable) typical(brief bool) placement.Need {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return *m.typicalOf(brief)
 }
 
 // typicalOf requires mu.
-func (m *market) typicalOf(brief bool) *placement.Need {
+func (m *offerTable) typicalOf(brief bool) *placement.Need {
 	if brief {
 		return &m.typicalBrief
 	}
@@ -73,7 +73,7 @@
 }
 
 // observe adds a generation's need to the moving average.
-func (m *market) observe(need placement.Need) {
+func (m *offerTable) observe(need placement.Need) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	typical := m.typicalOf(need.Brief())
@@ -81,8 +81,8 @@
 	typical.OutputTokens += int(typicalWeight * float64(need.OutputTokens-typical.OutputTokens))
 }
 
-// hear stores the offer of a part, and drops expired offers.
-func (m *market) hear(part Part, brief, long []float64) {
+// update stores the offer of a part, and drops expired offers.
+func (m *offerTable) update(part Part, brief, long []float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.offers[part] = &offer{brief: brief, long: long, at: time.Now()}
@@ -93,14 +93,14 @@
 	}
 }
 
-// below consumes and returns the cheapest offer of another part of the service
-// with a cost below limit. The next call then gets another server.
-func (m *market) below(own Part, brief bool, limit float64) (part Part, found bool) {
+// takeCheapest consumes and returns the cheapest offer of another part of the
+// service with a cost below limit. The next call then gets another server.
+func (m *offerTable) takeCheapest(own Part, brief bool, limit float64) (part Part, found bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var best *[]float64
 	for other, o := range m.offers {
-		costs := o.of(brief)
+		costs := o.costsFor(brief)
 		if other == own || other.Service != own.Service || time.Since(o.at) > offerLifetime || len(*costs) == 0 {
 			continue
 		}
--- a/allocation/part.go
+++ b/allocation/part.go
@@ -18,9 +18,9 @@
 	// and host, a single allocator of 390 hosts would get 12,000 calls per
 	// second; a placement call costs about 60 us.
 	hostsPerPart = 128
-	// allocatorsTried is how many hosts are tried as allocator of a part before
+	// maxAllocators is how many hosts are tried as allocator of a part before
 	// a host decides by itself.
-	allocatorsTried = 3
+	maxAllocators = 3
 )
 
 // Part is the share of a service's servers that one allocator decides for: all
@@ -35,33 +35,33 @@
 	Count   int // number of parts that the domain's servers are divided into; zero or one: not divided
 }
 
-// Whole returns the only part of a service that is not divided.
-func Whole(service string) Part { return Part{Service: service} }
+// WholeService returns the only part of a service that is not divided.
+func WholeService(service string) Part { return Part{Service: service} }
 
-// Holds reports whether a server belongs to the part.
-func (p Part) Holds(server fleet.Server) bool {
-	return (p.Domain == "" || p.Domain == server.Domain) && p.Index == indexOf(server.ID, p.Count)
+// Contains reports whether a server belongs to the part.
+func (p Part) Contains(server fleet.Server) bool {
+	return (p.Domain == "" || p.Domain == server.Domain) && p.Index == partIndex(server.ID, p.Count)
 }
 
-// indexOf returns the index of the part, out of count parts, that a server or
+// partIndex returns the index of the part, out of count parts, that a server or
 // an entry host belongs to.
-func indexOf(id string, count int) int {
+func partIndex(id string, count int) int {
 	if count <= 1 {
 		return 0
 	}
 	return int(xxhash.Sum64String(id) % uint64(count))
 }
 
-// cut is the division of a service into parts.
-type cut struct {
+// partitioning is the division of a service into parts.
+type partitioning struct {
 	service string
 	domains []string       // of its servers, in order; empty: not divided
 	counts  map[string]int // number of parts for each domain's servers
 }
 
-// cutOf divides a service with servers in the given failure domains.
-func cutOf(service string, domains []string, members []peer.Member) cut {
-	c := cut{service: service}
+// partition divides a service with servers in the given failure domains.
+func partition(service string, domains []string, members []peer.Member) partitioning {
+	c := partitioning{service: service}
 	if len(members) <= hostsPerPart || len(domains) == 0 {
 		return c
 	}
@@ -77,9 +77,9 @@
 }
 
 // parts returns all parts, in order.
-func (c cut) parts() []Part {
+func (c partitioning) parts() []Part {
 	if len(c.domains) == 0 {
-		return []Part{Whole(c.service)}
+		return []Part{WholeService(c.service)}
 	}
 	var parts []Part
 	for _, d := range c.domains {
@@ -93,18 +93,18 @@
 // partOf returns the part of a server, or the part that an entry host asks for
 // a place. A host in a domain without servers of the service is assigned to
 // another domain, always the same one.
-func (c cut) partOf(domain, id string) Part {
+func (c partitioning) partOf(domain, id string) Part {
 	if len(c.domains) == 0 {
-		return Whole(c.service)
+		return WholeService(c.service)
 	}
 	if c.counts[domain] == 0 {
-		domain = c.domains[indexOf(id, len(c.domains))]
+		domain = c.domains[partIndex(id, len(c.domains))]
 	}
-	return Part{Service: c.service, Domain: domain, Index: indexOf(id, c.counts[domain]), Count: c.counts[domain]}
+	return Part{Service: c.service, Domain: domain, Index: partIndex(id, c.counts[domain]), Count: c.counts[domain]}
 }
 
-// Chosen returns the preferred allocator of a part among the members, or "" if there is none.
-func Chosen(members []peer.Member, part Part) string {
+// PreferredAllocator returns the preferred allocator of a part among the members, or "" if there is none.
+func PreferredAllocator(members []peer.Member, part Part) string {
 	if hosts := ranked(members, domain.Watchers(members), part); len(hosts) > 0 {
 		return hosts[0]
 	}
@@ -112,7 +112,7 @@
 }
 
 // ranked returns the hosts that may allocate a part, in order of preference, at
-// most allocatorsTried.
+// most maxAllocators.
 //
 // Hosts that watch the store come first, because they are the first to learn
 // which servers leave. A domain without live hosts is allocated by a watcher in
@@ -127,7 +127,7 @@
 		first := part.Index % len(own)
 		hosts = slices.Concat(own[first:], own[:first])
 	}
-	return hosts[:min(allocatorsTried, len(hosts))]
+	return hosts[:min(maxAllocators, len(hosts))]
 }
 
 // hostsOf returns the hosts of a failure domain that may take duties, those
--- a/allocation/part_test.go
+++ b/allocation/part_test.go
@@ -17,8 +17,8 @@
 	"github.com/papayasail/papayasail/placement"
 )
 
-// crowd returns n live hosts in three failure domains.
-func crowd(n int) []peer.Member {
+// makeMembers returns n live hosts in three failure domains.
+func makeMembers(n int) []peer.Member {
 	var members []peer.Member
 	for i := range n {
 		members = append(members, peer.Member{Host: fmt.Sprintf("h%03d", i), State: peer.StateAlive, FailureDomain: fmt.Sprintf("d%d", i%3)})
@@ -39,25 +39,25 @@
 // Guards against a single allocator for a whole large fleet.
 func TestLargeFleetsCutAServiceByDomain(t *testing.T) {
 	is := is.New(t)
-	is.Equal(cutOf(llm, threeDomains, crowd(91)).parts(), []Part{Whole(llm)})
+	is.Equal(partition(llm, threeDomains, makeMembers(91)).parts(), []Part{WholeService(llm)})
 	for _, hosts := range []int{300, 600} {
-		members := crowd(hosts)
-		cut := cutOf(llm, threeDomains, members)
-		parts := cut.parts()
+		members := makeMembers(hosts)
+		partitioning := partition(llm, threeDomains, members)
+		parts := partitioning.parts()
 		is.Equal(len(parts), hosts/100) // 100 hosts of a domain share one allocator, 200 have two
 		for _, server := range serversOf(600) {
 			holders := 0
 			for _, part := range parts {
-				if part.Holds(server) {
+				if part.Contains(server) {
 					holders++
-					is.Equal(part, cut.partOf(server.Domain, server.ID))
+					is.Equal(part, partitioning.partOf(server.Domain, server.ID))
 				}
 			}
 			is.Equal(holders, 1)
 		}
 		allocators := map[string]bool{}
 		for _, part := range parts {
-			allocators[Chosen(members, part)] = true
+			allocators[PreferredAllocator(members, part)] = true
 			for _, host := range ranked(members, domain.Watchers(members), part) {
 				for _, m := range members {
 					is.True(m.Host != host || m.FailureDomain == part.Domain)
@@ -72,28 +72,28 @@
 	// A failure domain without hosts is allocated by a host of another domain.
 	// Hosts in a domain without engines ask another domain.
 	is := is.New(t)
-	members := crowd(300)
-	cut := cutOf(llm, append([]string{"lonely"}, threeDomains...), members)
-	part := cut.partOf("lonely", "e1")
+	members := makeMembers(300)
+	partitioning := partition(llm, append([]string{"lonely"}, threeDomains...), members)
+	part := partitioning.partOf("lonely", "e1")
 	is.Equal(part.Domain, "lonely")
-	is.True(Chosen(members, part) != "")
-	elsewhere := cut.partOf("without engines", "h1")
+	is.True(PreferredAllocator(members, part) != "")
+	elsewhere := partitioning.partOf("without engines", "h1")
 	is.True(elsewhere.Domain != "without engines")
-	is.Equal(elsewhere, cut.partOf("without engines", "h1"))
+	is.Equal(elsewhere, partitioning.partOf("without engines", "h1"))
 }
 
 func TestStrongHostsAllocate(t *testing.T) {
 	// Guards against an allocator that is too slow to answer: a weak host, with
 	// a fifth of a core, is chosen although its domain has a strong one.
 	is := is.New(t)
-	members := crowd(300)
+	members := makeMembers(300)
 	for i := range members {
 		members[i].Capacity = 192
 	}
 	members[31].Capacity = 800 // in d1
-	is.Equal(Chosen(members, Part{Service: llm, Domain: "d1"}), "h031")
+	is.Equal(PreferredAllocator(members, Part{Service: llm, Domain: "d1"}), "h031")
 	members[31].State = peer.StateGone
-	is.True(Chosen(members, Part{Service: llm, Domain: "d1"}) != "h031")
+	is.True(PreferredAllocator(members, Part{Service: llm, Domain: "d1"}) != "h031")
 }
 
 // largeFleet returns a client on a host that is not an allocator, and the
@@ -117,14 +117,14 @@
 		}
 	}
 	hosts, allocator, client := pair(t, at, from)
-	hosts.members = crowd(200)
+	hosts.members = makeMembers(200)
 	return hosts, allocator, client, at
 }
 
-func (p Part) mustHold(t *testing.T, table *fleet.Table, id string) {
+func (p Part) mustContain(t *testing.T, table *fleet.Table, id string) {
 	t.Helper()
 	server, _ := table.Get(id)
-	if !p.Holds(server) {
+	if !p.Contains(server) {
 		t.Fatalf("%q is not in %+v", id, p)
 	}
 }
@@ -138,16 +138,16 @@
 	place := func(request string) string {
 		return client.Place(context.Background(), llm, Asked{Request: request, Need: need}, nil)
 	}
-	allocator.market.hear(other, nil, []float64{0.9, 1.2})
-	home.mustHold(t, table, place("r1"))
+	allocator.offerTable.update(other, nil, []float64{0.9, 1.2})
+	home.mustContain(t, table, place("r1"))
 	full := fleet.Load{Requests: 9, HeldTokens: 33900}
-	table.SetOthers("h001", llm, map[string]fleet.Load{"e1": full, "e4": full}, home.Holds)
-	other.mustHold(t, table, place("r2"))
-	other.mustHold(t, table, place("r3"))
+	table.SetOthers("h001", llm, map[string]fleet.Load{"e1": full, "e4": full}, home.Contains)
+	other.mustContain(t, table, place("r2"))
+	other.mustContain(t, table, place("r3"))
 	is.Equal(place("r4"), "") // all offers are used up
 	// A report on one part does not affect another.
-	table.SetOthers("h001", llm, nil, other.Holds)
-	is.Equal(allocator.Place("none", "d1", home, Asked{Request: "r5", Need: need}, nil), Placed{})
+	table.SetOthers("h001", llm, nil, other.Contains)
+	is.Equal(allocator.Place("none", "d1", home, Asked{Request: "r5", Need: need}, nil), Placement{})
 }
 
 func TestFarEmptierDomainIsPreferred(t *testing.T) {
@@ -156,27 +156,27 @@
 	allocator, client, table := largeFleet(t)
 	home, other := Part{Service: llm, Domain: "d1", Count: 1}, Part{Service: llm, Domain: "d2", Count: 1}
 	busy := fleet.Load{Requests: 6, HeldTokens: 24000, UsedTokens: 20000, UnreadTokens: 2400}
-	table.SetOthers("h001", llm, map[string]fleet.Load{"e1": busy, "e4": busy}, home.Holds)
+	table.SetOthers("h001", llm, map[string]fleet.Load{"e1": busy, "e4": busy}, home.Contains)
 	asked := Asked{Request: "r1", Need: placement.Need{PromptTokens: 3000, OutputTokens: 200}}
-	home.mustHold(t, table, client.Place(context.Background(), llm, asked, nil)) // no offers yet
-	allocator.market.hear(other, nil, []float64{0.05})
-	other.mustHold(t, table, client.Place(context.Background(), llm, asked, nil))
+	home.mustContain(t, table, client.Place(context.Background(), llm, asked, nil)) // no offers yet
+	allocator.offerTable.update(other, nil, []float64{0.05})
+	other.mustContain(t, table, client.Place(context.Background(), llm, asked, nil))
 }
 
 func TestOffersExpire(t *testing.T) {
 	// Guards against sending callers to a partitioned domain because of its last offers.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		m := newMarket()
+		m := newOfferTable()
 		own, other := Part{Service: llm, Domain: "d0"}, Part{Service: llm, Domain: "d1"}
-		m.hear(other, nil, []float64{0.1, 0.2})
-		_, found := m.below(own, true, 1)
+		m.update(other, nil, []float64{0.1, 0.2})
+		_, found := m.takeCheapest(own, true, 1)
 		is.True(!found) // no offers for brief generations
 		time.Sleep(offerLifetime + time.Millisecond)
-		_, found = m.below(own, false, 1)
+		_, found = m.takeCheapest(own, false, 1)
 		is.True(!found)
-		m.hear(own, nil, []float64{0.1})
-		_, found = m.below(own, false, 1)
+		m.update(own, nil, []float64{0.1})
+		_, found = m.takeCheapest(own, false, 1)
 		is.True(!found)
 	})
 }
@@ -190,33 +190,33 @@
 		table.MarkLeaving(fleet.Life{ID: id}, fleet.SourceList)
 	}
 	other := Part{Service: llm, Domain: "d0", Count: 1}
-	allocator.market.hear(other, nil, []float64{0.1})
+	allocator.offerTable.update(other, nil, []float64{0.1})
 	move := migration.Move{Source: "e1", Run: "r1", Size: 9000, Need: placement.Need{PromptTokens: 3000, OutputTokens: 500}}
 	destination, end, err := client.TakeTurn(context.Background(), llm, move)
 	is.NoErr(err)
 	defer end()
-	other.mustHold(t, table, destination)
+	other.mustContain(t, table, destination)
 }
 
 // Guards against hosts that each place by themselves while their allocator is too slow to answer.
 func TestNextAllocatorIsAskedWhileTheFirstIsSlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		hosts := &hosts{members: crowd(9)}
+		hosts := &hosts{members: makeMembers(9)}
 		client := NewClient("none", "d1", hosts, nil, engines("none"), zap.NewNop())
-		order := ranked(hosts.members, domain.Watchers(hosts.members), Whole(llm))
-		is.Equal(len(order), allocatorsTried)
-		hosts.cut(true)
+		order := ranked(hosts.members, domain.Watchers(hosts.members), WholeService(llm))
+		is.Equal(len(order), maxAllocators)
+		hosts.setDown(true)
 		fail := func(host string) { _ = client.call(context.Background(), host, nil) }
 		for _, host := range order {
-			is.Equal(client.allocator(Whole(llm)), host)
+			is.Equal(client.allocator(WholeService(llm)), host)
 			fail(host)
 		}
-		is.Equal(client.allocator(Whole(llm)), "none") // decides by itself once all of them failed
-		time.Sleep(avoidFor + time.Millisecond)
-		is.Equal(client.allocator(Whole(llm)), order[0])
+		is.Equal(client.allocator(WholeService(llm)), "none") // decides by itself once all of them failed
+		time.Sleep(minBackoff + time.Millisecond)
+		is.Equal(client.allocator(WholeService(llm)), order[0])
 		fail(order[0])
-		time.Sleep(avoidFor + time.Millisecond)
-		is.Equal(client.allocator(Whole(llm)), order[1]) // the first one has a longer backoff
+		time.Sleep(minBackoff + time.Millisecond)
+		is.Equal(client.allocator(WholeService(llm)), order[1]) // the first one has a longer backoff
 	})
 }
--- a/allocation/refusals.go
+++ b/allocation/refusals.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// refusalKept is how long a refused request is remembered. Callers retry within a second.
-	refusalKept = 5 * time.Second
-	// refusalsKept bounds the number of remembered requests. The oldest are dropped first.
-	refusalsKept = 4096
+	// refusalTTL is how long a refused request is remembered. Callers retry within a second.
+	refusalTTL = 5 * time.Second
+	// maxRefusals bounds the number of remembered requests. The oldest are dropped first.
+	maxRefusals = 4096
 )
 
 // refusals records the requests that found no place, to recognise their
@@ -31,9 +31,9 @@
 
 func newRefusals() *refusals { return &refusals{byKey: map[uint64]refusal{}} }
 
-// note records that a request found no place. If a request asks several times,
+// record records that a request found no place. If a request asks several times,
 // only the first refusal counts.
-func (r *refusals) note(fingerprint uint64, request string) {
+func (r *refusals) record(fingerprint uint64, request string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, known := r.byKey[fingerprint]; known || fingerprint == 0 {
@@ -41,17 +41,17 @@
 	}
 	r.byKey[fingerprint] = refusal{request, time.Now()}
 	r.order = append(r.order, fingerprint)
-	for len(r.order) > 0 && (len(r.order) > refusalsKept || time.Since(r.byKey[r.order[0]].at) > refusalKept) {
+	for len(r.order) > 0 && (len(r.order) > maxRefusals || time.Since(r.byKey[r.order[0]].at) > refusalTTL) {
 		delete(r.byKey, r.order[0])
 		r.order = r.order[1:]
 	}
 }
 
 // returning reports whether another request with the same fingerprint was
-// refused within refusalKept.
+// refused within refusalTTL.
 func (r *refusals) returning(fingerprint uint64, request string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known, found := r.byKey[fingerprint]
-	return found && known.request != request && time.Since(known.at) <= refusalKept
+	return found && known.request != request && time.Since(known.at) <= refusalTTL
 }
--- a/allocation/replay_test.go
+++ b/allocation/replay_test.go
@@ -59,7 +59,7 @@
 	parts      map[string]Part
 	waiting    []*waitingRun
 	runs       []*replayedRun
-	free       map[string]time.Time // time until which an engine reads prompts
+	busyUntil  map[string]time.Time // time until which an engine reads prompts
 	result     replayedResult
 }
 
@@ -70,7 +70,7 @@
 
 func newReplayedFleet(seed uint64) *replayedFleet {
 	f := &replayedFleet{
-		random: rand.New(rand.NewPCG(seed, 1)), allocators: map[string]*Allocator{}, parts: map[string]Part{}, free: map[string]time.Time{},
+		random: rand.New(rand.NewPCG(seed, 1)), allocators: map[string]*Allocator{}, parts: map[string]Part{}, busyUntil: map[string]time.Time{},
 	}
 	for d := range replayDomains {
 		table := fleet.NewTable("allocator", zap.NewNop())
@@ -116,8 +116,8 @@
 	return true
 }
 
-// askAll retries all waiting generations once.
-func (f *replayedFleet) askAll() {
+// retryWaiting retries all waiting generations once.
+func (f *replayedFleet) retryWaiting() {
 	f.waiting = slices.DeleteFunc(f.waiting, func(w *waitingRun) bool {
 		if f.ask(w.domain, w.need) {
 			return true
@@ -142,11 +142,11 @@
 // begin adds a generation to an engine, which reads its prompt after those that it already has.
 func (f *replayedFleet) begin(host, engine string, need placement.Need) {
 	now := time.Now()
-	if f.free[engine].Before(now) {
-		f.free[engine] = now
+	if f.busyUntil[engine].Before(now) {
+		f.busyUntil[engine] = now
 	}
-	f.free[engine] = f.free[engine].Add(time.Duration(float64(need.PromptTokens)/replayReadPerMs) * time.Millisecond)
-	first := f.free[engine]
+	f.busyUntil[engine] = f.busyUntil[engine].Add(time.Duration(float64(need.PromptTokens)/replayReadPerMs) * time.Millisecond)
+	first := f.busyUntil[engine]
 	if float64(first.Sub(now).Milliseconds()) > replayFirstGoalMs {
 		f.result.late++
 	}
@@ -174,13 +174,13 @@
 	for domain, allocator := range f.allocators {
 		for d := range replayDomains {
 			host := "host-" + domainName(d)
-			allocator.fleet.SetOthers(host, llm, loads[host], f.parts[domain].Holds)
+			allocator.fleet.SetOthers(host, llm, loads[host], f.parts[domain].Contains)
 		}
 	}
 	for domain, allocator := range f.allocators {
 		brief, long := allocator.offers(f.parts[domain])
 		for _, other := range f.allocators {
-			other.market.hear(f.parts[domain], brief, long)
+			other.offerTable.update(f.parts[domain], brief, long)
 		}
 	}
 }
@@ -199,17 +199,17 @@
 				f.report()
 			}
 			for d := range replayDomains {
-				come := share[d] * replayStep.Seconds()
-				for range f.poisson(replayLongs * come) {
+				arrivals := share[d] * replayStep.Seconds()
+				for range f.poisson(replayLongs * arrivals) {
 					need := placement.Need{PromptTokens: f.lognormal(2900, 0.35, 800, 6000), OutputTokens: f.lognormal(380, 0.8, 121, 1100)}
 					f.waiting = append(f.waiting, &waitingRun{domain: domainName(d), need: need})
 				}
-				for range f.poisson(replayBriefs * come) {
+				for range f.poisson(replayBriefs * arrivals) {
 					need := placement.Need{PromptTokens: f.lognormal(1900, 0.6, 300, 6000), OutputTokens: 12}
 					f.waiting = append(f.waiting, &waitingRun{domain: domainName(d), need: need})
 				}
 			}
-			f.askAll()
+			f.retryWaiting()
 			time.Sleep(replayStep)
 		}
 		result = f.result
--- a/allocation/report.go
+++ b/allocation/report.go
@@ -31,38 +31,38 @@
 	reportBurst = 5
 	// refreshInterval is the interval of reports that are sent even if empty.
 	refreshInterval = 700 * time.Millisecond
-	// leavingKept is how long the list of leaving servers is not requested
+	// leavingListTTL is how long the list of leaving servers is not requested
 	// again. The list makes up most of the bytes of reports. It is refreshed
 	// because a host list entry older than the list may have reverted a part of
 	// it here.
-	leavingKept = 3 * time.Second
+	leavingListTTL = 3 * time.Second
 )
 
-// knownLeaving identifies the list of leaving servers last received from an allocator.
-type knownLeaving struct {
+// leavingList identifies the list of leaving servers last received from an allocator.
+type leavingList struct {
 	digest uint64
 	at     time.Time // when it was last received in full
 }
 
-// leavingKnown returns the digest of the list that this host has from an
+// leavingDigest returns the digest of the list that this host has from an
 // allocator, or zero if the list has to be sent again.
-func (c *Client) leavingKnown(allocator string) uint64 {
+func (c *Client) leavingDigest(allocator string) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.leaving[allocator]
-	if time.Since(known.at) > leavingKept {
+	if time.Since(known.at) > leavingListTTL {
 		return 0
 	}
 	return known.digest
 }
 
-// toldLeaving records the digest of a list. The list was received in full
+// recordLeavingList records the digest of a list. The list was received in full
 // unless this host already had it.
-func (c *Client) toldLeaving(allocator string, digest, had uint64) {
+func (c *Client) recordLeavingList(allocator string, digest, had uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if digest != had {
-		c.leaving[allocator] = knownLeaving{digest, time.Now()}
+		c.leaving[allocator] = leavingList{digest, time.Now()}
 	}
 }
 
@@ -70,7 +70,7 @@
 func (c *Client) Run(ctx context.Context) error {
 	reported, at := map[Part]bool{}, time.Time{} // parts whose allocator has been sent work
 	changes := rate.NewLimiter(rate.Every(c.interval()), reportBurst)
-	for c.pause(ctx, changes) == nil {
+	for c.waitForReport(ctx, changes) == nil {
 		refresh := time.Since(at) >= refreshInterval
 		if refresh {
 			at = time.Now()
@@ -78,15 +78,15 @@
 		calls, failed := c.fleet.TakeCallEvidence()
 		for service, loads := range c.fleet.OwnGenerations() {
 			evidence := c.fleet.TakeEvidence(service)
-			cut := c.cut(service)
-			home := cut.partOf(c.domain, c.host)
-			for _, part := range cut.parts() {
-				seen, due := held(c.fleet, part, evidence), false
+			partitioning := c.partitioning(service)
+			home := partitioning.partOf(c.domain, c.host)
+			for _, part := range partitioning.parts() {
+				outcomes, due := forPart(c.fleet, part, evidence), false
 				if part == home {
-					seen, due = merged(seen, calls), refresh || failed
+					outcomes, due = merged(outcomes, calls), refresh || failed
 					calls = nil // reported once, to the allocator of whichever service comes first
 				}
-				c.reportPart(ctx, part, held(c.fleet, part, loads), seen, due, reported)
+				c.reportPart(ctx, part, forPart(c.fleet, part, loads), outcomes, due, reported)
 			}
 		}
 	}
@@ -115,26 +115,26 @@
 	}
 }
 
-// held returns the entries of byServer that concern servers of the part.
-func held[V any](table *fleet.Table, part Part, byServer map[string]V) map[string]V {
-	if part == Whole(part.Service) {
+// forPart returns the entries of byServer that concern servers of the part.
+func forPart[V any](table *fleet.Table, part Part, byServer map[string]V) map[string]V {
+	if part == WholeService(part.Service) {
 		return byServer
 	}
 	inPart := map[string]V{}
 	for id, v := range byServer {
-		if server, _ := table.Get(id); part.Holds(server) {
+		if server, _ := table.Get(id); part.Contains(server) {
 			inPart[id] = v
 		}
 	}
 	return inPart
 }
 
-// pause waits until the next report is due: immediately when this host's work
-// has changed, else after the interval.
+// waitForReport waits until the next report is due: immediately when this
+// host's work has changed, else after the interval.
 //
 // If changes were not reported immediately, the allocator would take engines
 // for full that have capacity.
-func (c *Client) pause(ctx context.Context, changes *rate.Limiter) error {
+func (c *Client) waitForReport(ctx context.Context, changes *rate.Limiter) error {
 	if err := sleep.For(ctx, reportGap); err != nil {
 		return err
 	}
@@ -160,8 +160,8 @@
 
 // interval returns the time between two reports of this host.
 func (c *Client) interval() time.Duration {
-	hosts := c.hosts()
-	return reportInterval * time.Duration(max(reportingHosts, hosts)) / reportingHosts
+	hostCount := c.hostCount()
+	return reportInterval * time.Duration(max(reportingHosts, hostCount)) / reportingHosts
 }
 
 // report sends a part's allocator this host's load there and the outcomes of
@@ -172,7 +172,7 @@
 	if allocator == c.host {
 		return true
 	}
-	request := &allocationpb.ReportRequest{Host: c.host, Part: part.message(), LeavingDigest: c.leavingKnown(allocator)}
+	request := &allocationpb.ReportRequest{Host: c.host, Part: part.toProto(), LeavingDigest: c.leavingDigest(allocator)}
 	for _, id := range slices.Sorted(maps.Keys(loads)) {
 		load := loads[id]
 		request.Loads = append(request.Loads, &allocationpb.ServerLoad{
@@ -188,14 +188,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	asked := time.Now()
+	requestedAt := time.Now()
 	var response *allocationpb.ReportResponse
 	err := c.call(ctx, allocator, func(client allocationpb.AllocationClient) (err error) {
 		response, err = client.Report(ctx, request)
 		return err
 	})
 	if revision := response.GetConfigurationRevision(); revision > 0 {
-		c.toldRevision(revision, asked)
+		c.recordRevision(revision, requestedAt)
 		if c.Told != nil {
 			c.Told(allocator, revision)
 		}
@@ -207,10 +207,10 @@
 		c.fleet.Shun(fleet.Life{ID: rest.GetServer(), Born: rest.GetBorn()}, time.Duration(rest.GetLeftMs())*time.Millisecond)
 	}
 	if ms := response.GetUndisturbedMs(); ms > 0 {
-		c.toldDisturbed(time.Duration(ms) * time.Millisecond)
+		c.recordDisturbance(time.Duration(ms) * time.Millisecond)
 	}
 	if err == nil {
-		c.toldLeaving(allocator, response.GetLeavingDigest(), request.GetLeavingDigest())
+		c.recordLeavingList(allocator, response.GetLeavingDigest(), request.GetLeavingDigest())
 	}
 	for _, life := range response.GetLeaving() {
 		c.fleet.MarkLeaving(fleet.Life{ID: life.GetServer(), Born: life.GetBorn()}, fleet.SourcePeer)
--- a/allocation/sentinel.go
+++ b/allocation/sentinel.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	msgAsking    = "store does not answer: servers are asked whether they leave"
-	msgNotAsking = "store answers again: servers are no longer queried"
+	msgQuerying    = "store does not answer: servers are asked whether they leave"
+	msgNotQuerying = "store answers again: servers are no longer queried"
 
 	// checkInterval is the interval at which the allocator checks the store,
 	// and queries servers while the store is down. An engine that is reclaimed
@@ -56,34 +56,34 @@
 func (s *Sentinel) Run(ctx context.Context) error {
 	away := false
 	for sleep.For(ctx, checkInterval) == nil {
-		parts := s.mine()
+		parts := s.ownParts()
 		before := away
 		away = len(parts) > 0 && !s.check(ctx, !away && s.Verified() >= verifyAfter)
 		switch {
 		case away && !before:
-			s.Logger.Warn(msgAsking, zap.Any("parts", parts))
+			s.Logger.Warn(msgQuerying, zap.Any("parts", parts))
 		case before && !away:
-			s.Logger.Info(msgNotAsking)
+			s.Logger.Info(msgNotQuerying)
 		}
 		if away {
-			s.ask(ctx, parts)
+			s.queryServers(ctx, parts)
 		}
 	}
 	return ctx.Err()
 }
 
-// mine returns the parts for which this host decides: those that it allocates,
-// and those whose allocators do not answer it.
-func (s *Sentinel) mine() []Part {
-	var mine []Part
+// ownParts returns the parts for which this host decides: those that it
+// allocates, and those whose allocators do not answer it.
+func (s *Sentinel) ownParts() []Part {
+	var ownParts []Part
 	for _, service := range s.Fleet.EngineServices() {
-		for _, part := range s.Client.cut(service).parts() {
+		for _, part := range s.Client.partitioning(service).parts() {
 			if s.Client.allocator(part) == s.Host {
-				mine = append(mine, part)
+				ownParts = append(ownParts, part)
 			}
 		}
 	}
-	return mine
+	return ownParts
 }
 
 func (s *Sentinel) check(ctx context.Context, verify bool) bool {
@@ -95,37 +95,38 @@
 	return s.Check(ctx) == nil
 }
 
-// asked returns the servers of a part that are queried. The part's allocator
-// queries all of them. A host that decides for itself queries only those on
-// which it has work; otherwise each of many partitioned hosts would query all
-// servers. Servers that requested a backoff from this host are left out.
-func (s *Sentinel) asked(part Part) []fleet.Server {
+// serversToQuery returns the servers of a part that are queried. The part's
+// allocator queries all of them. A host that decides for itself queries only
+// those on which it has work; otherwise each of many partitioned hosts would
+// query all servers. Servers that requested a backoff from this host are left
+// out.
+func (s *Sentinel) serversToQuery(part Part) []fleet.Server {
 	servers := s.Fleet.UsableWithWork(part.Service)
-	if s.Client.chosen(part) == s.Host {
+	if s.Client.preferredAllocator(part) == s.Host {
 		servers = s.Fleet.Usable(part.Service)
 	}
-	return slices.DeleteFunc(servers, func(server fleet.Server) bool { return !part.Holds(server) || s.Fleet.InBackoff(server.ID) })
+	return slices.DeleteFunc(servers, func(server fleet.Server) bool { return !part.Contains(server) || s.Fleet.InBackoff(server.ID) })
 }
 
-// heed queries one server and applies its status. A server that does not answer
-// is ignored: requests to it show whether it is reachable.
-func (s *Sentinel) heed(ctx context.Context, server fleet.Server) {
-	word, err := s.Ask(ctx, server)
+// queryServer queries one server and applies its status. A server that does not
+// answer is ignored: requests to it show whether it is reachable.
+func (s *Sentinel) queryServer(ctx context.Context, server fleet.Server) {
+	status, err := s.Ask(ctx, server)
 	if err != nil {
 		return
 	}
-	s.Fleet.Heed(server.Life(), word)
+	s.Fleet.Heed(server.Life(), status)
 }
 
-// ask queries the servers of the parts concurrently.
-func (s *Sentinel) ask(ctx context.Context, parts []Part) {
+// queryServers queries the servers of the parts concurrently.
+func (s *Sentinel) queryServers(ctx context.Context, parts []Part) {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	var group sync.WaitGroup
 	for _, part := range parts {
-		for _, server := range s.asked(part) {
+		for _, server := range s.serversToQuery(part) {
 			group.Go(func() {
-				s.heed(ctx, server)
+				s.queryServer(ctx, server)
 			})
 		}
 	}
--- a/allocation/server.go
+++ b/allocation/server.go
@@ -31,14 +31,14 @@
 		Need:    placement.Need{PromptTokens: int(r.GetPromptTokens()), OutputTokens: int(r.GetOutputTokens())},
 		Settled: r.GetSettled(),
 	}
-	placed := s.allocator.Place(r.GetHost(), r.GetFailureDomain(), partFrom(r.GetPart()), asked, r.GetExcept())
-	return &allocationpb.PlaceResponse{Server: placed.Server, Elsewhere: placed.Elsewhere.message()}, nil
+	placed := s.allocator.Place(r.GetHost(), r.GetFailureDomain(), partFromProto(r.GetPart()), asked, r.GetExcept())
+	return &allocationpb.PlaceResponse{Server: placed.Server, Elsewhere: placed.Elsewhere.toProto()}, nil
 }
 
 // Offer implements allocationpb.AllocationServer.
 func (s *server) Offer(_ context.Context, r *allocationpb.OfferRequest) (*allocationpb.OfferResponse, error) {
 	for _, o := range r.GetOffers() {
-		s.allocator.market.hear(partFrom(o.GetPart()), costsFrom(o.GetBrief()), costsFrom(o.GetLong()))
+		s.allocator.offerTable.update(partFromProto(o.GetPart()), costsFromProto(o.GetBrief()), costsFromProto(o.GetLong()))
 	}
 	if revision := r.GetConfigurationRevision(); revision > 0 && s.allocator.Relayed != nil {
 		s.allocator.Relayed(r.GetHost(), revision, time.Duration(r.GetVerifiedMs())*time.Millisecond)
@@ -46,7 +46,7 @@
 	return &allocationpb.OfferResponse{}, nil
 }
 
-func costsFrom(list []float32) []float64 {
+func costsFromProto(list []float32) []float64 {
 	costs := make([]float64, 0, len(list))
 	for _, cost := range list {
 		costs = append(costs, float64(cost))
@@ -54,7 +54,7 @@
 	return costs
 }
 
-func costsMessage(costs []float64) []float32 {
+func costsToProto(costs []float64) []float32 {
 	list := make([]float32, 0, len(costs))
 	for _, cost := range costs {
 		list = append(list, float32(cost))
@@ -75,8 +75,8 @@
 	for _, e := range r.GetEvidence() {
 		s.allocator.fleet.Witness(r.GetHost(), e.GetServer(), fleet.Evidence{Failed: int(e.GetFailed()), Answered: int(e.GetAnswered()), Born: e.GetBorn()})
 	}
-	part := partFrom(r.GetPart())
-	s.allocator.fleet.SetOthers(r.GetHost(), part.Service, loads, part.Holds)
+	part := partFromProto(r.GetPart())
+	s.allocator.fleet.SetOthers(r.GetHost(), part.Service, loads, part.Contains)
 	response := &allocationpb.ReportResponse{}
 	leaving := s.allocator.fleet.Leaving(part.Service)
 	response.LeavingDigest = digestOf(leaving)
@@ -113,25 +113,25 @@
 
 // TakeTurn implements allocationpb.AllocationServer.
 func (s *server) TakeTurn(ctx context.Context, r *allocationpb.TakeTurnRequest) (*allocationpb.TakeTurnResponse, error) {
-	to, err := s.allocator.TakeTurn(ctx, r.GetHost(), partFrom(r.GetPart()), migration.Move{
+	to, err := s.allocator.TakeTurn(ctx, r.GetHost(), partFromProto(r.GetPart()), migration.Move{
 		Source: r.GetSource(), Run: r.GetRun(), Size: int(r.GetSize()),
 		Need: placement.Need{PromptTokens: int(r.GetHeldTokens()), OutputTokens: int(r.GetRemainingTokens())},
 	})
-	return &allocationpb.TakeTurnResponse{Destination: to.Server, Elsewhere: to.Elsewhere.message()}, err
+	return &allocationpb.TakeTurnResponse{Destination: to.Server, Elsewhere: to.Elsewhere.toProto()}, err
 }
 
 // EndTurn implements allocationpb.AllocationServer.
 func (s *server) EndTurn(_ context.Context, r *allocationpb.EndTurnRequest) (*allocationpb.EndTurnResponse, error) {
-	s.allocator.EndTurn(partFrom(r.GetPart()), r.GetSource(), r.GetRun())
+	s.allocator.EndTurn(partFromProto(r.GetPart()), r.GetSource(), r.GetRun())
 	return &allocationpb.EndTurnResponse{}, nil
 }
 
-func partFrom(p *allocationpb.Part) Part {
+func partFromProto(p *allocationpb.Part) Part {
 	return Part{Service: p.GetService(), Domain: p.GetFailureDomain(), Index: int(p.GetIndex()), Count: int(p.GetCount())}
 }
 
-// message returns the part as a protobuf message; nil if the part is empty.
-func (p Part) message() *allocationpb.Part {
+// toProto returns the part as a protobuf message; nil if the part is empty.
+func (p Part) toProto() *allocationpb.Part {
 	if p.Service == "" {
 		return nil
 	}
--- a/allocation/view.go
+++ b/allocation/view.go
@@ -22,10 +22,10 @@
 	ranked map[Part][]string
 }
 
-// look returns the current view. No lock is held while calling Members: Members
-// reads the version of the configuration, and applying a configuration calls
-// this client.
-func (c *Client) look() *view {
+// currentView returns the current view. No lock is held while calling Members:
+// Members reads the version of the configuration, and applying a configuration
+// calls this client.
+func (c *Client) currentView() *view {
 	generation := c.peers.Generation()
 	if known := c.view.Load(); known != nil && known.generation == generation {
 		return known
@@ -49,9 +49,9 @@
 	return hosts
 }
 
-// chosen returns the preferred allocator of a part, or "" if there is none.
-func (c *Client) chosen(part Part) string {
-	if hosts := c.look().allocators(part); len(hosts) > 0 {
+// preferredAllocator returns the preferred allocator of a part, or "" if there is none.
+func (c *Client) preferredAllocator(part Part) string {
+	if hosts := c.currentView().allocators(part); len(hosts) > 0 {
 		return hosts[0]
 	}
 	return ""
@@ -59,15 +59,15 @@
 
 // decidesFor reports whether other hosts may consider this one to be the allocator of a part.
 func (c *Client) decidesFor(part Part) bool {
-	return slices.Contains(c.look().allocators(part), c.host)
+	return slices.Contains(c.currentView().allocators(part), c.host)
 }
 
-// hosts returns the number of known entry hosts.
-func (c *Client) hosts() int {
-	return len(c.look().members)
+// hostCount returns the number of known entry hosts.
+func (c *Client) hostCount() int {
+	return len(c.currentView().members)
 }
 
-// cut returns the current division of a service into parts.
-func (c *Client) cut(service string) cut {
-	return cutOf(service, c.fleet.Domains(service), c.look().members)
+// partitioning returns the current division of a service into parts.
+func (c *Client) partitioning(service string) partitioning {
+	return partition(service, c.fleet.Domains(service), c.currentView().members)
 }
