--- a/allocation/allocator.go
+++ b/allocation/allocator.go
@@ -1,17 +1,17 @@
-// Package allocation places generations, and the moves of generations, with
-// one entry host as the allocator of each service.
+// Package allocation places generations, and the moves of generations, through
+// one entry host that acts as the allocator of each service.
 //
-// Failure it answers: every host sees only its own part of what runs on an
-// engine, and engines' reports are half a second old. Hosts that choose by
-// themselves send several prompts to the engine that looks emptiest to all of
-// them, and their copies off a leaving engine queue behind each other. The
-// allocator knows what all hosts run, at most a report old, and what it has
-// placed since.
+// Each host knows only its own share of the load on an engine, and engines'
+// load reports are half a second old. Hosts that choose independently send
+// several prompts to the engine that looks emptiest to all of them, and the
+// copies that they move off a leaving engine queue behind each other. The
+// allocator knows the load of all hosts, at most one report interval old, and
+// the placements that it has made since.
 //
-// The allocator is chosen by rendezvous among the hosts held for live. It is a
-// matter of quality only: with two of them, or none, each request is still
-// sent once, by the host that has it. A host whose allocator does not answer
-// places by itself.
+// The allocator is chosen by rendezvous hashing among the live hosts. It
+// affects only the quality of placement: with two allocators, or none, each
+// request is still sent exactly once, by the host that received it. A host
+// whose allocator does not answer places by itself.
 package allocation
 
 import (
@@ -29,184 +29,183 @@
 
 const (
 	msgGranted = "turn to move granted"
-	// MsgPlaced and MsgNoPlace are the log messages by which a day's losses are
-	// told apart.
+	// MsgPlaced and MsgNoPlace are the log messages that distinguish the causes
+	// of lost generations.
 	MsgPlaced  = "generation placed"
 	MsgNoPlace = "no server has a place"
 	msgOnward  = "generation goes to another part of the service"
 )
 
-// Allocator decides for the parts of services whose allocator this host is. It may be
-// used from any goroutine.
+// Allocator places work for the parts of services whose allocator this host is.
+// It is safe for concurrent use.
 type Allocator struct {
 	fleet  *fleet.Table
 	limits placement.Limits
 	draw   func(n int) int
 	logger *zap.Logger
-	// Undisturbed returns how long ago the store last failed to answer this
-	// host; it is told to hosts that do not watch the store. Nil: not told.
+	// Undisturbed returns the time since the store last failed to answer this
+	// host. It is sent to hosts that do not watch the store. Nil: not sent.
 	Undisturbed func() time.Duration
-	// Revision returns the revision of the newest configuration, if this host
-	// surely has it; else zero. It is told to other hosts. Nil: not told.
+	// Revision returns the revision of the newest configuration if this host is
+	// certain to have it, else zero. It is sent to other hosts. Nil: not sent.
 	Revision func() uint64
-	// Verified returns how long ago the store was asked for what Revision
-	// returns. Nil: not told to other allocators.
+	// Verified returns the time since the store was queried for the value that
+	// Revision returns. Nil: not sent to other allocators.
 	Verified func() time.Duration
-	// Relayed takes in another allocator's Revision, and how long ago the
-	// store was asked for it; nil: it is not used. It must not block.
+	// Relayed is called with the Revision of another allocator and the time
+	// since that allocator queried the store for it. Nil: not used. It must not
+	// block.
 	Relayed func(allocator string, revision uint64, age time.Duration)
-	// Evacuated returns the newest revision of an evacuation that this host
-	// knows; it is told to other hosts. Nil: not told.
+	// Evacuated returns the newest revision of an evacuation known to this
+	// host. It is sent to other hosts. Nil: not sent.
 	Evacuated func() uint64
-	// ColdShare returns the part of what a cold server of a part bears that this
-	// host may give it; nil: all.
+	// ColdShare returns the share of the request rate of cold servers in a part
+	// that this host may use. Nil: all of it.
 	ColdShare func(part Part) float64
 
 	mu     sync.Mutex // guards queues
-	queues map[Part]*moves
+	queues map[Part]*moveQueue
 
-	refusals *refusals
-	market   *market
+	refusals   *refusals
+	offerTable *offerTable
 }
 
-// Asked is a generation for which a place is asked.
+// Asked is a generation that needs a server.
 type Asked struct {
-	Request string // id, for the log
-	// Fingerprint is the same for a request that comes back with another id;
-	// zero: not known.
+	Request string // request ID, for the log
+	// Fingerprint is the same if a request is retried with another ID; zero: unknown.
 	Fingerprint uint64
 	Need        placement.Need
-	// Settled says that another part sent the request here: it is sent no
-	// further.
+	// Settled is set if another part forwarded the request. It is not forwarded again.
 	Settled bool
 }
 
-// Placed is where a generation goes: to a server, to another part that is to
-// be asked, or nowhere.
-type Placed struct {
+// Placement is the result of a placement: a server, another part to be asked instead, or neither.
+type Placement struct {
 	Server    string
-	Elsewhere Part // its service is empty: none
+	Elsewhere Part // none if its service is empty
 }
 
-// moves are those of one part of a service.
-type moves struct {
+// moveQueue is the migration queue of one part of a service.
+type moveQueue struct {
 	queue *migration.Queue
-	wake  chan struct{} // holds a token when the queue is to be looked at
+	wake  chan struct{} // receives a token when the queue has to be stepped
 }
 
-// NewAllocator returns an allocator that places by the table; draw breaks ties.
+// NewAllocator returns an allocator that places work on the servers in table; draw breaks ties.
 func NewAllocator(table *fleet.Table, limits placement.Limits, draw func(n int) int, logger *zap.Logger) *Allocator {
-	return &Allocator{fleet: table, limits: limits, draw: draw, logger: logger, queues: map[Part]*moves{}, refusals: newRefusals(), market: newMarket()}
+	return &Allocator{fleet: table, limits: limits, draw: draw, logger: logger, queues: map[Part]*moveQueue{}, refusals: newRefusals(), offerTable: newOfferTable()}
 }
 
-// Place chooses a server for a host's generation and books it, until the host
-// reports it itself. Where another part is better by more than the way there
-// costs, it is named instead.
-func (a *Allocator) Place(host, domain string, part Part, asked Asked, except []string) Placed {
+// Place chooses a server for a host's generation and reserves it there until
+// the host's own report includes it. If another part is cheaper by more than
+// the cost of crossing failure domains, that part is returned instead.
+func (a *Allocator) Place(host, domain string, part Part, asked Asked, except []string) Placement {
 	need, request := asked.Need, asked.Request
 	need.Returning = a.refusals.returning(asked.Fingerprint, request)
 	candidates := a.candidates(part, domain, except...)
 	i := placement.Pick(need, candidates, a.limits, a.draw)
-	if elsewhere, found := a.elsewhere(part, asked, candidates, i >= 0); found {
-		a.logger.Info(msgOnward, zap.String("request", request), zap.String("for", host), zap.String("domain", elsewhere.Domain),
+	if betterPart, found := a.betterPart(part, asked, candidates, i >= 0); found {
+		a.logger.Info(msgOnward, zap.String("request", request), zap.String("for", host), zap.String("domain", betterPart.Domain),
 			zap.Bool("place_here", i >= 0), zap.Int("candidates", len(candidates)))
-		return Placed{Elsewhere: elsewhere}
+		return Placement{Elsewhere: betterPart}
 	}
 	if i < 0 {
-		a.refusals.note(asked.Fingerprint, request)
-		lacking := placement.ShortageOf(need, candidates, a.limits)
+		a.refusals.record(asked.Fingerprint, request)
+		shortage := placement.ShortageOf(need, candidates, a.limits)
 		a.logger.Info(MsgNoPlace, zap.String("request", request), zap.String("for", host), zap.Int("candidates", len(candidates)),
 			zap.Int("prompt_tokens", need.PromptTokens), zap.Int("output_tokens", need.OutputTokens), zap.Bool("returning", need.Returning),
-			zap.Int("lack_reading", lacking.Reading), zap.Int("lack_slots", lacking.Slots), zap.Int("lack_memory", lacking.Memory),
-			zap.Int("lack_warmth", lacking.Warmth))
-		return Placed{}
+			zap.Int("lack_reading", shortage.Reading), zap.Int("lack_slots", shortage.Slots), zap.Int("lack_memory", shortage.Memory),
+			zap.Int("lack_warmth", shortage.Warmth))
+		return Placement{}
 	}
 	chosen := &candidates[i]
 	a.logger.Info(MsgPlaced, zap.String("request", request), zap.String("for", host), zap.String("to", chosen.ID),
 		zap.Int("running", chosen.Running), zap.Int("held_tokens", chosen.HeldTokens), zap.Int("unread_tokens", chosen.UnreadTokens),
 		zap.Bool("returning", need.Returning), zap.Int("candidates", len(candidates)))
-	a.fleet.BookFor(host, candidates[i].ID, fleet.LoadOf(need, 0, false))
-	return Placed{Server: candidates[i].ID}
+	a.fleet.ReserveFor(host, candidates[i].ID, fleet.LoadOf(need, 0, false))
+	return Placement{Server: candidates[i].ID}
 }
 
-// elsewhere returns the part that is to be asked instead, if there is one.
-// Costs are compared for a typical generation, as other parts offer for one.
-func (a *Allocator) elsewhere(part Part, asked Asked, candidates []placement.Candidate, placeHere bool) (Part, bool) {
+// betterPart returns the part to be asked instead, if any. Costs are compared
+// for a typical generation, because other parts make their offers for one.
+func (a *Allocator) betterPart(part Part, asked Asked, candidates []placement.Candidate, placeHere bool) (Part, bool) {
 	if part.Domain == "" || asked.Settled {
 		return Part{}, false
 	}
-	a.market.observe(asked.Need)
+	a.offerTable.observe(asked.Need)
 	brief := asked.Need.Brief()
 	limit := math.Inf(1)
 	if placeHere {
-		typical := a.market.typical(brief)
+		typical := a.offerTable.typical(brief)
 		if own := placement.Costs(typical, candidates, a.limits, 1); len(own) > 0 {
 			limit = own[0] - placement.OtherDomainCost(typical)
 		}
 	}
-	return a.market.below(part, brief, limit)
+	return a.offerTable.takeCheapest(part, brief, limit)
 }
 
-// offers returns what a part offers to generations of others.
+// offers returns the costs at which a part offers places to generations of other parts.
 func (a *Allocator) offers(part Part) (brief, long []float64) {
 	candidates := a.candidates(part, part.Domain)
-	return placement.Costs(a.market.typical(true), candidates, a.limits, offersKept),
-		placement.Costs(a.market.typical(false), candidates, a.limits, offersKept)
+	return placement.Costs(a.offerTable.typical(true), candidates, a.limits, offersPerPart),
+		placement.Costs(a.offerTable.typical(false), candidates, a.limits, offersPerPart)
 }
 
 // candidates returns the servers of a part that may get work.
 func (a *Allocator) candidates(part Part, domain string, except ...string) []placement.Candidate {
-	share := 0.0 // all of it
+	share := 0.0 // unlimited
 	if a.ColdShare != nil {
 		share = a.ColdShare(part)
 	}
 	return a.fleet.CandidatesFor(fleet.Query{
-		Service: part.Service, Domain: domain, Among: part.Holds, Except: except, ForOthers: true, ColdShare: share,
+		Service: part.Service, Domain: domain, Among: part.Contains, Except: except, ForOthers: true, ColdShare: share,
 	})
 }
 
-// TakeTurn waits until a host's run may move. The turn has to be ended.
-// Where the part has no server left another one is named.
-func (a *Allocator) TakeTurn(ctx context.Context, host string, part Part, move migration.Move) (to Placed, err error) {
-	m := a.moves(part)
+// TakeTurn waits until a host's run may move. If it succeeds, the turn has to
+// be ended with EndTurn. If the part has no server left, another part is
+// returned.
+func (a *Allocator) TakeTurn(ctx context.Context, host string, part Part, move migration.Move) (to Placement, err error) {
+	m := a.moveQueue(part)
 	entered := time.Now()
 	granted, cancel := m.queue.Enter(move)
-	m.look()
+	m.signal()
 	select {
 	case grant := <-granted:
 		a.logger.Info(msgGranted, zap.String("request", move.Run), zap.String("for", host), zap.String("from", move.Source),
 			zap.String("to", grant.Destination), zap.Duration("waited", time.Since(entered)), zap.Int("tokens", move.Need.PromptTokens))
 		if grant.Destination != "" {
-			a.fleet.BookFor(host, grant.Destination, fleet.LoadOf(move.Need, 0, true))
-			return Placed{Server: grant.Destination}, nil
+			a.fleet.ReserveFor(host, grant.Destination, fleet.LoadOf(move.Need, 0, true))
+			return Placement{Server: grant.Destination}, nil
 		}
-		elsewhere, _ := a.market.below(part, false, math.Inf(1))
-		return Placed{Elsewhere: elsewhere}, nil
+		elsewhere, _ := a.offerTable.takeCheapest(part, false, math.Inf(1))
+		return Placement{Elsewhere: elsewhere}, nil
 	case <-ctx.Done():
 	}
 	cancel()
 	select {
-	case <-granted: // between the end of ctx and cancel
+	case <-granted: // granted between the end of ctx and cancel
 		a.EndTurn(part, move.Source, move.Run)
 	default:
 	}
-	return Placed{}, ctx.Err()
+	return Placement{}, ctx.Err()
 }
 
 // EndTurn ends a run's turn.
 func (a *Allocator) EndTurn(part Part, source, run string) {
-	m := a.moves(part)
+	m := a.moveQueue(part)
 	m.queue.End(source, run)
-	m.look()
+	m.signal()
 }
 
-// moves returns the moves of a part, and begins to serve them.
-func (a *Allocator) moves(part Part) *moves {
+// moveQueue returns the migration queue of a part, and starts it on first use.
+func (a *Allocator) moveQueue(part Part) *moveQueue {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	m := a.queues[part]
 	if m == nil {
-		m = &moves{wake: make(chan struct{}, 1)}
+		m = &moveQueue{wake: make(chan struct{}, 1)}
 		m.queue = migration.NewQueue(func(source string) []placement.Candidate {
 			server, _ := a.fleet.Get(source)
 			return a.candidates(part, server.Domain)
@@ -217,15 +216,15 @@
 	return m
 }
 
-func (m *moves) look() {
+func (m *moveQueue) signal() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run steps the queue for as long as the process lives; parts are few.
-func (m *moves) run() {
+// run steps the queue until the process ends. There are few parts, so queues are never stopped.
+func (m *moveQueue) run() {
 	for range m.wake {
 		for next := m.queue.Step(); next > 0; next = m.queue.Step() {
 			select {
--- a/allocation/client.go
+++ b/allocation/client.go
@@ -21,24 +21,23 @@
 	msgLost     = "allocator does not answer"
 	msgRegained = "allocator answers again"
 
-	// placeTimeout bounds the question for a place; it takes 3 ms between
-	// failure domains.
+	// placeTimeout bounds a placement call, which takes 3 ms between failure domains.
 	placeTimeout = 80 * time.Millisecond
-	// avoidFor is how long an allocator that did not answer is not asked; twice
-	// as long each time it does not answer then, up to avoidMost.
-	avoidFor  = time.Second
-	avoidMost = 8 * time.Second
+	// minBackoff is how long an allocator that did not answer is not called. It
+	// doubles with each further failure, up to maxBackoff.
+	minBackoff = time.Second
+	maxBackoff = 8 * time.Second
 )
 
-// Peers reaches other entry hosts; *peer.Node is one.
+// Peers calls other entry hosts. *peer.Node implements it.
 type Peers interface {
 	Members() []peer.Member
-	// Generation rises with every change of Members but its versions.
+	// Generation increases on every change of Members other than a change of versions.
 	Generation() uint64
 	Call(host string, f func(grpc.ClientConnInterface) error) error
 }
 
-// Client asks the allocators, and decides by itself where they do not answer.
+// Client calls the allocators, and places by itself if they do not answer.
 type Client struct {
 	host   string
 	domain string
@@ -46,48 +45,49 @@
 	local  *Allocator
 	fleet  *fleet.Table
 	logger *zap.Logger
-	// Told is called with each word of an allocator on the newest
-	// configuration; nil: with none. It must not block.
+	// Told is called with each revision of the newest configuration received
+	// from an allocator. Nil: not called. It must not block.
 	Told func(allocator string, revision uint64)
-	// ToldEvacuated is called with each word of an allocator on the newest
-	// evacuation of a failure domain; nil: with none. It must not block.
+	// ToldEvacuated is called with each revision of the newest evacuation of a
+	// failure domain received from an allocator. Nil: not called. It must not
+	// block.
 	ToldEvacuated func(allocator string, revision uint64)
 
 	view atomic.Pointer[view]
 
-	mu        sync.Mutex              // guards all below
-	avoided   map[string]rest         // by host: those that did not answer
-	leaving   map[string]knownLeaving // by allocator
-	disturbed time.Time               // when the store last failed to answer an allocator, as told
-	revision  uint64                  // of the newest configuration, as told
-	revisedAt time.Time               // when it was asked for
+	mu                  sync.Mutex             // guards all fields below
+	avoided             map[string]backoff     // hosts that did not answer
+	leaving             map[string]leavingList // by allocator
+	disturbed           time.Time              // when the store last failed to answer an allocator, as reported
+	revision            uint64                 // newest configuration, as reported
+	revisionRequestedAt time.Time              // when revision was requested
 }
 
-// Newest returns the revision of the newest configuration, as an allocator
-// said, and how long ago it was asked.
+// Newest returns the newest configuration revision received from an allocator,
+// and the time since it was requested.
 func (c *Client) Newest() (revision uint64, age time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.revision, time.Since(c.revisedAt)
+	return c.revision, time.Since(c.revisionRequestedAt)
 }
 
-func (c *Client) toldRevision(revision uint64, asked time.Time) {
+func (c *Client) recordRevision(revision uint64, asked time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if revision >= c.revision {
-		c.revision, c.revisedAt = revision, asked
+		c.revision, c.revisionRequestedAt = revision, asked
 	}
 }
 
-// Undisturbed returns how long ago the store last failed to answer an
-// allocator, as far as this host was told.
+// Undisturbed returns the time since the store last failed to answer an
+// allocator, as reported to this host.
 func (c *Client) Undisturbed() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Since(c.disturbed)
 }
 
-func (c *Client) toldDisturbed(ago time.Duration) {
+func (c *Client) recordDisturbance(ago time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if at := time.Now().Add(-ago); at.After(c.disturbed) {
@@ -95,35 +95,34 @@
 	}
 }
 
-// NewClient returns the client of a host, with its own allocator.
+// NewClient returns the client of a host; local is the host's own allocator.
 func NewClient(host, domain string, peers Peers, local *Allocator, table *fleet.Table, logger *zap.Logger) *Client {
-	c := &Client{host: host, domain: domain, peers: peers, local: local, fleet: table, logger: logger, avoided: map[string]rest{}, leaving: map[string]knownLeaving{}}
+	c := &Client{host: host, domain: domain, peers: peers, local: local, fleet: table, logger: logger, avoided: map[string]backoff{}, leaving: map[string]leavingList{}}
 	if local != nil {
 		local.ColdShare = c.coldShare
 	}
 	return c
 }
 
-// allocatorsColdShare is what the allocator of a part may give cold servers of
-// the requests that they bear; the hosts that decide by themselves share the
-// rest. What servers bear above the stated rate is left for the moments in
-// which two hosts take themselves for the allocator.
+// allocatorsColdShare is the share of cold servers' request rate that the
+// allocator of a part may use. Hosts that place by themselves divide the rest.
+// The rate that servers can handle beyond the configured one covers periods in
+// which two hosts consider themselves the allocator.
 const allocatorsColdShare = 0.5
 
-// coldShare returns the part of what a cold server bears that this host may
-// give it.
+// coldShare returns the share of cold servers' request rate in a part that this host may use.
 func (c *Client) coldShare(part Part) float64 {
-	if c.chosen(part) == c.host {
+	if c.preferredAllocator(part) == c.host {
 		return allocatorsColdShare
 	}
-	return (1 - allocatorsColdShare) / float64(max(1, c.hosts()))
+	return (1 - allocatorsColdShare) / float64(max(1, c.hostCount()))
 }
 
-// Place chooses a server for a generation, or returns "" if none has a place.
-// Where this host's part of the service is full, or another one far emptier,
-// that one is asked.
+// Place chooses a server for a generation. It returns "" if none has capacity.
+// If this host's part of the service is full, or another part is much emptier,
+// that other part is asked.
 func (c *Client) Place(ctx context.Context, service string, asked Asked, except []string) string {
-	placed := c.placeIn(ctx, c.cut(service).partOf(c.domain, c.host), asked, except)
+	placed := c.placeIn(ctx, c.partitioning(service).partOf(c.domain, c.host), asked, except)
 	if placed.Elsewhere.Service == "" {
 		return placed.Server
 	}
@@ -131,9 +130,10 @@
 	return c.placeIn(ctx, placed.Elsewhere, asked, except).Server
 }
 
-func (c *Client) placeIn(ctx context.Context, part Part, asked Asked, except []string) Placed {
+func (c *Client) placeIn(ctx context.Context, part Part, asked Asked, except []string) Placement {
 	allocator := c.allocator(part)
-	// Other hosts may reach servers that this one does not, and be welcome there.
+	// Servers that this host cannot reach, or that requested a backoff from it,
+	// may accept other hosts.
 	except = append(c.fleet.Avoided(part.Service), except...)
 	if allocator == c.host {
 		return c.placeHere(part, asked, except)
@@ -143,7 +143,7 @@
 	var response *allocationpb.PlaceResponse
 	err := c.call(ctx, allocator, func(client allocationpb.AllocationClient) (err error) {
 		response, err = client.Place(ctx, &allocationpb.PlaceRequest{
-			Host: c.host, FailureDomain: c.domain, Part: part.message(), Request: asked.Request, Fingerprint: asked.Fingerprint, Except: except,
+			Host: c.host, FailureDomain: c.domain, Part: part.toProto(), Request: asked.Request, Fingerprint: asked.Fingerprint, Except: except,
 			PromptTokens: uint32(asked.Need.PromptTokens), OutputTokens: uint32(asked.Need.OutputTokens), Settled: asked.Settled,
 		})
 		return err
@@ -151,23 +151,24 @@
 	if err != nil {
 		return c.placeHere(part, asked, except)
 	}
-	return Placed{Server: response.GetServer(), Elsewhere: partFrom(response.GetElsewhere())}
+	return Placement{Server: response.GetServer(), Elsewhere: partFromProto(response.GetElsewhere())}
 }
 
-// placeHere places by this host's own view: of the part if others may take it
-// for its allocator, else of all servers, as there is nobody to ask for a part.
-func (c *Client) placeHere(part Part, asked Asked, except []string) Placed {
+// placeHere places with this host's own table: on the part if other hosts may
+// consider this one its allocator, else on all servers, as no allocator
+// answers.
+func (c *Client) placeHere(part Part, asked Asked, except []string) Placement {
 	if !c.decidesFor(part) {
-		part = Whole(part.Service)
+		part = WholeService(part.Service)
 	}
 	return c.local.Place(c.host, c.domain, part, asked, except)
 }
 
-// TakeTurn waits until a run may move off a leaving server, and returns where
-// to ("": nowhere) and what ends the turn.
+// TakeTurn waits until a run may move off a leaving server. It returns the
+// destination ("" if there is none) and a function that ends the turn.
 func (c *Client) TakeTurn(ctx context.Context, service string, move migration.Move) (destination string, end func(), err error) {
 	source, _ := c.fleet.Get(move.Source)
-	to, end, err := c.takeTurnIn(ctx, c.cut(service).partOf(source.Domain, move.Source), move)
+	to, end, err := c.takeTurnIn(ctx, c.partitioning(service).partOf(source.Domain, move.Source), move)
 	if err != nil || to.Elsewhere.Service == "" {
 		return to.Server, end, err
 	}
@@ -176,7 +177,7 @@
 	return to.Server, end, err
 }
 
-func (c *Client) takeTurnIn(ctx context.Context, part Part, move migration.Move) (to Placed, end func(), err error) {
+func (c *Client) takeTurnIn(ctx context.Context, part Part, move migration.Move) (to Placement, end func(), err error) {
 	allocator := c.allocator(part)
 	if allocator != c.host {
 		to, err = c.takeTurnAt(ctx, allocator, part, move)
@@ -184,43 +185,43 @@
 			return to, func() { c.endTurnAt(allocator, part, move) }, nil
 		}
 		if ctx.Err() != nil {
-			return Placed{}, nil, ctx.Err()
+			return Placement{}, nil, ctx.Err()
 		}
 	}
 	to, err = c.local.TakeTurn(ctx, c.host, part, move)
 	return to, func() { c.local.EndTurn(part, move.Source, move.Run) }, err
 }
 
-func (c *Client) takeTurnAt(ctx context.Context, allocator string, part Part, move migration.Move) (Placed, error) {
+func (c *Client) takeTurnAt(ctx context.Context, allocator string, part Part, move migration.Move) (Placement, error) {
 	var response *allocationpb.TakeTurnResponse
 	err := c.callWaiting(ctx, allocator, func(client allocationpb.AllocationClient) (err error) {
 		response, err = client.TakeTurn(ctx, &allocationpb.TakeTurnRequest{
-			Host: c.host, Part: part.message(), Source: move.Source, Run: move.Run,
+			Host: c.host, Part: part.toProto(), Source: move.Source, Run: move.Run,
 			HeldTokens: uint32(move.Need.PromptTokens), RemainingTokens: uint32(move.Need.OutputTokens), Size: uint32(move.Size),
 		})
 		return err
 	})
-	return Placed{Server: response.GetDestination(), Elsewhere: partFrom(response.GetElsewhere())}, err
+	return Placement{Server: response.GetDestination(), Elsewhere: partFromProto(response.GetElsewhere())}, err
 }
 
 func (c *Client) endTurnAt(allocator string, part Part, move migration.Move) {
 	ctx, cancel := context.WithTimeout(context.Background(), placeTimeout)
 	defer cancel()
-	// Where this is lost the turn ends by itself, some hundred ms later.
+	// If this call is lost, the turn expires some hundred ms later.
 	_ = c.call(ctx, allocator, func(client allocationpb.AllocationClient) error {
-		_, err := client.EndTurn(ctx, &allocationpb.EndTurnRequest{Host: c.host, Part: part.message(), Source: move.Source, Run: move.Run})
+		_, err := client.EndTurn(ctx, &allocationpb.EndTurnRequest{Host: c.host, Part: part.toProto(), Source: move.Source, Run: move.Run})
 		return err
 	})
 }
 
-// allocator returns who is asked for a part: the first of its allocators that
-// answered when it was asked last, or this host itself if none did.
+// allocator returns the host to ask for a part: the first of its allocators
+// that is not in backoff, or this host if all are.
 //
-// Failure: an allocator's host is too slow to answer in time, yet held for
-// live. Hosts that place by themselves do so blindly; with the next allocator
-// all of them go on sharing one view.
+// An allocator may be too slow to answer in time and still be considered live.
+// Hosts that then place by themselves do not see each other's placements.
+// Falling back to the next allocator keeps a shared view.
 func (c *Client) allocator(part Part) string {
-	hosts := c.look().allocators(part)
+	hosts := c.currentView().allocators(part)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, host := range hosts {
@@ -231,54 +232,53 @@
 	return c.host
 }
 
-// call calls an allocator, which is to answer before ctx ends, and notes
-// whether it did.
+// call calls an allocator that has to answer before ctx ends, and records whether it did.
 func (c *Client) call(ctx context.Context, host string, f func(allocationpb.AllocationClient) error) error {
 	err := c.peers.Call(host, func(conn grpc.ClientConnInterface) error { return f(allocationpb.NewAllocationClient(conn)) })
-	c.note(host, err, err != nil && context.Cause(ctx) != context.Canceled)
+	c.recordCall(host, err, err != nil && context.Cause(ctx) != context.Canceled)
 	return err
 }
 
 // callWaiting calls an allocator whose answer may take longer than this host
-// waits: the end of ctx says nothing of it, nor does its word that the time is
-// over, which may come before ctx ends here.
+// waits. Neither the end of ctx nor a deadline error from the allocator, which
+// may arrive before ctx ends here, counts as a failure to answer.
 func (c *Client) callWaiting(ctx context.Context, host string, f func(allocationpb.AllocationClient) error) error {
 	err := c.peers.Call(host, func(conn grpc.ClientConnInterface) error { return f(allocationpb.NewAllocationClient(conn)) })
-	timeOver := status.Code(err) == codes.DeadlineExceeded
-	c.note(host, err, err != nil && ctx.Err() == nil && !timeOver)
+	deadlineExceeded := status.Code(err) == codes.DeadlineExceeded
+	c.recordCall(host, err, err != nil && ctx.Err() == nil && !deadlineExceeded)
 	return err
 }
 
-// note takes in how a call to an allocator ended.
-func (c *Client) note(host string, err error, silent bool) {
+// recordCall records the result of a call to an allocator. unanswered means
+// that the allocator did not answer.
+func (c *Client) recordCall(host string, err error, unanswered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	rest, avoided := c.avoided[host]
+	backoff, avoided := c.avoided[host]
 	switch {
-	case silent:
-		c.avoided[host] = rest.longer(time.Now())
+	case unanswered:
+		c.avoided[host] = backoff.next(time.Now())
 		if !avoided {
 			c.logger.Warn(msgLost, zap.String("allocator", host), zap.Error(err))
 		}
-	case err == nil && avoided && !time.Now().Before(rest.until):
+	case err == nil && avoided && !time.Now().Before(backoff.until):
 		delete(c.avoided, host)
 		c.logger.Info(msgRegained, zap.String("allocator", host))
 	}
 }
 
-// rest is how long an allocator that did not answer is not asked.
-type rest struct {
+// backoff is the backoff after an allocator did not answer.
+type backoff struct {
 	until  time.Time
 	lasted time.Duration
 }
 
-// longer returns the rest after one more call without an answer: twice as long
-// as the last one, if that is over.
-func (r rest) longer(now time.Time) rest {
+// next returns the backoff after one more unanswered call: twice the last one, if that has ended.
+func (r backoff) next(now time.Time) backoff {
 	if now.Before(r.until) {
-		return r // calls that were under way together count once
+		return r // concurrent calls count once
 	}
-	r.lasted = min(max(avoidFor, 2*r.lasted), avoidMost)
+	r.lasted = min(max(minBackoff, 2*r.lasted), maxBackoff)
 	r.until = now.Add(r.lasted)
 	return r
 }
--- a/allocation/replay_test.go
+++ b/allocation/replay_test.go
@@ -16,9 +16,9 @@
 	"github.com/papayasail/papayasail/placement"
 )
 
-// The load that is replayed: 120 engines in five failure domains, 94 long and
-// 66 brief generations a second, as callers of each domain ask for them. Time
-// goes in steps of 50 ms; hosts report four times a second.
+// Replayed load: 120 engines in five failure domains, 94 long and 66 brief generations per second,
+// divided among the callers of the domains. Time advances in steps of 50 ms; hosts report four
+// times per second.
 const (
 	replayDomains     = 5
 	replayPerDomain   = 24
@@ -30,14 +30,14 @@
 	replayReadPerMs   = 7.0
 	replayTokenMs     = 9.0
 	replayFirstGoalMs = 1500.0
-	replayTries       = 4 // steps that a generation waits for a place
+	replayTries       = 4 // steps for which a generation waits for a place
 )
 
 // replayedRun is one generation on an engine.
 type replayedRun struct {
 	host   string
 	need   placement.Need
-	first  time.Time // its first token
+	first  time.Time // time of its first token
 	ends   time.Time
 	engine string
 }
@@ -51,26 +51,26 @@
 	return fleet.LoadOf(r.need, made, read)
 }
 
-// replayedFleet is five allocators, each with the table of its own host, and
-// what really runs.
+// replayedFleet consists of five allocators, each with the table of its own
+// host, and of the generations that actually run.
 type replayedFleet struct {
 	random     *rand.Rand
 	allocators map[string]*Allocator // by domain
 	parts      map[string]Part
 	waiting    []*waitingRun
 	runs       []*replayedRun
-	free       map[string]time.Time // until when an engine reads
+	busyUntil  map[string]time.Time // time until which an engine reads prompts
 	result     replayedResult
 }
 
-// replayedResult counts generations; home are long ones in their own domain.
+// replayedResult counts generations; home counts the long ones placed in their own domain.
 type replayedResult struct{ placed, long, home, refused, late int }
 
 func domainName(i int) string { return fmt.Sprintf("d%d", i) }
 
 func newReplayedFleet(seed uint64) *replayedFleet {
 	f := &replayedFleet{
-		random: rand.New(rand.NewPCG(seed, 1)), allocators: map[string]*Allocator{}, parts: map[string]Part{}, free: map[string]time.Time{},
+		random: rand.New(rand.NewPCG(seed, 1)), allocators: map[string]*Allocator{}, parts: map[string]Part{}, busyUntil: map[string]time.Time{},
 	}
 	for d := range replayDomains {
 		table := fleet.NewTable("allocator", zap.NewNop())
@@ -85,14 +85,14 @@
 	return f
 }
 
-// waitingRun is a generation without a place.
+// waitingRun is a generation that has no place yet.
 type waitingRun struct {
 	domain string
 	need   placement.Need
 	tries  int
 }
 
-// ask places a generation as a host does, and reports whether it has a place.
+// ask places a generation as a host does, and reports whether it found a place.
 func (f *replayedFleet) ask(domain string, need placement.Need) bool {
 	host := "host-" + domain
 	asked := Asked{Request: "r", Need: need}
@@ -116,8 +116,8 @@
 	return true
 }
 
-// askAll lets those that wait ask once more.
-func (f *replayedFleet) askAll() {
+// retryWaiting retries all waiting generations once.
+func (f *replayedFleet) retryWaiting() {
 	f.waiting = slices.DeleteFunc(f.waiting, func(w *waitingRun) bool {
 		if f.ask(w.domain, w.need) {
 			return true
@@ -130,7 +130,7 @@
 	})
 }
 
-// poisson draws how many come where so many are expected.
+// poisson draws a Poisson-distributed count with the given mean.
 func (f *replayedFleet) poisson(expected float64) int {
 	count, product := 0, f.random.Float64()
 	for limit := math.Exp(-expected); product > limit; count++ {
@@ -139,14 +139,14 @@
 	return count
 }
 
-// begin lets an engine read the prompt behind those that it has.
+// begin adds a generation to an engine, which reads its prompt after those that it already has.
 func (f *replayedFleet) begin(host, engine string, need placement.Need) {
 	now := time.Now()
-	if f.free[engine].Before(now) {
-		f.free[engine] = now
+	if f.busyUntil[engine].Before(now) {
+		f.busyUntil[engine] = now
 	}
-	f.free[engine] = f.free[engine].Add(time.Duration(float64(need.PromptTokens)/replayReadPerMs) * time.Millisecond)
-	first := f.free[engine]
+	f.busyUntil[engine] = f.busyUntil[engine].Add(time.Duration(float64(need.PromptTokens)/replayReadPerMs) * time.Millisecond)
+	first := f.busyUntil[engine]
 	if float64(first.Sub(now).Milliseconds()) > replayFirstGoalMs {
 		f.result.late++
 	}
@@ -154,7 +154,7 @@
 	f.runs = append(f.runs, &replayedRun{host, need, first, ends, engine})
 }
 
-// report tells each allocator what runs in its part, and what others offer.
+// report sends each allocator the loads in its part, and all allocators the offers of the others.
 func (f *replayedFleet) report() {
 	now := time.Now()
 	f.runs = slices.DeleteFunc(f.runs, func(r *replayedRun) bool { return !now.Before(r.ends) })
@@ -174,13 +174,13 @@
 	for domain, allocator := range f.allocators {
 		for d := range replayDomains {
 			host := "host-" + domainName(d)
-			allocator.fleet.SetOthers(host, llm, loads[host], f.parts[domain].Holds)
+			allocator.fleet.SetOthers(host, llm, loads[host], f.parts[domain].Contains)
 		}
 	}
 	for domain, allocator := range f.allocators {
 		brief, long := allocator.offers(f.parts[domain])
 		for _, other := range f.allocators {
-			other.market.hear(f.parts[domain], brief, long)
+			other.offerTable.update(f.parts[domain], brief, long)
 		}
 	}
 }
@@ -189,7 +189,8 @@
 	return int(min(most, max(least, median*math.Exp(sigma*f.random.NormFloat64()))))
 }
 
-// replay plays so many seconds, in which a domain's callers are a share of all.
+// replay simulates replaySeconds of load, of which each domain's callers
+// contribute the given share.
 func replay(t *testing.T, seed uint64, share [replayDomains]float64) (result replayedResult) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newReplayedFleet(seed)
@@ -198,17 +199,17 @@
 				f.report()
 			}
 			for d := range replayDomains {
-				come := share[d] * replayStep.Seconds()
-				for range f.poisson(replayLongs * come) {
+				arrivals := share[d] * replayStep.Seconds()
+				for range f.poisson(replayLongs * arrivals) {
 					need := placement.Need{PromptTokens: f.lognormal(2900, 0.35, 800, 6000), OutputTokens: f.lognormal(380, 0.8, 121, 1100)}
 					f.waiting = append(f.waiting, &waitingRun{domain: domainName(d), need: need})
 				}
-				for range f.poisson(replayBriefs * come) {
+				for range f.poisson(replayBriefs * arrivals) {
 					need := placement.Need{PromptTokens: f.lognormal(1900, 0.6, 300, 6000), OutputTokens: 12}
 					f.waiting = append(f.waiting, &waitingRun{domain: domainName(d), need: need})
 				}
 			}
-			f.askAll()
+			f.retryWaiting()
 			time.Sleep(replayStep)
 		}
 		result = f.result
@@ -216,7 +217,7 @@
 	return result
 }
 
-// Guards against generations that cross failure domains on a usual day.
+// Guards against generations that cross failure domains under normal load.
 func TestGenerationsStayInTheirDomain(t *testing.T) {
 	is := is.New(t)
 	even := replay(t, 1, [replayDomains]float64{0.2, 0.19, 0.23, 0.19, 0.19})
@@ -226,7 +227,7 @@
 	is.True(even.late*100 < even.placed)
 }
 
-// Guards against refusals where most callers move to one failure domain.
+// Guards against refusals when most callers move to one failure domain.
 func TestMovedCallersAreServedElsewhere(t *testing.T) {
 	is := is.New(t)
 	moved := replay(t, 1, [replayDomains]float64{0.6, 0.1, 0.1, 0.1, 0.1})
--- a/allocation/report.go
+++ b/allocation/report.go
@@ -14,59 +14,63 @@
 )
 
 const (
-	// reportInterval spaces a host's reports while nothing changes. What the
-	// allocator placed since the last one it knows by itself, so a report
-	// tells what was read or has ended, and that goes out at once.
+	// reportInterval is the time between a host's reports while nothing
+	// changes. The allocator knows its own placements since the last report; a
+	// report adds which prompts were read and which generations ended, and
+	// those changes are reported immediately.
 	reportInterval = 200 * time.Millisecond
-	// reportingHosts is how many hosts report at that interval; in larger
-	// fleets each reports less often, so that an allocator hears 320 of these
-	// reports a second at most, and as many again of changes: 6% of a core.
+	// reportingHosts is the fleet size up to which hosts report at
+	// reportInterval. In larger fleets each host reports less often, so that an
+	// allocator receives at most 320 such reports per second, and as many
+	// reports of changes: 6% of a core.
 	reportingHosts = 64
-	// reportGap gathers changes that come together; reportBurst is how many
-	// reports of changes a host may send in a row, faster than at the interval.
+	// reportGap is the time over which changes are batched. reportBurst is how
+	// many reports of changes a host may send in a row, faster than at the
+	// interval.
 	reportGap   = 20 * time.Millisecond
 	reportBurst = 5
-	// refreshInterval repeats an empty report.
+	// refreshInterval is the interval of reports that are sent even if empty.
 	refreshInterval = 700 * time.Millisecond
-	// leavingKept is for how long the list of leaving servers is not asked for
-	// again. An entry that is older than the list may have undone a part of it
-	// here. The list is most of the bytes of reports.
-	leavingKept = 3 * time.Second
+	// leavingListTTL is how long the list of leaving servers is not requested
+	// again. The list makes up most of the bytes of reports. It is refreshed
+	// because a host list entry older than the list may have reverted a part of
+	// it here.
+	leavingListTTL = 3 * time.Second
 )
 
-// knownLeaving is the list of leaving servers that an allocator told last.
-type knownLeaving struct {
+// leavingList identifies the list of leaving servers last received from an allocator.
+type leavingList struct {
 	digest uint64
-	at     time.Time // when it was told in full
+	at     time.Time // when it was last received in full
 }
 
-// leavingKnown returns the digest of the list that this host has of an
-// allocator, or zero if it is to be told again.
-func (c *Client) leavingKnown(allocator string) uint64 {
+// leavingDigest returns the digest of the list that this host has from an
+// allocator, or zero if the list has to be sent again.
+func (c *Client) leavingDigest(allocator string) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.leaving[allocator]
-	if time.Since(known.at) > leavingKept {
+	if time.Since(known.at) > leavingListTTL {
 		return 0
 	}
 	return known.digest
 }
 
-// toldLeaving notes the digest of a list; it was told in full unless this host
-// had it.
-func (c *Client) toldLeaving(allocator string, digest, had uint64) {
+// recordLeavingList records the digest of a list. The list was received in full
+// unless this host already had it.
+func (c *Client) recordLeavingList(allocator string, digest, had uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if digest != had {
-		c.leaving[allocator] = knownLeaving{digest, time.Now()}
+		c.leaving[allocator] = leavingList{digest, time.Now()}
 	}
 }
 
 // Run reports this host's load to the allocators until ctx ends.
 func (c *Client) Run(ctx context.Context) error {
-	reported, at := map[Part]bool{}, time.Time{} // parts whose allocator was told of work
+	reported, at := map[Part]bool{}, time.Time{} // parts whose allocator has been sent work
 	changes := rate.NewLimiter(rate.Every(c.interval()), reportBurst)
-	for c.pause(ctx, changes) == nil {
+	for c.waitForReport(ctx, changes) == nil {
 		refresh := time.Since(at) >= refreshInterval
 		if refresh {
 			at = time.Now()
@@ -74,62 +78,63 @@
 		calls, failed := c.fleet.TakeCallEvidence()
 		for service, loads := range c.fleet.OwnGenerations() {
 			evidence := c.fleet.TakeEvidence(service)
-			cut := c.cut(service)
-			home := cut.partOf(c.domain, c.host)
-			for _, part := range cut.parts() {
-				seen, due := held(c.fleet, part, evidence), false
+			partitioning := c.partitioning(service)
+			home := partitioning.partOf(c.domain, c.host)
+			for _, part := range partitioning.parts() {
+				outcomes, due := forPart(c.fleet, part, evidence), false
 				if part == home {
-					seen, due = merged(seen, calls), refresh || failed
-					calls = nil // told once, whichever service's allocator hears of them
+					outcomes, due = merged(outcomes, calls), refresh || failed
+					calls = nil // reported once, to the allocator of whichever service comes first
 				}
-				c.reportPart(ctx, part, held(c.fleet, part, loads), seen, due, reported)
+				c.reportPart(ctx, part, forPart(c.fleet, part, loads), outcomes, due, reported)
 			}
 		}
 	}
 	return ctx.Err()
 }
 
-// merged returns what either map holds.
+// merged returns the union of both maps.
 func merged(a, b map[string]fleet.Evidence) map[string]fleet.Evidence {
 	all := maps.Clone(a)
 	maps.Copy(all, b)
 	return all
 }
 
-// reportPart reports where there is something to tell, or to hear: with work
-// there, the answer says which servers leave; where it is due, this host's own
-// part tells it of the newest configuration. How calls ended is told beside
-// other things, and for itself only where one failed.
+// reportPart reports if there is something to send or to learn. While there is
+// work in the part, the response lists the leaving servers. When a report is
+// due, this host's own part returns the revision of the newest configuration.
+// Outcomes of calls are sent along with other reports, and cause a report only
+// if one failed.
 func (c *Client) reportPart(ctx context.Context, part Part, loads map[string]fleet.Load, evidence map[string]fleet.Evidence, due bool, reported map[Part]bool) {
 	if len(loads) == 0 && len(evidence) == 0 && !reported[part] && !due {
 		return
 	}
-	// Where a report is lost its evidence is too; what goes on failing makes
-	// new evidence.
+	// The evidence in a lost report is lost too; a server that keeps failing produces new evidence.
 	if c.report(ctx, part, loads, evidence) {
 		reported[part] = len(loads) > 0
 	}
 }
 
-// held returns what is said of the servers of a part.
-func held[V any](table *fleet.Table, part Part, byServer map[string]V) map[string]V {
-	if part == Whole(part.Service) {
+// forPart returns the entries of byServer that concern servers of the part.
+func forPart[V any](table *fleet.Table, part Part, byServer map[string]V) map[string]V {
+	if part == WholeService(part.Service) {
 		return byServer
 	}
 	inPart := map[string]V{}
 	for id, v := range byServer {
-		if server, _ := table.Get(id); part.Holds(server) {
+		if server, _ := table.Get(id); part.Contains(server) {
 			inPart[id] = v
 		}
 	}
 	return inPart
 }
 
-// pause waits until the next report is due: at once when this host's work has
-// changed, else after the interval.
+// waitForReport waits until the next report is due: immediately when this
+// host's work has changed, else after the interval.
 //
-// Without changes at once an allocator holds engines for full that have room.
-func (c *Client) pause(ctx context.Context, changes *rate.Limiter) error {
+// If changes were not reported immediately, the allocator would take engines
+// for full that have capacity.
+func (c *Client) waitForReport(ctx context.Context, changes *rate.Limiter) error {
 	if err := sleep.For(ctx, reportGap); err != nil {
 		return err
 	}
@@ -144,7 +149,7 @@
 			if changes.Allow() {
 				return nil
 			}
-			changed = nil // the next report at the interval tells it
+			changed = nil // included in the next report at the interval
 		case <-timer.C:
 			return nil
 		case <-ctx.Done():
@@ -155,18 +160,19 @@
 
 // interval returns the time between two reports of this host.
 func (c *Client) interval() time.Duration {
-	hosts := c.hosts()
-	return reportInterval * time.Duration(max(reportingHosts, hosts)) / reportingHosts
+	hostCount := c.hostCount()
+	return reportInterval * time.Duration(max(reportingHosts, hostCount)) / reportingHosts
 }
 
-// report tells a part's allocator what this host runs there, and how its
-// requests ended.
+// report sends a part's allocator this host's load there and the outcomes of
+// its requests. It returns false if the allocator did not answer, and has
+// nothing to do if this host is the allocator.
 func (c *Client) report(ctx context.Context, part Part, loads map[string]fleet.Load, evidence map[string]fleet.Evidence) bool {
 	allocator := c.allocator(part)
 	if allocator == c.host {
 		return true
 	}
-	request := &allocationpb.ReportRequest{Host: c.host, Part: part.message(), LeavingDigest: c.leavingKnown(allocator)}
+	request := &allocationpb.ReportRequest{Host: c.host, Part: part.toProto(), LeavingDigest: c.leavingDigest(allocator)}
 	for _, id := range slices.Sorted(maps.Keys(loads)) {
 		load := loads[id]
 		request.Loads = append(request.Loads, &allocationpb.ServerLoad{
@@ -182,14 +188,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	asked := time.Now()
+	requestedAt := time.Now()
 	var response *allocationpb.ReportResponse
 	err := c.call(ctx, allocator, func(client allocationpb.AllocationClient) (err error) {
 		response, err = client.Report(ctx, request)
 		return err
 	})
 	if revision := response.GetConfigurationRevision(); revision > 0 {
-		c.toldRevision(revision, asked)
+		c.recordRevision(revision, requestedAt)
 		if c.Told != nil {
 			c.Told(allocator, revision)
 		}
@@ -201,10 +207,10 @@
 		c.fleet.Shun(fleet.Life{ID: rest.GetServer(), Born: rest.GetBorn()}, time.Duration(rest.GetLeftMs())*time.Millisecond)
 	}
 	if ms := response.GetUndisturbedMs(); ms > 0 {
-		c.toldDisturbed(time.Duration(ms) * time.Millisecond)
+		c.recordDisturbance(time.Duration(ms) * time.Millisecond)
 	}
 	if err == nil {
-		c.toldLeaving(allocator, response.GetLeavingDigest(), request.GetLeavingDigest())
+		c.recordLeavingList(allocator, response.GetLeavingDigest(), request.GetLeavingDigest())
 	}
 	for _, life := range response.GetLeaving() {
 		c.fleet.MarkLeaving(fleet.Life{ID: life.GetServer(), Born: life.GetBorn()}, fleet.SourcePeer)
--- a/fleet/life_test.go
+++ b/fleet/life_test.go
@@ -8,29 +8,29 @@
 
 func everywhere(Server) bool { return true }
 
-func life(born int64) Server {
+func serverBorn(born int64) Server {
 	return Server{ID: "a", Born: born, Service: "llm", Address: "10.0.0.1:1", Domain: "d1", Slots: 24}
 }
 
-// Guards against what was believed of a server that outlives its crash.
+// Guards against state of a server that is kept after it crashed and restarted under the same ID.
 func TestServerThatStartsAgainUnderItsID(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
-	table.Put(life(100))
+	table.Put(serverBorn(100))
 	lost := table.Begin("a", Work{ID: "1", PromptTokens: 3000, OutputTokens: 400}, false)
 	for range 10 {
 		lost.Outcome(true)
 	}
 	table.SetOthers("h2", "llm", map[string]Load{"a": {Requests: 9, HeldTokens: 30000, Born: 100}}, everywhere)
 	table.MarkLeaving(Life{"a", 100}, SourceAnswer)
-	table.Put(life(100))
-	is.NoErr(lost.Life().Err()) // the same life, seen again
-	table.Put(life(200))
+	table.Put(serverBorn(100))
+	is.NoErr(lost.Life().Err()) // the same incarnation again
+	table.Put(serverBorn(200))
 	is.True(lost.Life().Err() != nil)
 	select {
 	case <-lost.Gone():
 	default:
-		t.Fatal("the work on it was not told")
+		t.Fatal("the work on it was not notified")
 	}
 	is.True(table.Superseded(Life{"a", 100}))
 	c := table.Candidates("llm", "d1")
@@ -40,15 +40,15 @@
 		is.Equal(c[i].HeldTokens, 0)
 		is.True(!c[i].Doubtful)
 	}
-	lost.End() // of the earlier life: the later one stays in the table
+	lost.End() // of the earlier incarnation: the later one stays in the table
 	is.Equal(len(table.Candidates("llm", "d1")), 2)
 }
 
-// Guards against words of other hosts on an earlier life of a server.
+// Guards against applying other hosts' reports on an earlier incarnation to the current one.
 func TestWordsOfAnEarlierLifeAreNotOfTheLater(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
-	table.Put(life(200))
+	table.Put(serverBorn(200))
 	table.SetOthers("h2", "llm", map[string]Load{"a": {Requests: 9, HeldTokens: 30000, Born: 100}}, everywhere)
 	table.Witness("h2", "a", Evidence{Failed: 1, Born: 100})
 	table.Witness("h3", "a", Evidence{Failed: 1, Born: 100})
@@ -56,15 +56,15 @@
 	c := table.Candidates("llm", "d1")
 	is.Equal(len(c), 2)
 	is.Equal(c[0].HeldTokens+c[1].HeldTokens, 0)
-	table.SetOthers("h2", "llm", map[string]Load{"a": {Requests: 1, HeldTokens: 3000}}, everywhere) // does not say which
+	table.SetOthers("h2", "llm", map[string]Load{"a": {Requests: 1, HeldTokens: 3000}}, everywhere) // a report without a start time counts
 	table.MarkLeaving(Life{"a", 200}, SourcePeer)
 	is.Equal(len(table.Candidates("llm", "d1")), 1)
 	is.Equal(table.Leaving("llm"), []Life{{"a", 200}})
 }
 
 func TestUnreadableEntryNamesNoServer(t *testing.T) {
-	// Somebody else overwrites an engine's entry. Nothing more is sent by it;
-	// the letter that runs there goes on, and a readable entry brings it back.
+	// Somebody else overwrites an engine's entry. Nothing new is sent to the engine, its running
+	// generation continues, and a valid entry makes it usable again.
 	is := is.New(t)
 	table := newTable()
 	work := table.Begin("a", Work{ID: "1"}, false)
@@ -75,31 +75,31 @@
 	is.Equal(len(table.Usable("llm")), 1)
 	select {
 	case <-work.Gone():
-		t.Fatal("the run was moved off an engine that lives")
+		t.Fatal("the run was moved off a live engine")
 	default:
 	}
 	table.Put(Server{ID: "a", Service: "llm", Address: "10.0.0.1:1", Domain: "d1", Slots: 24})
 	is.Equal(len(table.Candidates("llm", "d1")), 2)
 }
 
-// Guards against an entry that puts a living server under another service or address.
+// Guards against an entry that assigns a running server to another service or address.
 func TestEntryThatMovesAServerNamesNone(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
-	table.Put(life(100))
+	table.Put(serverBorn(100))
 	for _, change := range []func(*Server){
 		func(s *Server) { s.Service = "plain" },
 		func(s *Server) { s.Address = "10.0.0.9:1" },
 	} {
-		moved := life(100)
+		moved := serverBorn(100)
 		change(&moved)
 		table.Put(moved)
 		is.Equal(len(table.Candidates("plain", "d1")), 0)
 		is.Equal(len(table.Candidates("llm", "d1")), 1)
-		table.Put(life(100))
+		table.Put(serverBorn(100))
 		is.Equal(len(table.Candidates("llm", "d1")), 2)
 	}
-	later := life(200)
+	later := serverBorn(200)
 	later.Address = "10.0.0.9:1"
 	table.Put(later)
 	is.Equal(len(table.Candidates("llm", "d1")), 2)
--- /dev/null
+++ b/fleet/reportedload.go
@@ -0,0 +1,33 @@
+package fleet
+
+import "time"
+
+// reportedLoadTTL is how long the load reported by a plain server is valid. A
+// full queue drains within that time.
+const reportedLoadTTL = 300 * time.Millisecond
+
+// reportedLoad is the load that a server reported about itself.
+type reportedLoad struct {
+	requests int // running or queued
+	at       time.Time
+}
+
+// current returns the reported number of requests, or zero once the report has expired.
+func (l reportedLoad) current(now time.Time) int {
+	if now.Sub(l.at) >= reportedLoadTTL {
+		return 0
+	}
+	return l.requests
+}
+
+// Says records the number of requests that the server reported with its answer.
+//
+// Hosts with few calls in flight cannot see overload from their own calls. When
+// one of three plain servers is down and calls arrive faster than the other two
+// can answer, each of 72 hosts has one call in flight there and takes the
+// servers for empty, while their queues are full and every call is late.
+func (w *Work) Says(requests int) {
+	w.table.mu.Lock()
+	defer w.table.mu.Unlock()
+	w.entry.reported = reportedLoad{requests, time.Now()}
+}
--- a/fleet/rest.go
+++ b/fleet/rest.go
@@ -7,46 +7,47 @@
 	"go.uber.org/zap"
 )
 
-const msgRests = "backend server wants nothing from this host for a while"
+const msgBackoff = "backend server wants nothing from this host for a while"
 
-// Rest notes that a server wants no requests from this host for so long. Other
-// hosts are told by the server itself. The word holds for its id, also while it
-// has no entry and once it has started again.
+// Rest records that a server accepts no requests from this host for the given
+// time. The server notifies other hosts itself. The backoff is kept by server
+// ID, also while the server has no host list entry and after it has restarted.
 //
-// Failure: a server is full, says when it will not be, and each host goes on
-// sending it requests that it has to turn away.
+// Without it, each host would keep sending requests that a full server has to
+// reject, although the server has reported when it will have capacity.
 func (t *Table) Rest(id string, left time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	maps.DeleteFunc(t.rests, func(_ string, until time.Time) bool { return !now.Before(until) })
-	if until := now.Add(left); until.After(t.rests[id]) {
-		t.rests[id] = until
-		t.logger.Info(msgRests, zap.String("server", id), zap.Duration("for", left))
+	maps.DeleteFunc(t.backoffs, func(_ string, until time.Time) bool { return !now.Before(until) })
+	if until := now.Add(left); until.After(t.backoffs[id]) {
+		t.backoffs[id] = until
+		t.logger.Info(msgBackoff, zap.String("server", id), zap.Duration("for", left))
 	}
 }
 
-// Resting reports whether a server wants nothing from this host now.
-func (t *Table) Resting(id string) bool {
+// InBackoff reports whether a server currently accepts nothing from this host.
+func (t *Table) InBackoff(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.resting(id, time.Now())
+	return t.inBackoff(id, time.Now())
 }
 
-// resting is called with mu held.
-func (t *Table) resting(id string, now time.Time) bool { return now.Before(t.rests[id]) }
+// inBackoff requires mu.
+func (t *Table) inBackoff(id string, now time.Time) bool { return now.Before(t.backoffs[id]) }
 
-// RestLeft returns after what time the first server of a service that takes
-// requests otherwise wants some again; zero: one does now, or there is none.
+// RestLeft returns the shortest remaining backoff among the servers of a
+// service that otherwise accept requests. It returns zero if one of them has no
+// backoff, or if there are none.
 func (t *Table) RestLeft(name string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now, least := time.Now(), time.Duration(0)
 	for _, e := range t.service(name).members {
-		if !e.takesRequests() {
+		if !e.acceptsRequests() {
 			continue
 		}
-		left := t.rests[e.server.ID].Sub(now)
+		left := t.backoffs[e.server.ID].Sub(now)
 		if left <= 0 {
 			return 0
 		}
