--- a/gatewayhost/apply.go
+++ b/gatewayhost/apply.go
@@ -13,8 +13,8 @@
 
 const msgConfiguration = "configuration in force"
 
-// apply puts a stored object in force. It is called with the replica's lock
-// held.
+// apply applies a stored object to the gateway or the fleet. It is called with
+// the replica table's lock held.
 func (h *Host) apply(object store.Object) error {
 	objects := h.options.Objects
 	switch {
@@ -51,33 +51,34 @@
 	return nil
 }
 
-// undisturbed returns how long ago the store last failed to answer this host
-// or the allocators.
+// undisturbed returns the time since a store call by this host or by an
+// allocator last failed.
 func (h *Host) undisturbed() time.Duration {
 	return min(h.servers.Undisturbed(), h.allocation.Undisturbed())
 }
 
 const (
-	// lapsedReturn is how soon after the store's return the entries are back
-	// that lapsed while it was away.
+	// lapsedReturn is the time after a store outage within which live servers
+	// have recreated the entries that expired during the outage.
 	lapsedReturn = 2500 * time.Millisecond
-	// departsTimeout bounds the question to a server whose entry is gone.
+	// departsTimeout bounds one status query to a server whose entry is gone;
+	// departsInterval separates two of them.
 	departsTimeout  = 200 * time.Millisecond
 	departsInterval = 250 * time.Millisecond
 
 	msgEntryGone = "entry of a backend server is gone after a disturbance of the store"
 )
 
-// removeServer takes a server out whose entry is gone.
+// removeServer removes a server whose entry was deleted from the store.
 //
-// Failure: entries lapse while the store is away, as servers cannot renew
-// them, and on its return all servers look gone although they live. After a
-// disturbance of the store a server that says it stays counts as gone only
-// after the time in which such entries come back.
+// Failure: servers cannot renew their entries during a store outage, so the
+// entries expire, and after the outage all servers appear removed although they
+// are alive. After a store failure, a server that does not report that it is
+// leaving is therefore removed only if its entry has not been recreated within
+// lapsedReturn.
 //
-// It is called with the replica's lock held, which the membership takes too:
-// who watches the store must not be asked here, or this host hears of nothing
-// any more.
+// It is called with the replica table's lock held. The membership acquires that
+// lock as well, so calling WatchDuty.Watches here would deadlock the host.
 func (h *Host) removeServer(id string) {
 	if h.undisturbed() > h.options.ListChangedSlack {
 		h.fleet.Remove(id)
@@ -86,26 +87,29 @@
 	go h.removeDoubted(id)
 }
 
-// removeDoubted asks the server itself, on the few hosts that watch the store;
-// the others hear from the allocator if it leaves.
+// removeDoubted decides whether a server is gone whose entry was deleted
+// shortly after a store failure. Only the few hosts that watch the store query
+// the server; the others are notified by the allocator if it is leaving.
 func (h *Host) removeDoubted(id string) {
 	if server, _ := h.fleet.Get(id); server.ID != "" && h.watch.Watches() {
 		h.removeUnlessStaying(server)
 		return
 	}
-	_ = sleep.For(context.Background(), lapsedReturn) // never ends early
+	_ = sleep.For(context.Background(), lapsedReturn) // the context never ends
 	h.removeUnlessBack(id)
 }
 
+// removeUnlessBack removes a server unless its entry has been recreated.
 func (h *Host) removeUnlessBack(id string) {
 	if _, back := h.table.Get(h.options.Objects.Servers, id); !back {
 		h.fleet.Remove(id)
 	}
 }
 
-// removeUnlessStaying asks until the entry is back, the server says that it
-// leaves or does not answer, or the time is over. What a server says of itself
-// is some hundred ms old, so that its first answer may be from before.
+// removeUnlessStaying polls a server until its entry has been recreated, the
+// server reports that it is leaving, a query fails, or lapsedReturn has passed.
+// It polls repeatedly because a server's status is some hundred milliseconds
+// old: the first answer may predate its decision to leave.
 func (h *Host) removeUnlessStaying(server fleet.Server) {
 	for asked := time.Duration(0); asked < lapsedReturn; asked += departsInterval {
 		departs, err := h.askDeparts(server)
@@ -113,7 +117,7 @@
 			h.logger.Info(msgEntryGone, zap.String("server", server.ID), zap.Bool("departs", departs), zap.Duration("after", asked), zap.Error(err))
 			break
 		}
-		_ = sleep.For(context.Background(), departsInterval) // never ends early
+		_ = sleep.For(context.Background(), departsInterval) // the context never ends
 		if _, back := h.table.Get(h.options.Objects.Servers, server.ID); back {
 			return
 		}
@@ -121,6 +125,7 @@
 	h.removeUnlessBack(server.ID)
 }
 
+// askDeparts queries whether a server is leaving.
 func (h *Host) askDeparts(server fleet.Server) (bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), departsTimeout)
 	defer cancel()
@@ -128,7 +133,8 @@
 	return word.Leaves, err
 }
 
-// ask asks a server what it says of itself.
+// ask queries the status of a server, at its service's health path if one is
+// configured.
 func (h *Host) ask(ctx context.Context, server fleet.Server) (fleet.OwnWord, error) {
 	path := ""
 	if c := h.gateway.Configuration(); c != nil && c.Services[server.Service] != nil {
--- a/gatewayhost/boot.go
+++ b/gatewayhost/boot.go
@@ -15,25 +15,29 @@
 	msgNotRead  = "store not read at the start; peers are asked"
 	msgMetPeers = "entry host has met its peers"
 
-	// bootWait is how long a host that starts waits for its peers before it
-	// watches the store: probes of the seeds take some ms, and those of hosts
-	// that start with it come within half a second.
+	// bootWait bounds how long a starting host waits for the first exchange
+	// with a peer before it may watch the store. Probes of the seeds take a few
+	// milliseconds, and probes from hosts that start at the same time arrive
+	// within half a second.
 	bootWait = time.Second
-	// meetQuiet is how long no host becomes known to one that has met them all:
-	// news takes a probe interval. meetMost bounds the wait.
+	// meetQuiet is how long the member count must not change for the membership
+	// to count as complete: an update takes one probe interval to arrive.
+	// meetMost bounds the wait for that.
 	meetQuiet = probeInterval
 	meetMost  = 2 * time.Second
-	// bootTimeout bounds one reading of the store at the start.
+	// bootTimeout bounds one read of the store at startup.
 	bootTimeout = time.Second
 )
 
-// boot reads the store once, cheaply, and ends the time in which this host
-// follows nobody: after its first exchange with a peer, or bootWait.
+// boot loads the stored objects once with inexpensive stale reads, and keeps
+// this host from watching the store until it has joined its peers, or until
+// bootWait has passed without an exchange with one.
 //
-// The load it answers: all hosts of a large fleet start together. Each sees
-// nobody but itself and would watch the store until it has met the others. What
-// is read may be seconds old: nothing is denied by it until a newer word
-// confirms it, and peers bring what has changed since.
+// Load: when all hosts of a large fleet start together, each sees no other
+// member at first and would watch the store until the membership has converged.
+// The objects read may be seconds old: no request is rejected on their basis
+// until the store or an allocator has confirmed the revision, and peers deliver
+// later changes.
 func (h *Host) boot(ctx context.Context) error {
 	waiting := time.NewTimer(bootWait)
 	defer waiting.Stop()
@@ -54,8 +58,9 @@
 	return nil
 }
 
-// meet waits until no more hosts become known, meetMost at the most: one that
-// knows a few takes itself for a watcher of the store in place of the others.
+// meet waits until the member count has been stable for meetQuiet, at most
+// meetMost. A host with an incomplete member list could elect itself as a
+// watcher of the store in addition to the real ones.
 func (h *Host) meet(ctx context.Context) error {
 	known, since := len(h.Members()), time.Now()
 	for began := since; time.Since(since) < meetQuiet && time.Since(began) < meetMost; {
@@ -69,8 +74,8 @@
 	return nil
 }
 
-// listStale returns the objects of a kind as of some seconds ago, and whether the
-// store answered.
+// listStale returns the objects of a kind from a read that may be seconds old,
+// and whether the read succeeded.
 func (h *Host) listStale(ctx context.Context, kind string) ([]store.Object, store.Version, bool) {
 	ctx, cancel := context.WithTimeout(ctx, bootTimeout)
 	defer cancel()
@@ -81,6 +86,7 @@
 	return objects, revision, err == nil
 }
 
+// readStale loads the objects of a kind from a stale read into the table.
 func (h *Host) readStale(ctx context.Context, kind string) {
 	objects, revision, answered := h.listStale(ctx, kind)
 	if !answered {
--- a/gatewayhost/broken.go
+++ b/gatewayhost/broken.go
@@ -13,18 +13,20 @@
 const (
 	msgColdAsked = "backend server was asked whether it is cold: a connection to it broke"
 
-	// coldAskInterval spaces the questions to one server, which is asked until it
-	// answers, coldAskTries times at most: a crashed one is back after seconds.
+	// coldAskInterval separates the status queries to one server. It is queried
+	// until it answers, at most coldAskTries times: a crashed server is back
+	// after some seconds.
 	coldAskInterval = 500 * time.Millisecond
 	coldAskTries    = 10
 	coldAskTimeout  = 200 * time.Millisecond
 )
 
-// connectionBroke asks the servers at an address whether they are cold, where
-// that bounds what they take.
+// connectionBroke queries whether the servers at an address are cold, for
+// servers whose admission is limited while they are cold.
 //
-// Failure: a server starts again under its id while the store is away. Its entry
-// cannot say that it is cold, and hosts send it what it took before.
+// Failure: a server restarts under the same id during a store outage. Its entry
+// cannot be updated to report that it is cold, and hosts keep sending it the
+// load that it accepted when warm.
 func (h *Host) connectionBroke(address string) {
 	servers := h.fleet.BoundWhenCold(address)
 	if len(servers) == 0 {
@@ -41,14 +43,15 @@
 	}()
 }
 
-// askCold asks a server until it answers or is no more known.
+// askCold queries a server until it answers, is replaced or removed, or
+// coldAskTries is reached.
 func (h *Host) askCold(server fleet.Server) {
 	var word fleet.OwnWord
 	var err error
 	for range coldAskTries {
 		word, err = h.askOnce(server)
 		h.fleet.Heed(server.Life(), word)
-		_ = sleep.For(context.Background(), coldAskInterval) // never ends early
+		_ = sleep.For(context.Background(), coldAskInterval) // the context never ends
 		if known, _ := h.fleet.Get(server.ID); err == nil || !known.Life().Is(server.Life()) {
 			break
 		}
--- a/gatewayhost/broken_test.go
+++ b/gatewayhost/broken_test.go
@@ -14,8 +14,8 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// Guards against a server that gets more than it bears, as it started again and
-// its entry cannot say that it is cold.
+// Guards against overload of a server that restarted cold during a store outage,
+// when its entry cannot report that it is cold.
 func TestServerWhoseConnectionBrokeIsAskedWhetherItIsCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -24,7 +24,7 @@
 		leaves := false
 		answers := func(string) (bool, error) {
 			if asked.Add(1) == 1 {
-				return false, errors.New("it is not up yet")
+				return false, errors.New("server is still starting")
 			}
 			return leaves, nil
 		}
@@ -36,7 +36,7 @@
 		}
 		broke("10.9.9.9:1")
 		time.Sleep(time.Second)
-		is.Equal(asked.Load(), int32(0)) // nothing bounds what it takes
+		is.Equal(asked.Load(), int32(0)) // cold servers of the service have no admission limit
 		h.fleet.SetColdRate("s", 1)
 		broke("10.9.9.9:1")
 		broke("10.9.9.9:1")
@@ -47,6 +47,6 @@
 		broke("10.9.9.9:1")
 		time.Sleep(time.Second)
 		_, usable := h.fleet.Get("i-1")
-		is.True(!usable) // it said so in the same answer
+		is.True(!usable) // the answer also reported that it is leaving
 	})
 }
--- a/gatewayhost/evacuation_test.go
+++ b/gatewayhost/evacuation_test.go
@@ -11,9 +11,9 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-const evacuatedDomain = "d" // in which the test's servers are
+const evacuatedDomain = "d" // the failure domain of the test's servers
 
-// evacuate writes or removes the order, and returns its revision.
+// evacuate writes or removes the evacuation order.
 func evacuate(ctx context.Context, is *is.I, memory *store.Memory, order bool) {
 	if order {
 		_, err := memory.Put(ctx, kindOfEvacuations, evacuatedDomain, []byte("{}"), 0)
@@ -32,7 +32,8 @@
 	return using
 }
 
-// Guards against hosts that do not watch the store and miss an evacuation or its end.
+// Guards against an evacuation, or its end, not reaching hosts that do not watch
+// the store.
 func TestEvacuationReachesAllHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -42,7 +43,7 @@
 		is.NoErr(err)
 		time.Sleep(5 * time.Second)
 		is.Equal(f.using(), 12)
-		for range 3 { // in series
+		for range 3 {
 			evacuate(ctx, is, f.memory, true)
 			time.Sleep(time.Second)
 			is.Equal(f.using(), 0)
@@ -57,8 +58,8 @@
 }
 
 func TestHostThatStartsKnowsEvacuations(t *testing.T) {
-	// A host starts while a failure domain is evacuated, and meets no peer yet.
-	// It serves by what the store had a moment ago, and that has the order.
+	// Guards against a host that starts before it has joined any peer, and uses a
+	// domain whose evacuation order is in its stale read of the store.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(t.Context())
@@ -76,7 +77,8 @@
 	})
 }
 
-// Guards against an evacuation that is forgotten with the hosts that watched the store.
+// Guards against a host that starts during a store outage, after an evacuation,
+// and does not receive the order from its peers.
 func TestEvacuationOutlivesItsWatchers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -93,7 +95,7 @@
 			go func() { _ = run(ctx) }()
 		}
 		time.Sleep(2 * time.Second)
-		is.Equal(len(late.fleet.Usable("s")), 1) // it knows the server
+		is.Equal(len(late.fleet.Usable("s")), 1) // it has received the server's entry
 		is.Equal(len(late.fleet.Candidates("s", "d")), 0)
 		stop()
 		time.Sleep(time.Minute)
@@ -101,7 +103,7 @@
 	})
 }
 
-// deafStore has watches that miss all changes.
+// deafStore is a store whose watches deliver no changes.
 type deafStore struct{ checkedStore }
 
 func (deafStore) Watch(ctx context.Context, _ string, _ store.Version) ([]store.Object, store.Version, error) {
@@ -109,7 +111,8 @@
 	return nil, 0, ctx.Err()
 }
 
-// Guards against an evacuation that is missed as the store drops its history.
+// Guards against an evacuation missed by a watch before the store compacted its
+// history, which only the watch of another kind reports.
 func TestEvacuationMissedWithTheHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -131,8 +134,8 @@
 }
 
 func TestEvacuationWithoutReadableContentHolds(t *testing.T) {
-	// Another writer overwrites the order. Whatever it says now, it is there:
-	// sending into the domain would be the greater harm.
+	// Guards against an evacuation that ends because another writer overwrites the
+	// order with invalid content; sending requests to the domain is the greater risk.
 	is := is.New(t)
 	h, _ := alone(stays)
 	h.table.Adopt(entry(5, false))
@@ -141,19 +144,19 @@
 		is.Equal(len(findings), 0)
 		is.Equal(len(h.fleet.Candidates("s", "d")), 0)
 	}
-	h.table.Adopt([]store.Object{{Kind: kindOfEvacuations, Name: evacuatedDomain, Version: 3, Deleted: true}}) // of an earlier one
+	h.table.Adopt([]store.Object{{Kind: kindOfEvacuations, Name: evacuatedDomain, Version: 3, Deleted: true}}) // removal of an earlier order
 	is.Equal(len(h.fleet.Candidates("s", "d")), 0)
 	h.table.Adopt([]store.Object{{Kind: kindOfEvacuations, Name: evacuatedDomain, Version: 20, Deleted: true}})
 	is.Equal(len(h.fleet.Candidates("s", "d")), 1)
 }
 
 func TestAllocatorTellsOfEvacuations(t *testing.T) {
-	// News of an order misses a host. Its allocator's next answer names a newer
-	// revision, and the host fetches it.
+	// Guards against an evacuation order that gossip did not deliver to a host: the
+	// allocator's next answer has a newer revision, which the host then pulls.
 	is := is.New(t)
 	h, _ := alone(stays)
 	h.table.Adopt([]store.Object{{Kind: kindOfEvacuations, Name: evacuatedDomain, Version: 9}})
 	is.Equal(h.allocator.Evacuated(), uint64(9))
 	h.catchUpEvacuations("b", 9)
-	is.True(!h.pulling.Load()) // it has that one
+	is.True(!h.pulling.Load()) // the host has that revision
 }
--- a/gatewayhost/freshness.go
+++ b/gatewayhost/freshness.go
@@ -14,30 +14,32 @@
 
 const (
 	msgReread = "store answers again: what it has is listed anew"
-	msgMissed = "watches have missed changes of the store: what it has is listed anew"
+	msgMissed = "watches missed changes in the store; listing all objects again"
 	msgBehind = "host is behind an allocator and could not catch up"
 
-	// confirmTimeout bounds the question whether the configuration is the
-	// newest, confirmAge how long an answer of the store counts for it.
+	// confirmTimeout bounds a store call that verifies that the configuration is
+	// the newest; confirmAge is how long such a verification remains valid.
 	confirmTimeout = 400 * time.Millisecond
 	confirmAge     = 700 * time.Millisecond
-	// toldAge is how long an allocator's word on the newest configuration
-	// counts: hosts report every 0.7 s at least. Together they are less than
-	// the 2 s that the operator allows until a configuration is in force.
+	// toldAge is how long an allocator's report of the newest configuration
+	// remains valid; each host sends a report, which the allocator answers, at
+	// least every 0.7 s. confirmAge and toldAge add up to less than the 2 s that
+	// the operator allows until a configuration is active.
 	toldAge = 900 * time.Millisecond
-	// guardInterval spaces the checks of the hosts that watch the store, each
-	// at a tenth of a call's price; guardTimeout bounds one.
+	// guardInterval separates the store checks of the hosts that watch it; one
+	// check costs a tenth of a full call. guardTimeout bounds one check.
 	guardInterval = 500 * time.Millisecond
 	guardTimeout  = 250 * time.Millisecond
-	// missedAfter is how long watches may take to bring what the store has.
+	// missedAfter is how long a watch may take to deliver a change that the
+	// store has.
 	missedAfter = 250 * time.Millisecond
-	// pullTimeout bounds one catching up with an allocator.
+	// pullTimeout bounds one pull from an allocator.
 	pullTimeout = time.Second
 )
 
-// surelyNewest returns the revision of the configuration in force, or zero if
-// there may be a newer one. A watch that waits proves nothing: it may have
-// missed a change. The store was asked for the configuration a moment ago.
+// surelyNewest returns the revision of the active configuration if a read of
+// the store has verified it within confirmAge, or zero if there may be a newer
+// one. A pending watch is no proof, as it may have missed a change.
 func (h *Host) surelyNewest() uint64 {
 	if h.verified() > confirmAge {
 		return 0
@@ -45,14 +47,15 @@
 	return h.revision()
 }
 
-// verified returns how long ago the store was last asked for the configuration,
-// by this host or by one that found the same, or moment.Never.
+// verified returns the time since the configuration was last read from the
+// store, by this host or by another one that found the same revision, or
+// moment.Never.
 func (h *Host) verified() time.Duration {
 	return min(h.confirmed.Age(), h.relayed.Age())
 }
 
-// relay takes in the word of another allocator that had the store's newest
-// configuration so long ago.
+// relay records that another allocator verified, age ago, that the revision was
+// the newest in the store. It fetches that revision if this host's is older.
 func (h *Host) relay(allocator string, revision uint64, age time.Duration) {
 	if own := h.revision(); own == revision && age < h.relayed.Age() {
 		h.relayed.Mark(time.Now().Add(-age))
@@ -60,13 +63,14 @@
 	h.catchUp(allocator, revision)
 }
 
-// revision returns the revision of the configuration in force; zero: none.
+// revision returns the revision of the active configuration; zero if none.
 func (h *Host) revision() uint64 {
 	object, _ := h.table.Get(h.options.Objects.Configuration, h.options.Objects.ConfigurationName)
 	return uint64(object.Version)
 }
 
-// confirm reports whether the configuration in force is the newest.
+// confirm reports whether the active configuration is the newest: by a recent
+// verification, by an allocator's recent report, or else by a read of the store.
 func (h *Host) confirm(ctx context.Context) bool {
 	if h.surelyNewest() > 0 {
 		return true
@@ -83,8 +87,9 @@
 	return h.verify(ctx) == nil
 }
 
-// verify asks the store for the configuration and puts it in force. A list of
-// its kind says as well how far the store's changes have come.
+// verify reads the configuration from the store and applies it. It lists the
+// kind instead of getting the object, as a list also returns the store's
+// current revision.
 func (h *Host) verify(ctx context.Context) error {
 	asked := time.Now()
 	objects, revision, err := h.options.Store.List(ctx, h.options.Objects.Configuration)
@@ -105,48 +110,51 @@
 	return nil
 }
 
-// seen is what an answer of the store says of its changes: how many there were,
-// and which was the configuration's last.
+// seen is the state of the store as returned by a list: its revision, and the
+// version of the configuration.
 type seen struct{ revision, configuration store.Version }
 
-// misses reports whether watches of this host have not brought what the store
-// has. A configuration that was found by asking hides what else was missed, so
-// that its own watch is looked at.
+// misses reports whether this host's watches are behind the store. A
+// configuration found by verify advances the table's version and would hide
+// other missed changes, so the position of the configuration's own watch is
+// compared as well.
 func (h *Host) misses(there seen) bool {
 	return h.reached() < there.revision || h.configuration.Reached() < there.configuration
 }
 
-// reached returns the revision up to which this host has all that it follows.
+// reached returns the revision up to which this host has all changes of the
+// kinds that it follows.
 func (h *Host) reached() store.Version {
 	objects := h.options.Objects
 	return max(h.table.Version(), min(h.table.Listed(objects.Servers), h.table.Listed(objects.Evacuations)))
 }
 
-// compare has everything listed anew if this host's watches do not bring in time
-// what the store has.
+// compare relists all kinds if this host's watches have not caught up with the
+// store after missedAfter.
 //
-// Failure: the store answers, but its watches hear nothing for seconds before
-// they are ended with the history, and engines leave meanwhile. A change of a
-// kind that is not followed costs one list of each kind.
+// Failure: the store answers calls, but its watches deliver nothing for seconds
+// until they end because the history was compacted, and engines leave in the
+// meantime. A change of a kind that is not followed costs one list of each kind.
 func (h *Host) compare(there seen) {
 	defer h.comparing.Store(false)
-	_ = sleep.For(context.Background(), missedAfter) // never ends early
+	_ = sleep.For(context.Background(), missedAfter) // the context never ends
 	if h.misses(there) {
 		h.logger.Warn(msgMissed, zap.Uint64("revision", uint64(there.revision)), zap.Uint64("own", uint64(h.reached())))
 		h.relistBut("")
 	}
 }
 
-// checkStore makes the cheapest call that shows whether the store answers.
+// checkStore makes the least expensive call that shows whether the store
+// answers.
 func (h *Host) checkStore(ctx context.Context) error { return h.options.Store.Check(ctx) }
 
-// relist has everything read anew that the store has.
+// relist makes all followers list their objects again.
 func (h *Host) relist() {
 	h.logger.Info(msgReread)
 	h.relistBut("")
 }
 
-// relistBut has the kinds of objects but one read anew.
+// relistBut makes the followers of all kinds but one list their objects again.
 func (h *Host) relistBut(kind string) {
 	for _, f := range []*replica.Follower{h.configuration, h.servers, h.evacuations} {
 		if f.Kind != kind {
@@ -155,24 +163,26 @@
 	}
 }
 
-// catchUp fetches what an allocator has newer than this host.
+// catchUp pulls the newer objects from an allocator if it has a newer
+// configuration than this host.
 //
-// Failure: a configuration is accepted, and the few hosts that watch the store
-// have it at once; news of it passes from host to host and may miss one for
-// seconds. Every host hears from an allocator within a second.
+// Failure: the few hosts that watch the store receive a new configuration
+// immediately, but gossip may not reach some other host for seconds. Every host
+// receives a report from an allocator within a second.
 func (h *Host) catchUp(allocator string, revision uint64) {
 	if h.revision() < revision {
 		h.pull(allocator, revision)
 	}
 }
 
-// catchUpEvacuations does the same for the evacuations of failure domains.
+// catchUpEvacuations is catchUp for the evacuations of failure domains.
 func (h *Host) catchUpEvacuations(allocator string, revision uint64) {
 	if h.evacuated.Load() < revision {
 		h.pull(allocator, revision)
 	}
 }
 
+// pull fetches newer objects from an allocator, one pull at a time.
 func (h *Host) pull(allocator string, revision uint64) {
 	if !h.pulling.CompareAndSwap(false, true) {
 		return
--- a/gatewayhost/host.go
+++ b/gatewayhost/host.go
@@ -1,7 +1,7 @@
-// Package gatewayhost is one entry host around a gateway: it follows the store
-// or its peers, knows how far it may trust what it has, and stops without
-// cutting callers off. How the store's objects, callers and backend servers
-// spell what they say is given to it.
+// Package gatewayhost runs an entry host around a gateway: it follows the store
+// or its peers, tracks how fresh its replica is, and stops gracefully. The
+// formats of stored objects and the protocols of callers and backend servers
+// are supplied by the caller of New.
 package gatewayhost
 
 import (
@@ -32,89 +32,94 @@
 )
 
 const (
-	// MsgStart is the log message of a process's start.
+	// MsgStart is the log message written when a process starts.
 	MsgStart   = "entry host starts"
 	msgStopped = "entry host stopped"
 
-	// configurationSpacing groups configurations that come together; one may
-	// be in force so much later, of the two seconds that operators allow.
+	// configurationSpacing batches configurations written in quick succession.
+	// It delays their activation by up to this much of the two seconds that the
+	// operator allows.
 	configurationSpacing = 100 * time.Millisecond
-	// serversSpacing does the same for servers that are replaced. The watchers
-	// of all failure domains do not wait at the same time and tell each other,
-	// and a server that leaves gives notice of 1.5 s at least.
+	// serversSpacing batches replacements of servers. The delay is acceptable
+	// because the watchers of the failure domains do not pause at the same time
+	// and notify each other, and a server announces that it is leaving at least
+	// 1.5 s ahead.
 	serversSpacing = 400 * time.Millisecond
-	// storeBackoff and storeBackoffMax space the tries while the store is
-	// away. A host that is cut off from all others tries too, and on some days
-	// a third of the fleet is.
+	// storeBackoff and storeBackoffMax are the initial and the longest interval
+	// between attempts while the store is unavailable. Hosts that are cut off
+	// from all others retry too, and these can be a third of the fleet.
 	storeBackoff    = 60 * time.Millisecond
 	storeBackoffMax = time.Second
 
-	// readHeaderTimeout and keptIdle are above the operator's limits for
-	// callers (3 s, 15 s): callers keep to those, and a connection that is
-	// closed early loses the request that crosses the close.
+	// readHeaderTimeout and keptIdle are longer than the operator's limits for
+	// callers (3 s and 15 s), so that callers close connections first: a
+	// connection closed by the host loses a request sent at the same moment.
 	readHeaderTimeout = 10 * time.Second
 	keptIdle          = time.Minute
 	maxHeaderBytes    = 64 << 10
 )
 
-// Objects says which stored objects a host acts by, and how to read them.
+// Objects names the stored objects that a host uses, and decodes them.
 type Objects struct {
-	// Configuration and ConfigurationName are kind and name of the operator's
-	// configuration.
+	// Configuration and ConfigurationName are the kind and the name of the
+	// operator's configuration.
 	Configuration, ConfigurationName string
-	// Servers is the kind of the backend servers' entries, which are named by
-	// the servers' ids.
+	// Servers is the kind of the backend servers' entries. An entry's name is
+	// the server's id.
 	Servers string
-	// Evacuations is the kind of the operator's orders that no request goes to
-	// the servers of a failure domain, by which they are named. An order holds
-	// for as long as it is there, whatever its content.
+	// Evacuations is the kind of the operator's orders to evacuate a failure
+	// domain: no request is sent to its servers. An order's name is the failure
+	// domain. It applies as long as the object exists, whatever its content.
 	Evacuations string
-	// Quarantine is the kind of the one object that holds the quarantined
-	// requests; this system writes it.
+	// Quarantine is the kind of the single object that stores the quarantined
+	// requests; entry hosts write it.
 	Quarantine        string
 	ReadConfiguration func(data []byte) (*gateway.Configuration, error)
 	ReadServer        func(id string, data []byte) (fleet.Server, error)
 }
 
-// Backend speaks with backend servers.
+// Backend communicates with backend servers.
 type Backend interface {
 	gateway.Backend
-	// Ask asks a server what it says of itself. HealthPath is where its
-	// service's servers tell their health; "": nowhere.
+	// Ask queries the status that a server reports about itself. HealthPath is
+	// the path at which the servers of its service report health; empty if they
+	// do not.
 	Ask(ctx context.Context, server fleet.Server, healthPath string) (fleet.OwnWord, error)
-	// Held asks an engine which generations it has. It is an error if it does
-	// not say, or another life of the server answers.
+	// Held queries which generations an engine has. It returns an error if the
+	// engine does not report them, or if another incarnation of the server
+	// answers.
 	Held(ctx context.Context, server fleet.Server) (fleet.Held, error)
-	// OnBroken sets what is called when a connection to an address breaks, also
-	// an unused one; it must not block.
+	// OnBroken sets the callback for a broken connection, including an idle
+	// one, to an address. The callback must not block.
 	OnBroken(broke func(address string))
 }
 
-// Server is an HTTP server of the host, at an IP:port.
+// Server is an HTTP server of the host. Address is an IP:port.
 type Server struct {
 	Address string
 	Handler http.Handler
 }
 
-// Options set up a Host. All fields are required.
+// Options configure a Host. All fields are required.
 type Options struct {
 	Name           string
 	Domain         string // failure domain
-	Capacity       int    // of the processor, in thousandths of a core; zero: not known
+	Capacity       int    // CPU capacity in thousandths of a core; zero if unknown
 	PeerAddress    string
-	CallersAddress string // where callers are sent
+	CallersAddress string // address advertised to callers
 	Seeds          []string
 	Network        link.Network
 	Store          store.Checker
 	Objects        Objects
 	Backend        Backend
-	// Repeats bounds requests that are sent once more.
+	// RepeatRatio, RepeatAllowance and RepeatWindow are the retry budget; see
+	// [gateway.Budget].
 	RepeatRatio, RepeatAllowance float64
 	RepeatWindow                 time.Duration
-	// ListChangedSlack is how long after a disturbance the store's list of
-	// servers may lack some that live.
+	// ListChangedSlack is how long after a store failure the store's list of
+	// servers may lack live servers.
 	ListChangedSlack time.Duration
-	// StopGrace is the time from the wish to stop until the process is killed.
+	// StopGrace is the time from the stop signal until the process is killed.
 	StopGrace  time.Duration
 	Logger     *zap.Logger
 	Registerer prometheus.Registerer
@@ -128,27 +133,27 @@
 	configuration *replica.Follower
 	servers       *replica.Follower
 	evacuations   *replica.Follower
-	evacuated     atomic.Uint64 // newest revision of an evacuation
+	evacuated     atomic.Uint64 // newest revision of an evacuation order
 	node          atomic.Pointer[peer.Node]
 	fleet         *fleet.Table
 	quarantine    *quarantine.Table
-	quarantined   chan struct{} // holds a token when a quarantined request is to be stored
-	askingCold    sync.Map      // addresses whose servers are being asked whether they are cold
+	quarantined   chan struct{} // has a token while changes of the quarantine are to be stored
+	askingCold    sync.Map      // addresses whose servers are being queried whether they are cold
 	allocator     *allocation.Allocator
 	allocation    *allocation.Client
 	sentinel      *allocation.Sentinel
 	gateway       *gateway.Gateway
-	confirmed     moment.Moment // when the store was asked for the configuration, and answered
-	relayed       moment.Moment // the same, asked by another host
+	confirmed     moment.Moment // start of the last successful read of the configuration from the store
+	relayed       moment.Moment // same for a read by another host that found the same revision
 	stopping      atomic.Bool
-	pulling       atomic.Bool   // from an allocator that has a newer configuration
-	comparing     atomic.Bool   // what the store has with what the watches brought
-	booting       atomic.Bool   // has not met its peers yet
-	lives         atomic.Uint64 // how often the host has joined anew
+	pulling       atomic.Bool   // a pull from an allocator is in progress
+	comparing     atomic.Bool   // a comparison of the watches with the store is in progress
+	booting       atomic.Bool   // has not joined its peers yet
+	lives         atomic.Uint64 // number of rejoins under a new incarnation
 	watch         *domain.WatchDuty
 }
 
-// New puts a host together; Run starts it.
+// New returns a host; Run starts it.
 func New(o Options) *Host {
 	h := &Host{options: o, logger: o.Logger, quarantined: make(chan struct{}, 1)}
 	h.table = replica.New(h.apply)
@@ -185,6 +190,7 @@
 	return h
 }
 
+// follower returns a follower of the objects of a kind.
 func (h *Host) follower(kind string, spacing time.Duration) *replica.Follower {
 	return &replica.Follower{
 		Store: h.options.Store, Kind: kind, Table: h.table, Logger: h.logger.With(zap.String("kind", kind)),
@@ -193,11 +199,11 @@
 	}
 }
 
-// Gateway returns the gateway, for what decodes callers' requests.
+// Gateway returns the gateway that serves decoded callers' requests.
 func (h *Host) Gateway() *gateway.Gateway { return h.gateway }
 
-// Run serves until ctx ends, then stops gracefully: callers' requests at one
-// server, side questions at the others.
+// Run serves until ctx ends, then stops gracefully. Callers' requests are served
+// at callers; other endpoints, which need no graceful stop, at others.
 func (h *Host) Run(ctx context.Context, callers Server, others ...Server) error {
 	h.logger.Info(MsgStart, zap.String("host", h.options.Name), zap.String("domain", h.options.Domain))
 	inner, cancel := context.WithCancel(context.Background())
@@ -225,7 +231,7 @@
 	return err
 }
 
-// background returns what runs beside the servers, each until its context ends.
+// background returns the background loops; each runs until its context ends.
 func (h *Host) background() []func(context.Context) error {
 	return []func(context.Context) error{
 		h.boot, h.configuration.Run, h.servers.Run, h.evacuations.Run, h.watch.Run, h.keepQuarantine, h.releaseLost,
@@ -240,7 +246,7 @@
 	return err
 }
 
-// serve runs a server until the context ends.
+// serve starts an HTTP server in the group; it runs until ctx ends.
 func (h *Host) serve(ctx context.Context, group *errgroup.Group, s Server) *http.Server {
 	server := &http.Server{
 		Handler: s.Handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: keptIdle, MaxHeaderBytes: maxHeaderBytes,
--- a/gatewayhost/host_test.go
+++ b/gatewayhost/host_test.go
@@ -31,7 +31,7 @@
 	peerPort            = ":9000"
 )
 
-// checkedStore is the store's twin in memory with a cheap check.
+// checkedStore adds a check and stale lists to the in-memory store.
 type checkedStore struct{ *store.Memory }
 
 func (s checkedStore) Check(ctx context.Context) error {
@@ -42,18 +42,18 @@
 	return err
 }
 
-// ListStale implements store.Checker; the twin is never behind.
+// ListStale implements store.Checker; its lists are current.
 func (s checkedStore) ListStale(ctx context.Context, kind string) ([]store.Object, store.Version, error) {
 	return s.List(ctx, kind)
 }
 
-// servers is a Backend of which only what hosts ask is used.
+// servers is a Backend that only answers a host's own queries.
 type servers struct {
 	gateway.Backend
 	departs func(id string) (bool, error)
 	held    fleet.Held
 	coldFor time.Duration
-	broke   *func(address string) // what the host is told of; nil: not kept
+	broke   *func(address string) // receives the host's OnBroken callback unless nil
 }
 
 func (s servers) OnBroken(broke func(string)) {
@@ -104,18 +104,18 @@
 
 func stays(string) (bool, error) { return false, nil }
 
-// alone is a host without peers, and the store's twin.
+// alone returns a host without peers, and its store.
 func alone(departs func(string) (bool, error)) (*Host, *store.Memory) {
 	memory := store.NewMemory()
 	return newHost("a", network.New(network.Options{}).Host("10.0.0.1"), "10.0.0.1", memory, departs), memory
 }
 
-// disturb makes the store fail to answer the host once.
+// disturb makes one store call of the host fail.
 func disturb(h *Host, memory *store.Memory) {
 	memory.SetFaults(store.Faults{Outage: true})
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer stop()
-	_ = h.servers.Run(ctx) // it is to fail
+	_ = h.servers.Run(ctx) // fails as intended
 	memory.SetFaults(store.Faults{})
 }
 
@@ -123,7 +123,8 @@
 	return []store.Object{{Kind: kindOfServers, Name: "i-1", Version: version, Value: []byte("ready"), Deleted: deleted}}
 }
 
-// Guards against a host that waits for itself for good when an entry goes during a disturbance.
+// Guards against a deadlock of the host when an entry is removed shortly after a
+// store failure.
 func TestRemovalsDuringADisturbanceDoNotStopTheHost(t *testing.T) {
 	is := is.New(t)
 	h, memory := alone(stays)
@@ -138,14 +139,14 @@
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the host is stuck")
+		t.Fatal("host is deadlocked")
 	}
 	is.Equal(h.table.Version(), store.Version(6))
 }
 
 func TestLapsedEntriesAreNotRemovals(t *testing.T) {
-	// The store was away and all entries lapsed. The servers live, and are
-	// back in the list within two seconds: they must go on getting work.
+	// Guards against live servers being removed because their entries expired during
+	// a store outage; servers recreate their entries within two seconds.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h, memory := alone(stays)
@@ -161,8 +162,8 @@
 }
 
 func TestUnreadableEntryGoesOutOfUse(t *testing.T) {
-	// Another writer overwrites a server's entry with bytes that nobody can
-	// read. The host went on sending requests by what the entry said before.
+	// Guards against a server that stays in use by its previous entry after another
+	// writer has overwritten that entry with unreadable bytes.
 	is := is.New(t)
 	h, _ := alone(stays)
 	h.table.Adopt(entry(5, false))
@@ -188,7 +189,7 @@
 	})
 }
 
-// Guards against waiting for the entry of an engine that says itself that it leaves.
+// Guards against waiting for the entry of a server that reports that it is leaving.
 func TestServerThatSaysSoLeavesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -206,7 +207,8 @@
 	})
 }
 
-// silentStore takes calls and, while it is silent, never answers those.
+// silentStore accepts calls; those that arrive while it is silent are never
+// answered.
 type silentStore struct {
 	checkedStore
 	silent atomic.Bool
@@ -216,7 +218,7 @@
 	if !s.silent.Load() {
 		return nil
 	}
-	<-ctx.Done() // also when the store is back
+	<-ctx.Done() // even after the store answers again
 	return ctx.Err()
 }
 
@@ -231,7 +233,8 @@
 	return s.checkedStore.Watch(ctx, kind, after)
 }
 
-// Guards against a watch that began while the store was silent and is never answered.
+// Guards against a watch that began while the store was silent, and is therefore
+// never answered.
 func TestWatchThatBeganInSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -267,14 +270,14 @@
 	is.Equal(offer(5, []byte{7}), 0)
 	is.Equal(offer(6, nil), 1)
 	is.Equal(h.Gateway().Configuration().Version, uint64(7))
-	is.Equal(offer(4, []byte{9}), 0) // an older one, from a peer that was cut off
+	is.Equal(offer(4, []byte{9}), 0) // an older one, from a peer that was partitioned
 	is.Equal(h.Gateway().Configuration().Version, uint64(7))
 	is.True(h.Ready())
 }
 
 func TestConfirmAsksTheStore(t *testing.T) {
-	// A host does not know whether it is behind. Only the store's answer lets
-	// it call a route unknown.
+	// Guards against a host that reports a route as unknown because its configuration
+	// is stale; only an answer of the store proves that it is current.
 	is := is.New(t)
 	h, memory := alone(stays)
 	_, err := memory.Put(context.Background(), kindOfConfiguration, "main", []byte{7}, 0)
@@ -283,10 +286,11 @@
 	is.True(!h.confirm(context.Background()))
 	memory.SetFaults(store.Faults{})
 	is.True(h.confirm(context.Background()))
-	is.Equal(h.Gateway().Configuration().Version, uint64(7)) // and it has what the store has
+	is.Equal(h.Gateway().Configuration().Version, uint64(7)) // the stored configuration has been applied
 }
 
-// Guards against a host that is taken for replaced as its clock was set back.
+// Guards against a host that the fleet regards as superseded because its wall
+// clock was set back.
 func TestHostWhoseClockWasSetBackJoins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -301,7 +305,7 @@
 			From: &peerpb.Member{Host: "b", Incarnation: 1, State: peerpb.MemberState_ALIVE, PeerAddress: "10.0.0.2" + peerPort},
 			News: []*peerpb.Member{{Host: "a", Incarnation: ahead, State: peerpb.MemberState_ALIVE, PeerAddress: "10.0.0.1" + peerPort}},
 		})
-		time.Sleep(20 * time.Second) // probes of b, which is not there, end first
+		time.Sleep(20 * time.Second) // probes of b, which does not exist, must fail first
 		is.Equal(len(ended), 0)
 		is.Equal(incarnationOf(h, "a"), ahead+1)
 		stop()
@@ -309,7 +313,7 @@
 	})
 }
 
-// tell probes the host with news.
+// tell sends the host a probe that carries membership updates.
 func tell(ctx context.Context, is *is.I, from link.Network, news *peerpb.ProbeRequest) {
 	conn, err := grpc.NewClient("passthrough:10.0.0.1"+peerPort, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithContextDialer(func(ctx context.Context, address string) (net.Conn, error) { return from.Dial(ctx, address) }))
@@ -328,14 +332,14 @@
 	return 0
 }
 
-// follow has a host follow the store until ctx ends.
+// follow runs the host's store followers until ctx ends.
 func follow(ctx context.Context, h *Host) {
 	for _, run := range []func(context.Context) error{h.servers.Run, h.evacuations.Run, h.configuration.Run} {
 		go func() { _ = run(ctx) }()
 	}
 }
 
-// Guards against leaving engines missed by watches that hear nothing.
+// Guards against missing a leaving engine because a watch delivers nothing.
 func TestDeafWatchesAreNoticed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -362,7 +366,8 @@
 	})
 }
 
-// Guards against changes that stay missed, as a later one was found by asking.
+// Guards against missed changes that stay hidden because verify found a later
+// configuration.
 func TestDeafWatchesAreNoticedBesideAConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -391,7 +396,7 @@
 	})
 }
 
-// Guards against lists made again and again for changes that nobody follows.
+// Guards against repeated lists because of changes of kinds that are not followed.
 func TestChangesOfOtherKindsAreListedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/gatewayhost/large_test.go
+++ b/gatewayhost/large_test.go
@@ -15,12 +15,12 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// pricedStore counts the calls that cost the full price. It may turn its host
-// away.
+// pricedStore counts full-price calls (lists and watches). It can refuse all calls
+// of its host.
 type pricedStore struct {
 	checkedStore
 	calls *callCount
-	turns atomic.Bool // away
+	turns atomic.Bool // refuses all calls
 }
 
 func (s *pricedStore) Check(ctx context.Context) error {
@@ -61,14 +61,14 @@
 	c.byKind[kind]++
 }
 
-// of returns the calls for a kind.
+// of returns the number of calls for a kind.
 func (c *callCount) of(kind string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.byKind[kind]
 }
 
-// largeFleet is so many hosts of one failure domain that start together.
+// largeFleet is a fleet of hosts of one failure domain that start together.
 type largeFleet struct {
 	hosts  []*Host
 	stores []*pricedStore
@@ -94,6 +94,7 @@
 	return f
 }
 
+// watching returns the indexes of the hosts that watch the store.
 func (f *largeFleet) watching() (watching []int) {
 	for i, h := range f.hosts {
 		if h.watch.Watches() {
@@ -103,7 +104,7 @@
 	return watching
 }
 
-// Guards against hosts that start together and all watch the store.
+// Guards against all hosts watching the store when they start together.
 func TestFleetThatStartsTogetherSparesTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -119,17 +120,17 @@
 		time.Sleep(5 * time.Second)
 		is.Equal(len(f.watching()), 3)
 		for _, kind := range []string{kindOfConfiguration, kindOfServers, kindOfEvacuations} {
-			is.True(f.calls.of(kind) <= 12) // 48 when each watched until it had met the others
+			is.True(f.calls.of(kind) <= 12) // 48 if each host watched until it had joined the others
 		}
 		stop()
-		time.Sleep(time.Minute) // timers of connections run out
+		time.Sleep(time.Minute) // lets connection timers expire
 		synctest.Wait()
 	})
 }
 
 func TestHostWithoutPeersFollowsTheStoreItself(t *testing.T) {
-	// A host starts and none of its seeds answers. It must not wait for them
-	// with what the store had a while ago.
+	// Guards against a host that keeps serving by its stale read of the store because
+	// none of its seeds answers.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(t.Context())
@@ -145,7 +146,8 @@
 	})
 }
 
-// Guards against a failure domain whose watcher the store turns away.
+// Guards against a failure domain that receives no changes because the store
+// refuses the calls of its watchers.
 func TestWatcherThatIsTurnedAwayHandsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -181,8 +183,8 @@
 }
 
 func TestRelayedWordCountsForItsOwnVersionOnly(t *testing.T) {
-	// Another host says that a configuration was the newest a moment ago. This
-	// one may deny a route by it only if that is what it has in force.
+	// Guards against rejecting a route because another host verified a configuration
+	// revision that is not the active one here.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h, _ := alone(stays)
@@ -191,7 +193,7 @@
 		is.Equal(h.surelyNewest(), uint64(0))
 		h.relay("b", 5, 300*time.Millisecond)
 		is.Equal(h.surelyNewest(), uint64(5))
-		h.relay("b", 5, 600*time.Millisecond) // an older word
+		h.relay("b", 5, 600*time.Millisecond) // an older verification
 		is.Equal(h.verified(), 300*time.Millisecond)
 		time.Sleep(confirmAge - 300*time.Millisecond + time.Millisecond)
 		is.Equal(h.surelyNewest(), uint64(0))
--- a/gatewayhost/members.go
+++ b/gatewayhost/members.go
@@ -21,18 +21,20 @@
 const (
 	msgRenamed = "fleet knows a newer life of this host; it joins as a newer one"
 
-	// probeInterval of peers: a host that dies is suspected within about a
-	// second, as callers ask for addresses every second.
+	// probeInterval is the interval between probes of peers. A dead host is
+	// suspected within about a second, which matches the interval at which
+	// callers query addresses.
 	probeInterval    = 500 * time.Millisecond
 	suspicionTimeout = 4 * time.Second
-	// addressesTTL is how long callers keep an answer.
+	// addressesTTL is how long callers may cache an address list.
 	addressesTTL = time.Second
-	// livesShift leaves room for the changes that one life of a host sees.
+	// livesShift reserves the low bits of Generation for membership changes
+	// within one incarnation.
 	livesShift = 40
 )
 
-// newNode makes this host's part in the membership; incarnation 0 is made
-// from the time of day.
+// newNode returns this host's membership node; for incarnation 0, the wall clock
+// determines the incarnation.
 func (h *Host) newNode(incarnation uint64, registerer prometheus.Registerer) *peer.Node {
 	o := h.options
 	return peer.New(peer.Options{
@@ -44,18 +46,18 @@
 		Logger:     o.Logger,
 		Register:   func(registrar grpc.ServiceRegistrar) { allocation.Register(registrar, h.allocator) },
 		Registerer: registerer, ProbeInterval: probeInterval, SuspicionTimeout: suspicionTimeout,
-		// Bytes between failure domains are dear: probes, news and pulls stay
-		// in the domain, but for a few hosts of others.
+		// Traffic between failure domains is expensive: probes, gossip and pulls
+		// stay within the domain, except for a few hosts of other domains.
 		Scope: peer.Scope{Near: []string{o.Domain}},
 	})
 }
 
 // runNode runs the membership.
 //
-// Failure: the time of day was set back between two starts, so that this
-// life's incarnation is below the last one's, and the fleet takes the host for
-// replaced. It joins again above the one that the fleet knows. The counters of
-// the node that ends stay as they are; the new one's are not served.
+// Failure: the wall clock was set back between two starts, so this incarnation
+// is lower than the previous one and the fleet regards the host as superseded.
+// It rejoins with an incarnation above the one that the fleet has. The metrics
+// of the old node keep their values; those of the new node are not exported.
 func (h *Host) runNode(ctx context.Context) error {
 	for {
 		err := h.node.Load().Run(ctx)
@@ -72,20 +74,22 @@
 // Members returns all known entry hosts.
 func (h *Host) Members() []peer.Member { return h.node.Load().Members() }
 
-// Generation rises with every change of Members but its versions, and when
-// this host joins anew.
+// Generation increases with every change of Members, except of the versions that
+// members advertise, and when this host rejoins under a new incarnation.
 func (h *Host) Generation() uint64 {
 	return h.lives.Load()<<livesShift + h.node.Load().Generation()
 }
 
-// SetStoreAway tells the fleet whether the store turns this host away.
+// SetStoreAway sets whether this host advertises to its peers that it cannot
+// reach the store.
 func (h *Host) SetStoreAway(away bool) { h.node.Load().SetStoreAway(away) }
 
-// Call calls a service of another entry host.
+// Call calls f with a gRPC connection to another entry host.
 func (h *Host) Call(host string, f func(grpc.ClientConnInterface) error) error {
 	return h.node.Load().Call(host, f)
 }
 
+// liveHosts returns the number of live entry hosts, at least 1.
 func (h *Host) liveHosts() int {
 	live := 0
 	for _, m := range h.Members() {
@@ -96,14 +100,15 @@
 	return max(1, live)
 }
 
-// othersLive reports whether another entry host takes requests.
+// othersLive reports whether another entry host is alive.
 func (h *Host) othersLive() bool {
 	return slices.ContainsFunc(h.Members(), func(m peer.Member) bool { return m.State == peer.StateAlive && m.Host != h.options.Name })
 }
 
-// Addresses returns where callers of a failure domain may connect, and how long
-// they may keep the answer. A host that has just started knows nobody but
-// itself and can serve nothing: ok is false, and callers ask another one.
+// Addresses returns the addresses to which callers of a failure domain may
+// connect, and how long they may cache them. ok is false if this host has no
+// configuration yet: it has just started, may have no other members in its list
+// and cannot serve requests. Callers then query another host.
 func (h *Host) Addresses(callerDomain string) (addresses []string, keep time.Duration, ok bool) {
 	if h.gateway.Configuration() == nil {
 		return nil, 0, false
@@ -114,7 +119,8 @@
 	return addresses, addressesTTL, true
 }
 
-// spreading lets peers spread what the host has of the store.
+// spreading adapts the replica table to peer.ConfigurationTable, so that stored
+// objects are gossiped among peers.
 type spreading struct{ *replica.Table }
 
 // Adopt implements peer.ConfigurationTable.
@@ -126,8 +132,8 @@
 	return count, nil
 }
 
-// noForwarding refuses what only hosts with a callers' interface of our own
-// pass to each other.
+// noForwarding rejects forwarded and handed-over requests. Only entry hosts that
+// serve papayasail's own caller API exchange those.
 type noForwarding struct{}
 
 var errNoForwarding = errors.New("gatewayhost: nothing is forwarded between hosts here")
--- a/gatewayhost/quarantine.go
+++ b/gatewayhost/quarantine.go
@@ -18,22 +18,23 @@
 
 const (
 	msgQuarantineStored     = "quarantined requests stored"
-	msgQuarantineNotStored  = "quarantined requests not stored; tried again"
+	msgQuarantineNotStored  = "storing quarantined requests failed; retrying"
 	msgQuarantineUnreadable = "stored quarantined requests cannot be read"
 
-	// nameOfQuarantine is the one object of its kind.
+	// nameOfQuarantine is the name of the single object of its kind.
 	nameOfQuarantine   = "requests"
 	sourceOfQuarantine = "store"
-	// mostStored bounds the object; those that end last are kept.
+	// mostStored bounds the number of requests in the object; those whose
+	// quarantine ends last are kept.
 	mostStored = 512
-	// staleness is how much later a host that has started reads the object
-	// again: what it read at first may be some seconds old.
+	// staleness is the delay after which a started host reads the object again:
+	// the first read may have returned data that is some seconds old.
 	staleness = 4 * time.Second
-	// quarantineTimeout bounds one try to read or write the object.
+	// quarantineTimeout bounds one attempt to write the object.
 	quarantineTimeout = 2 * time.Second
 )
 
-// storedQuarantine is the object's content.
+// storedQuarantine is the content of the quarantine object.
 type storedQuarantine struct {
 	Requests []storedRequest `json:"requests"`
 }
@@ -75,9 +76,10 @@
 	return records, nil
 }
 
-// keepQuarantine reads what the store has, twice, and writes what this host
-// quarantines, until ctx ends. Other hosts hear of it from their peers; the
-// store is for hosts that start while no peer lives.
+// keepQuarantine synchronises the quarantine with the store until ctx ends: it
+// reads the stored object twice, at startup and after staleness, and writes it
+// when this host's quarantine changes. Running hosts learn of changes by gossip;
+// the stored object is for hosts that start while no peer is alive.
 func (h *Host) keepQuarantine(ctx context.Context) error {
 	h.readQuarantine(ctx)
 	reread := time.NewTimer(staleness)
@@ -108,7 +110,7 @@
 	}
 }
 
-// noteQuarantined has what is quarantined written to the store soon.
+// noteQuarantined schedules a write of the quarantine to the store.
 func (h *Host) noteQuarantined() {
 	select {
 	case h.quarantined <- struct{}{}:
@@ -116,8 +118,8 @@
 	}
 }
 
-// readQuarantine takes in what the store has, which may be some seconds old,
-// and reports whether the store answered.
+// readQuarantine merges the stored quarantine, from a read that may be some
+// seconds old, and reports whether the store answered.
 func (h *Host) readQuarantine(ctx context.Context) bool {
 	objects, _, answered := h.listStale(ctx, h.options.Objects.Quarantine)
 	for _, object := range objects {
@@ -126,8 +128,8 @@
 	return answered
 }
 
-// adoptQuarantine takes in a stored object. One that cannot be read says
-// nothing: anybody may have written it.
+// adoptQuarantine merges a stored object. One that cannot be decoded is ignored,
+// as another writer may have overwritten it.
 func (h *Host) adoptQuarantine(object store.Object) {
 	records, err := decodeQuarantine(object.Value, time.Now())
 	if err != nil {
@@ -137,7 +139,8 @@
 	h.quarantine.Merge(records, sourceOfQuarantine)
 }
 
-// storeQuarantine adds to the stored object what this host knows.
+// storeQuarantine merges the stored object with this host's quarantine and
+// writes the result.
 func (h *Host) storeQuarantine(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, quarantineTimeout)
 	defer cancel()
--- a/gatewayhost/quarantine_test.go
+++ b/gatewayhost/quarantine_test.go
@@ -26,25 +26,25 @@
 	crashingBody = "crashes each server that runs it"
 	harmlessBody = "harmless"
 
-	crashAfter   = 50 * time.Millisecond // a run began
-	replaceAfter = 3 * time.Second       // a crash
+	crashAfter   = 50 * time.Millisecond // from the start of a run to the crash
+	replaceAfter = 3 * time.Second       // from a crash to the replacement of the server
 	serverCount  = 8
 
-	// stableWindow is the time after the third crash in which hosts have to
-	// know of it; retriesAllowed is how often the request may be sent after it.
+	// stableWindow is the time after the third crash within which all hosts must
+	// have quarantined the request; retriesAllowed bounds the sends after it.
 	stableWindow   = 3 * time.Second
 	retriesAllowed = 3
 )
 
-// crashing is a Backend whose servers end under requests with crashingBody, as
-// do all other requests that run there.
+// crashing is a Backend whose servers crash on requests with crashingBody; all
+// requests that run on a server fail with it.
 type crashing struct {
 	gateway.Backend
 	memory *store.Memory
 
 	mu      sync.Mutex // guards all below
 	started int
-	lives   map[string]chan struct{} // by server: closed when it has ended
+	lives   map[string]chan struct{} // by server: closed when the server has crashed
 	crashes []time.Time
 	sends   []time.Time // of requests with crashingBody
 }
@@ -57,7 +57,7 @@
 	return c
 }
 
-// start starts a server with an id of its own.
+// start starts a server with a new id.
 func (c *crashing) start() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +89,7 @@
 	return c.lives[id]
 }
 
-// Ended reports whether a server has ended.
+// Ended reports whether a server has crashed.
 func (c *crashing) Ended(_ context.Context, server fleet.Server) bool {
 	select {
 	case <-c.life(server.ID):
@@ -129,8 +129,8 @@
 	return &gateway.Reply{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("ok")), Whole: true}, nil
 }
 
-// retriesAfterThird returns how often the request that crashes servers was sent
-// later than stableWindow after the third crash.
+// retriesAfterThird returns how often crashingBody was sent later than
+// stableWindow after the third crash.
 func (c *crashing) retriesAfterThird() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,14 +146,14 @@
 	return retries
 }
 
-// crashingFleet is a fleet of hosts before servers that crash.
+// crashingFleet is a fleet of hosts whose backend servers can crash.
 type crashingFleet struct {
 	servers *crashing
 	memory  *store.Memory
 	fabric  *network.Fabric
 	hosts   []*Host
-	ends    []context.CancelFunc // of the hosts
-	next    int                  // request
+	ends    []context.CancelFunc // by host
+	next    int                  // number of the last request
 }
 
 func startCrashingFleet(ctx context.Context, hosts int) *crashingFleet {
@@ -183,7 +183,7 @@
 	}
 }
 
-// restartAll ends all hosts at once and starts them again.
+// restartAll stops all hosts at the same time and starts them again.
 func (f *crashingFleet) restartAll(ctx context.Context) {
 	for _, end := range f.ends {
 		end()
@@ -195,7 +195,7 @@
 	time.Sleep(stableWindow)
 }
 
-// request returns a new request and the host whose turn it is.
+// request returns a new request and the next host in round-robin order.
 func (f *crashingFleet) request(body string) (*Host, *gateway.Request) {
 	f.next++
 	now := time.Now()
@@ -210,7 +210,7 @@
 	return host.gateway.Serve(ctx, request, nil)
 }
 
-// pressFor sends the request that crashes servers to one host after the other.
+// pressFor sends crashingBody to the hosts in turn for the duration d.
 func (f *crashingFleet) pressFor(ctx context.Context, d time.Duration) {
 	for began := time.Now(); time.Since(began) < d; time.Sleep(400 * time.Millisecond) {
 		host, request := f.request(crashingBody)
@@ -229,8 +229,8 @@
 	})
 }
 
-// Guards against a request that crashes one backend server after the other, as
-// its caller repeats it at every host.
+// Guards against a request that crashes one backend server after another because
+// its caller retries it at every host.
 func TestRequestThatCrashesServersIsQuarantined(t *testing.T) {
 	for _, hosts := range []int{7, 40} {
 		withCrashingFleet(t, hosts, func(ctx context.Context, is *is.I, f *crashingFleet) {
@@ -254,8 +254,8 @@
 	})
 }
 
-// Guards against a quarantine that is never stored, as the store was away when
-// it began.
+// Guards against a quarantine that is never stored because the store was
+// unavailable when the quarantine began.
 func TestQuarantineIsStoredOnceTheStoreIsBack(t *testing.T) {
 	withCrashingFleet(t, 7, func(ctx context.Context, is *is.I, f *crashingFleet) {
 		f.memory.SetFaults(store.Faults{Outage: true})
@@ -269,7 +269,8 @@
 	})
 }
 
-// Guards against a host that stops at what another writer left in the store.
+// Guards against a host that fails on a stored quarantine that another writer
+// has overwritten.
 func TestStoredQuarantineThatCannotBeRead(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{"", "7", "[]", `{"requests":7}`, `{"requests":[{"fingerprint":"not hexadecimal"}]}`} {
@@ -287,7 +288,7 @@
 	is.Equal(read, records)
 }
 
-// Guards against a quarantine that comes back with the store after it has ended.
+// Guards against an ended quarantine that is restored from the store.
 func TestEndOfAQuarantineIsStored(t *testing.T) {
 	is := is.New(t)
 	h, memory := alone(stays)
--- a/gatewayhost/release.go
+++ b/gatewayhost/release.go
@@ -13,16 +13,18 @@
 
 const (
 	msgReleased    = "backend server has no more what was sent to it; its places are free"
-	msgHeldNotSaid = "backend server does not say what it has"
+	msgHeldNotSaid = "backend server did not report its generations"
 
-	// releaseInterval spaces the questions to one engine.
+	// releaseInterval is the interval between queries to one engine;
+	// releaseTimeout bounds one query.
 	releaseInterval = time.Second
 	releaseTimeout  = 500 * time.Millisecond
 )
 
-// releaseLost asks engines at which generations make no progress which ones they
-// have, and ends the bookings of all others, until ctx ends. The generations
-// themselves go on waiting: what an engine has sent may yet come.
+// releaseLost queries engines at which generations make no progress for the
+// generations that they have, and releases the reservations of all others, until
+// ctx ends. The generations themselves keep waiting, as output that the engine
+// has already sent may still arrive.
 func (h *Host) releaseLost(ctx context.Context) error {
 	for sleep.For(ctx, releaseInterval) == nil {
 		var group sync.WaitGroup
--- a/gatewayhost/release_test.go
+++ b/gatewayhost/release_test.go
@@ -13,8 +13,8 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// Guards against places that are kept by generations whose connections have
-// gone silent.
+// Guards against slots that stay reserved for generations whose connections have
+// become silent and that the engine no longer has.
 func TestPlacesOfLostGenerationsAreFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/gatewayhost/stop.go
+++ b/gatewayhost/stop.go
@@ -11,45 +11,46 @@
 )
 
 const (
-	// MsgStopping is the log message of a stop's beginning.
+	// MsgStopping is the log message written when a graceful stop begins.
 	MsgStopping = "entry host stops"
 	msgCutOff   = "requests cut off at the end of the grace"
 
-	// calledBack is how long a stopping host goes on taking calls, so that
-	// callers hear of it first: their answers' TTL and a round trip.
+	// calledBack is how long a stopping host keeps accepting requests until
+	// callers have refreshed their addresses: addressesTTL and a round trip.
 	calledBack = 1500 * time.Millisecond
-	// stopMargin is what a stop keeps of the grace for its own end.
+	// stopMargin is the part of StopGrace that is reserved for ending the
+	// process.
 	stopMargin = 300 * time.Millisecond
-	// stopCheck spaces the checks whether generations still run.
+	// stopCheck is the interval between checks for running generations.
 	stopCheck = 50 * time.Millisecond
-	// lastRequests is how long before its end a host opens no connections any
-	// more; what comes later could not be answered in time.
+	// lastRequests is how long before the stop deadline a host stops accepting
+	// connections; later requests could not be answered in time.
 	lastRequests = time.Second
 )
 
-// Ready reports whether this host takes requests.
+// Ready reports whether this host accepts requests.
 func (h *Host) Ready() bool { return !h.stopping.Load() && h.gateway.Configuration() != nil }
 
-// Stopping reports whether this host is being stopped.
+// Stopping reports whether a graceful stop has begun.
 func (h *Host) Stopping() bool { return h.stopping.Load() }
 
-// stop ends the host so that no caller notices: it is taken out of readiness
-// and of address answers, goes on serving until callers have heard of it, and
-// finishes what it has read.
+// stop drains the host without failing requests: it reports not ready, leaves
+// the address lists, keeps serving until callers have refreshed their addresses,
+// and finishes the requests it has read.
 //
-// Failure: all hosts are stopped in turn, one each second, and each has
-// generations that run for the whole grace. For seconds no host takes a
-// connection, and most requests fail. A host therefore goes on taking
-// what ends before it does for as long as generations keep it alive.
+// Failure: all hosts are stopped in turn, one per second, and each has
+// generations that run for the whole grace period. For seconds no host accepts a
+// connection, and most requests fail. A host therefore keeps accepting requests
+// that can end before its deadline as long as generations keep it running.
 func (h *Host) stop(callers *http.Server) {
 	h.logger.Info(MsgStopping)
 	h.stopping.Store(true)
 	deadline := time.Now().Add(h.options.StopGrace - stopMargin)
 	h.gateway.Stop(deadline)
 	h.node.Load().Leave("")
-	_ = sleep.For(context.Background(), calledBack) // never ends early
+	_ = sleep.For(context.Background(), calledBack) // the context never ends
 	for h.gateway.Generations() > 0 && time.Until(deadline) > lastRequests {
-		_ = sleep.For(context.Background(), stopCheck) // never ends early
+		_ = sleep.For(context.Background(), stopCheck) // the context never ends
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
--- a/gatewayhost/stop_test.go
+++ b/gatewayhost/stop_test.go
@@ -18,7 +18,7 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// streaming answers every request with a stream that lasts so long.
+// streaming answers every request with a stream of the given duration.
 type streaming struct {
 	servers
 	lasts time.Duration
@@ -34,13 +34,14 @@
 	return &gateway.Reply{Status: http.StatusOK, Header: http.Header{}, Body: reader, Whole: true}, nil
 }
 
-// nobody takes a stream and keeps nothing.
+// nobody discards a stream.
 type nobody struct{}
 
 func (nobody) Begin(int, http.Header) error { return nil }
 func (nobody) Event([]byte) error           { return nil }
 
-// Guards against seconds in which no host takes connections as all are stopped in turn.
+// Guards against seconds in which no host accepts connections, when all hosts are
+// stopped in turn.
 func TestStoppingHostTakesCallsWhileItsLettersRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -69,10 +70,10 @@
 		}()
 		time.Sleep(3 * time.Second)
 		conn, err := fabric.Host("10.0.0.2").Dial(t.Context(), "10.0.0.1:8000")
-		is.NoErr(err) // three seconds after the wish to stop
+		is.NoErr(err) // three seconds after the stop began
 		is.NoErr(conn.Close())
 		took := <-stopped
-		is.True(took > 4*time.Second && took < 6*time.Second) // with its last letter
+		is.True(took > 4*time.Second && took < 6*time.Second) // ends with its last generation
 		_, err = fabric.Host("10.0.0.2").Dial(t.Context(), "10.0.0.1:8000")
 		is.True(err != nil)
 	})
