--- a/replica/follower.go
+++ b/replica/follower.go
@@ -21,42 +21,45 @@
 	activeCheckPeriod = 500 * time.Millisecond
 )
 
-// Follower keeps a Table up to date from the store: a list, then long-poll
-// watches. A few hosts watch; the others learn from their peers.
+// Follower keeps a Table up to date with the objects of a kind in the store: it
+// lists them once, then follows changes with long-poll watches. Only a few hosts
+// watch; the others receive changes from their peers.
 type Follower struct {
 	Store store.Store
 	Kind  string // of the objects followed
 	Table *Table
-	// Active says whether this host watches now; nil: always. A host that is
-	// not active has no call waiting in the store.
+	// Active reports whether this host should watch now; nil means always. An
+	// inactive follower makes no calls, but a watch already pending is not
+	// cancelled.
 	Active func() bool
-	// Spacing is the least time between two calls that found changes; zero:
-	// none. Changes come in groups, and each call has its price.
+	// Spacing is the pause after a watch, before the next one; zero means none.
+	// Changes come in bursts and each call has a cost, so a pause batches them.
 	Spacing time.Duration
-	// Backoff spaces the tries while the store is away; its zero value has
-	// defaults.
+	// Backoff separates attempts while the store is unavailable; its zero value
+	// has defaults.
 	Backoff store.Backoff
-	Logger  *zap.Logger // nil: no log
+	Logger  *zap.Logger // nil disables logging
 
-	// OnCompacted is called when the store has dropped changes that this
-	// follower waited for; nil: nothing is. It must not block.
+	// OnCompacted is called when the store has compacted changes that this
+	// follower's watch still needed; it may be nil. It must not block.
 	OnCompacted func()
 
-	reached   atomic.Uint64 // revision of the newest list or change that the store gave
+	reached   atomic.Uint64 // revision reached by the newest list or watch of the store
 	reachable atomic.Bool
-	failed    moment.Moment // when the store last did not answer
+	failed    moment.Moment // time of the last failed call to the store
 
 	mu     sync.Mutex         // guards all below
-	cancel context.CancelFunc // of the waiting watch; nil: none waits
-	doubt  bool               // list again
+	cancel context.CancelFunc // cancels the pending watch; nil if there is none
+	doubt  bool               // list again before the next watch
 }
 
-// Relist makes the follower list its objects again instead of waiting on.
+// Relist cancels the pending watch and makes the follower list its objects again.
 //
-// Failure: the store drops its history while changes are made. A follower of
-// a kind that goes on changing is told so; one whose kind is quiet waits on a
-// watch that has missed a change, and hears of it with the next one only. The
-// history is that of all kinds, so that whoever is told so tells the others.
+// Failure: the store compacts its history while objects change. The follower of
+// a kind that keeps changing receives ErrCompacted, but the watch of a kind with
+// few changes may have missed one and stays pending until the next. All kinds
+// share one history, so a follower that receives ErrCompacted makes the others
+// relist through OnCompacted.
 func (f *Follower) Relist() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,7 +69,7 @@
 	}
 }
 
-// doubted reports whether Relist was called since it was asked last.
+// doubted reports whether Relist was called since the last call of doubted.
 func (f *Follower) doubted() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,7 +78,9 @@
 	return doubt
 }
 
-// waiting notes what ends the watch that begins or, if nil, that it has ended.
+// waiting sets the function that cancels the watch about to begin; nil means that
+// the watch has ended. A watch for which Relist was already called is cancelled
+// immediately.
 func (f *Follower) waiting(cancel context.CancelFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,18 +90,18 @@
 	}
 }
 
-// Undisturbed returns how long ago the store last failed to answer this
-// follower, or moment.Never.
+// Undisturbed returns the time since a store call by this follower last failed,
+// or moment.Never.
 func (f *Follower) Undisturbed() time.Duration { return f.failed.Age() }
 
-// Reached returns the revision up to which the store's own lists and watches
-// brought changes of the kind; what peers told does not count.
+// Reached returns the revision up to which this follower's own lists and watches
+// have delivered changes of the kind; updates from peers do not count.
 func (f *Follower) Reached() store.Version { return store.Version(f.reached.Load()) }
 
 // Reachable reports whether the last call to the store succeeded.
 func (f *Follower) Reachable() bool { return f.reachable.Load() }
 
-// Run follows the store until ctx ends, whose error it returns.
+// Run follows the store until ctx ends, and returns the error of ctx.
 func (f *Follower) Run(ctx context.Context) error {
 	var after store.Version
 	listed := false
@@ -131,8 +136,9 @@
 	return ctx.Err()
 }
 
-// settle notes whether the store answered, and waits before the next try when
-// it did not: hosts that lost it together must not come back together.
+// settle records whether the store answered, and backs off if it did not. The
+// backoff has jitter, so hosts that lost the store at the same time do not retry
+// at the same time.
 func (f *Follower) settle(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -151,8 +157,8 @@
 	return f.Backoff.Wait(ctx)
 }
 
-// Refresh brings the table up to date with the store once. Errors: those of
-// store.Store.List.
+// Refresh lists the objects once and adopts them into the table. Errors: those
+// of store.Store.List.
 func (f *Follower) Refresh(ctx context.Context) error {
 	_, err := f.list(ctx)
 	return err
--- a/replica/follower_test.go
+++ b/replica/follower_test.go
@@ -12,7 +12,7 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// deafStore is a store whose watches of a kind hear nothing.
+// deafStore is a store whose watches of one kind deliver no changes.
 type deafStore struct {
 	*store.Memory
 	mu   sync.Mutex // guards deaf
@@ -36,7 +36,8 @@
 	s.deaf = kind
 }
 
-// Guards against a watch that misses a change before the history was dropped.
+// Guards against a change that a watch missed before the history was compacted,
+// and that no later change of its kind reveals.
 func TestQuietKindIsListedAgainAfterACompaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, ctx := is.New(t), t.Context()
@@ -52,9 +53,9 @@
 		version, err := memory.Put(ctx, "configuration", "main", []byte("1"), 0)
 		is.NoErr(err)
 		time.Sleep(time.Second)
-		is.True(table.Version() < version) // nobody heard of it
+		is.True(table.Version() < version) // no watch delivered it
 		memory.set("")
-		servers.OnCompacted() // as the servers' watch is told
+		servers.OnCompacted() // as when the servers' watch returns ErrCompacted
 		time.Sleep(time.Second)
 		is.Equal(table.Version(), version)
 		stop()
--- a/replica/table.go
+++ b/replica/table.go
@@ -1,6 +1,6 @@
-// Package replica holds copies of the store's objects on one host. For each
-// object the version only rises, whoever offers one: the store, a peer, in any
-// order.
+// Package replica keeps copies of the store's objects on one host. The version of
+// each object only increases, whether updates come from the store or from peers,
+// and in whatever order.
 package replica
 
 import (
@@ -18,21 +18,21 @@
 var (
 	adopted = prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: "papayasail", Subsystem: "configuration", Name: "adopted_total",
-		Help: "Versions put in force.",
+		Help: "Object versions adopted.",
 	})
 	refusedOlder = prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: "papayasail", Subsystem: "configuration", Name: "refused_older_total",
-		Help: "Objects offered in an older version than this host has had.",
+		Help: "Objects refused because this host has already had a newer version.",
 	})
 	unreadable = prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: "papayasail", Subsystem: "configuration", Name: "unreadable_total",
-		Help: "Versions that could not be parsed; the last good one stays in force.",
+		Help: "Versions that could not be parsed; the last valid one stays active.",
 	})
 )
 
 func init() { prometheus.MustRegister(adopted, refusedOlder, unreadable) }
 
-// Finding says that a stored object could not be put in force.
+// Finding is a stored object that could not be applied, and the error.
 type Finding struct {
 	Kind    string
 	Name    string // stored name
@@ -40,17 +40,19 @@
 	Err     error
 }
 
-// Apply puts an object's content in force; a deleted object has no value. On
-// an error the content before stays in force. It is called for each version
-// that is taken, in rising order, with the table's lock held.
+// Apply activates an object's content; a deleted object has no value. If it
+// returns an error, the previous content stays active. It is called for each
+// version that the table adopts, in increasing order within a batch, with the
+// table's lock held.
 type Apply func(store.Object) error
 
-// Table is the set of objects that this host has had.
+// Table is the set of objects that this host has received, including tombstones
+// of deleted ones.
 //
-// Batches that hold all changes after a version that this host has (a list,
+// Batches that contain all changes after a version that this host has (a list,
 // watches in order, a peer's Since of this host's Version) leave the table
 // complete up to its Version. A host whose digest still differs from a peer's
-// after such a batch asks for Since(0).
+// after such a batch requests Since(0).
 type Table struct {
 	apply Apply
 
@@ -58,14 +60,14 @@
 	objects   map[objectKey]store.Object
 	listed    map[string]store.Version // by kind: revision of the newest list
 	version   store.Version
-	complete  bool   // has had all there was at one moment
+	complete  bool   // has had all objects of one point in time
 	digest    uint64 // sum of the hashes of all objects that are not deleted
 	listeners []func()
 }
 
 type objectKey struct{ kind, name string }
 
-// New returns an empty table that puts objects in force with apply.
+// New returns an empty table that activates objects with apply.
 func New(apply Apply) *Table {
 	return &Table{
 		apply:   apply,
@@ -74,7 +76,7 @@
 	}
 }
 
-// Get returns an object that is not deleted.
+// Get returns an object, and whether the table has it and it is not deleted.
 func (t *Table) Get(kind, name string) (store.Object, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -82,9 +84,10 @@
 	return object, ok && !object.Deleted
 }
 
-// Adopt puts those objects in force that are newer than what this host has
-// had, and returns how many. Deleted objects are kept as tombstones, so that a
-// peer or a slow answer cannot bring an older version back.
+// Adopt adopts the objects that are newer than those in the table and returns how
+// many there were, with a finding for each that could not be applied. Deleted
+// objects are kept as tombstones, so that a peer or a delayed answer cannot
+// restore an older version.
 func (t *Table) Adopt(objects []store.Object) (changed int, findings []Finding) {
 	t.mu.Lock()
 	changed, findings = t.adoptAll(objects)
@@ -93,7 +96,7 @@
 	return changed, findings
 }
 
-// adoptAll takes objects in order of version. The caller holds mu.
+// adoptAll adopts objects in order of version. The caller holds mu.
 func (t *Table) adoptAll(objects []store.Object) (changed int, findings []Finding) {
 	ordered := slices.Clone(objects)
 	slices.SortStableFunc(ordered, byVersion)
@@ -109,7 +112,7 @@
 	return changed, findings
 }
 
-// notify counts what was adopted and calls the listeners.
+// notify updates the metrics and, if any object changed, calls the listeners.
 func (t *Table) notify(changed int, findings []Finding) {
 	adopted.Add(float64(changed))
 	unreadable.Add(float64(len(findings)))
@@ -124,23 +127,24 @@
 	}
 }
 
-// adopt takes one object. The caller holds mu.
+// adopt adopts one object and reports whether it was newer than the table's. The
+// error is that of apply. The caller holds mu.
 func (t *Table) adopt(object store.Object) (took bool, err error) {
 	key := objectKey{object.Kind, object.Name}
 	had, known := t.objects[key]
 	if object.Version <= had.Version {
-		// An older version comes from a peer that was cut off, a slow answer
-		// of the store, or a store restored from a backup. Serving it would
-		// revert an accepted change.
+		// An older version can come from a peer that was partitioned, a delayed
+		// answer of the store, or a store restored from a backup. Adopting it
+		// would revert an accepted change.
 		if object.Version < had.Version {
 			refusedOlder.Inc()
 		}
 		return false, nil
 	}
 	if listed := t.listed[object.Kind]; object.Version <= listed && !object.Deleted {
-		// A list of the store, newer than this version, did not have it: the
-		// object was deleted before this host heard of it. A peer that still
-		// serves it would bring it back; as a tombstone it goes the other way.
+		// A list newer than this version did not contain the object, so it was
+		// deleted before this host received it. A peer that still has it would
+		// restore it; the tombstone deletes it at that peer instead.
 		object = store.Object{Kind: object.Kind, Name: object.Name, Version: listed, Deleted: true}
 	}
 	if known && !had.Deleted {
@@ -156,9 +160,9 @@
 	return true, t.apply(object)
 }
 
-// AdoptList adopts the answer of a list. Objects of the kind that the list
-// lacks, and that this host knows from an earlier version, were deleted while
-// it did not watch; they become tombstones of the list's revision.
+// AdoptList adopts the result of a list. Objects of the kind that are in the
+// table in an earlier version, but not in the list, were deleted while this host
+// did not watch; they become tombstones at the list's revision.
 func (t *Table) AdoptList(kind string, objects []store.Object, revision store.Version) (changed int, findings []Finding) {
 	listed := make(map[string]bool, len(objects))
 	for _, object := range objects {
@@ -179,47 +183,48 @@
 	return changed, findings
 }
 
-// Listed returns the revision of the newest list of a kind; zero: none.
+// Listed returns the revision of the newest list of a kind; zero if there was none.
 func (t *Table) Listed(kind string) store.Version {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.listed[kind]
 }
 
-// Complete reports whether this host has had everything that the store or a
-// peer had at one moment. Until then what it does not know may exist.
+// Complete reports whether this host has had all objects that the store or a peer
+// had at one point in time. Until then, an object missing from the table may
+// exist in the store.
 func (t *Table) Complete() bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.complete
 }
 
-// SetComplete notes that a peer, itself complete, has given all it had.
+// SetComplete records that a peer with a complete table has sent all its objects.
 func (t *Table) SetComplete() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.complete = true
 }
 
-// Version is the newest version that this host has had of any object; zero
-// means that it has no configuration yet.
+// Version returns the newest version of any object in the table; zero means that
+// this host has no configuration yet.
 func (t *Table) Version() store.Version {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.version
 }
 
-// Digest is a hash of the names and versions of all objects that are not
-// deleted. Hosts with the same objects have the same digest, in whichever
-// order they adopted them.
+// Digest returns a hash of the names and versions of all objects that are not
+// deleted. Hosts with the same objects have the same digest, regardless of the
+// order in which they adopted them.
 func (t *Table) Digest() uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.digest
 }
 
-// Since returns the objects newer than a version, tombstones too, in order of
-// version.
+// Since returns the objects newer than a version, including tombstones, ordered
+// by version.
 func (t *Table) Since(after store.Version) []store.Object {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -238,7 +243,8 @@
 	return objects
 }
 
-// Subscribe has listener called after each change. It must not block.
+// Subscribe registers a listener that is called after each batch with changes,
+// without the table's lock held. It must not block.
 func (t *Table) Subscribe(listener func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
