--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,5 +1,6 @@
-// Package lease grants the exclusive right to a duty for a bounded time, kept
-// in the platform's store, with fencing numbers that rise with every holder.
+// Package lease grants the exclusive right to a duty for a bounded time. Leases
+// are kept in the platform's store and carry fencing numbers that increase with
+// every acquisition.
 package lease
 
 import (
@@ -14,75 +15,78 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// Kind is the kind of the stored leases.
+// Kind is the kind of the stored lease objects.
 const Kind = "lease"
 
 // Lessor grants leases to one host.
 type Lessor interface {
-	// Acquire takes the lease if nobody holds it. Errors: *HeldError,
+	// Acquire acquires the lease if nobody holds it. Errors: *HeldError,
 	// store.ErrUnavailable, store.ErrOutcomeUnknown.
 	Acquire(ctx context.Context, name string) (*Lease, error)
-	// Renew extends the lease and, unless it is nil, replaces the state that
-	// its duty keeps from holder to holder. Errors: ErrLost,
-	// store.ErrUnavailable, store.ErrOutcomeUnknown; after the last two
-	// the lease runs on to its end.
+	// Renew extends the lease and, unless state is nil, replaces the state that
+	// the duty passes from holder to holder. Errors: ErrLost,
+	// store.ErrUnavailable, store.ErrOutcomeUnknown; after the last two the lease
+	// remains valid until it expires.
 	Renew(ctx context.Context, lease *Lease, state json.RawMessage) error
-	// Release ends the lease, so that the next holder has nothing to wait for.
-	// The caller has to be sure that the duty's last action is over. Errors as Renew.
+	// Release ends the lease, so that the next holder need not wait. The caller
+	// must make sure that the duty's last action has ended. Errors: as for Renew.
 	Release(ctx context.Context, lease *Lease) error
 }
 
-// ErrLost means that another host took the lease.
+// ErrLost means that the lease was released or that another host has taken it
+// over.
 var ErrLost = errors.New("lease: lost")
 
-// HeldError means that another host holds the lease, as far as is known.
+// HeldError means that the lease is held, or may still be held, by Holder.
 type HeldError struct {
 	Holder     string
-	RetryAfter time.Duration // when it will have lapsed unless renewed
+	RetryAfter time.Duration // time until the lease expires unless it is renewed
 }
 
 // Error implements error.
 func (e *HeldError) Error() string {
-	return fmt.Sprintf("lease: held by %s, may lapse in %v", e.Holder, e.RetryAfter)
+	return fmt.Sprintf("lease: held by %s, may expire in %v", e.Holder, e.RetryAfter)
 }
 
 // Lease is a granted lease. Its methods may be called from any goroutine.
 type Lease struct {
 	name  string
 	fence uint64
-	quiet time.Time // no action of the duty before
+	quiet time.Time // earliest time at which the holder may begin an action
 
-	// writing serialises writes to the store: who sends to it may write. It is
-	// taken before mu, and not a mutex, since a store may be slow and the wait
-	// has to end with its context.
+	// writing serialises writes to the store: a sender acquires it, and receives
+	// to release it. It is acquired before mu. It is a channel because the store
+	// may be slow and the wait must end with its context.
 	writing chan struct{}
 	mu      sync.Mutex // guards all below
 	version store.Version
 	record  record
-	since   time.Time // when the write that the validity counts from was sent
+	since   time.Time // send time of the write from which the term counts
 	lost    bool
-	writes  uint64               // tries of writes so far; numbers renewals
-	unknown map[uint64]time.Time // when tries with an unknown outcome were sent
+	writes  uint64               // number of attempted writes; the source of renewal numbers
+	unknown map[uint64]time.Time // send times of writes with unknown outcome, by renewal number
 }
 
-// Fence is the fencing number: higher than that of every earlier holder.
+// Fence returns the fencing number, which is higher than that of every earlier
+// acquisition.
 func (l *Lease) Fence() uint64 { return l.fence }
 
-// Name is the name of the duty.
+// Name returns the name of the duty.
 func (l *Lease) Name() string { return l.name }
 
-// Quiet is how long the holder still has to wait before its first action: the
-// longest that an action of a holder before, begun in time, may go on.
+// Quiet returns how long the holder must still wait before its first action,
+// because an action that the previous holder began in time may still be running.
 func (l *Lease) Quiet() time.Duration { return max(0, time.Until(l.quiet)) }
 
-// Remaining is how long the holder may still begin actions; zero or less
-// means not at all. It ends well before others may take the lease.
+// Remaining returns how long the holder may still begin actions; at zero or less
+// it must not begin any. It reaches zero well before others may take over the
+// lease.
 //
-// Failure: the holder is paused past its lease and goes on as if no time had
-// passed. It shows as orders under an old fencing number. The validity counts
-// from before the write was sent, on the monotonic clock, which goes on while
-// a process is stopped. A machine that is suspended may stop that clock too,
-// so the wall clock has to agree.
+// Failure: the holder is paused until its lease has expired and then continues,
+// which shows as orders under an old fencing number. The term therefore counts
+// from before the write was sent, on the monotonic clock, which keeps running
+// while a process is stopped. That clock may stop while the machine is suspended,
+// so the larger of the monotonic and the wall clock times applies.
 func (l *Lease) Remaining() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,19 +99,22 @@
 	return term - term/marginDivisor - passed
 }
 
-// State is what the duty keeps from holder to holder; nil if nothing yet.
+// State returns the state that the duty passes from holder to holder; nil if
+// there is none yet.
 func (l *Lease) State() json.RawMessage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.record.State
 }
 
+// snapshot returns the stored version and record of the lease.
 func (l *Lease) snapshot() (store.Version, record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.version, l.record
 }
 
+// wrote records a write that took effect and was sent at since.
 func (l *Lease) wrote(version store.Version, r record, since time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,7 +122,7 @@
 	clear(l.unknown)
 }
 
-// begin numbers a try of a write.
+// begin returns the number of the next write attempt.
 func (l *Lease) begin() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -123,15 +130,15 @@
 	return l.writes
 }
 
-// doubt notes a write whose outcome is not known.
+// doubt records the send time of a write whose outcome is unknown.
 func (l *Lease) doubt(renewal uint64, since time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.unknown[renewal] = since
 }
 
-// sentAt returns when a write, found in the store, was sent; if that is not
-// known the start of the validity that the lease has anyway.
+// sentAt returns the send time of a write found in the store, or the start of the
+// current term if the send time is not recorded.
 func (l *Lease) sentAt(renewal uint64) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -37,12 +37,13 @@
 		second, err := b.Acquire(ctx, duty)
 		is.NoErr(err)
 		is.True(second.Fence() > first.Fence())
-		is.Equal(second.Quiet(), time.Duration(0)) // released: nothing to wait for
+		is.Equal(second.Quiet(), time.Duration(0)) // released: no previous action to wait for
 		is.Equal(string(second.State()), `{"kept":1}`)
 	})
 }
 
-// Guards against two holders when one is paused past its lease.
+// Guards against two holders at a time when one is paused until its lease has
+// expired.
 func TestHolderPausedPastItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, ctx := is.New(t), t.Context()
@@ -57,17 +58,17 @@
 			is.True(err != nil || !valid)
 			time.Sleep(100 * time.Millisecond)
 		}
-		is.True(first.Remaining() < -2*time.Second) // stopped well before
+		is.True(first.Remaining() < -2*time.Second) // a's validity ended well before
 		is.True(second.Fence() > first.Fence())
-		is.True(second.Quiet() > 29*time.Second) // a's last action may go on
+		is.True(second.Quiet() > 29*time.Second) // a's last action may still be running
 		is.True(errors.Is(a.Renew(ctx, first, nil), ErrLost))
 		is.Equal(first.Remaining(), time.Duration(0))
 	})
 }
 
 func TestLostAnswersKeepTheLease(t *testing.T) {
-	// The store loses the answer to the acquisition and to a renewal. The
-	// holder goes on under the same fencing number.
+	// Guards against a holder losing its lease or its fencing number because the
+	// store's answers to the acquisition and to a renewal are lost.
 	synctest.Test(t, func(t *testing.T) {
 		is, ctx := is.New(t), t.Context()
 		memory := store.NewMemory()
@@ -85,7 +86,8 @@
 	})
 }
 
-// Guards against a lease given up because its own renewal took effect unanswered.
+// Guards against a holder giving up its lease because an earlier renewal took
+// effect but its answer was lost.
 func TestEarlierRenewalTookEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, ctx := is.New(t), t.Context()
@@ -100,7 +102,7 @@
 		stored.Renewal, stored.Fence = 1, object.Version
 		value, err := stored.encode()
 		is.NoErr(err)
-		_, err = memory.Put(ctx, Kind, duty, value, object.Version) // the renewal without an answer
+		_, err = memory.Put(ctx, Kind, duty, value, object.Version) // the renewal whose answer is lost
 		is.NoErr(err)
 		is.True(errors.Is(lessor.Renew(ctx, held, json.RawMessage(`1`)), store.ErrOutcomeUnknown))
 		is.NoErr(lessor.Renew(ctx, held, json.RawMessage(`1`)))
@@ -109,8 +111,8 @@
 }
 
 func TestFenceRisesAfterDeletion(t *testing.T) {
-	// An operator of the platform deletes the lease's object. Engines that
-	// refuse old fencing numbers must still obey the next holder.
+	// Guards against engines refusing orders of the next holder as too old after an
+	// operator of the platform has deleted the lease's object.
 	is, ctx := is.New(t), t.Context()
 	memory := store.NewMemory()
 	lessor := NewStoreLessor(memory, "a", Options{})
@@ -134,11 +136,11 @@
 		memory.SetFaults(store.Faults{Outage: true})
 		time.Sleep(15 * time.Second)
 		is.True(errors.Is(lessor.Renew(ctx, held, nil), store.ErrUnavailable))
-		is.True(held.Remaining() > 0) // runs on to its end
+		is.True(held.Remaining() > 0) // remains valid until it expires
 		time.Sleep(5 * time.Second)
 		is.True(held.Remaining() <= 0)
 		memory.SetFaults(store.Faults{})
-		is.NoErr(lessor.Renew(ctx, held, nil)) // nobody took it: same fence
+		is.NoErr(lessor.Renew(ctx, held, nil)) // no other host has acquired it
 		is.True(held.Remaining() > 0)
 	})
 }
--- a/lease/record.go
+++ b/lease/record.go
@@ -13,13 +13,14 @@
 type record struct {
 	Holder      string `json:"holder"`
 	Acquisition string `json:"acquisition"` // random id of the acquisition
-	Renewal     uint64 `json:"renewal"`     // makes each write unlike the one before
-	// Fence is the version of the write that acquired the lease; zero in that
-	// write itself, whose own version it is. Versions rise store-wide, so the
-	// number rises even if the lease's object is deleted in between.
+	Renewal     uint64 `json:"renewal"`     // number of the write; makes each write distinct
+	// Fence is the version of the write that acquired the lease. It is zero in
+	// that write itself, whose version is not yet known. Versions increase
+	// store-wide, so the number increases even if the lease's object is deleted
+	// in between.
 	Fence      store.Version `json:"fence,omitempty"`
 	TermMillis int64         `json:"term_ms"`
-	// LongestMillis is how long an action, begun in time, may go on.
+	// LongestMillis is how long an action that was begun in time may run.
 	LongestMillis int64           `json:"longest_ms"`
 	Released      bool            `json:"released,omitempty"`
 	State         json.RawMessage `json:"state,omitempty"`
@@ -37,5 +38,5 @@
 func decode(value []byte) (record, error) {
 	var r record
 	err := json.Unmarshal(value, &r)
-	return r, errors.Wrap(err, "lease: stored object")
+	return r, errors.Wrap(err, "lease: decode stored object")
 }
--- a/lease/store_lessor.go
+++ b/lease/store_lessor.go
@@ -30,24 +30,26 @@
 const (
 	defaultTerm    = 20 * time.Second
 	defaultLongest = 30 * time.Second
-	// marginDivisor: a holder stops a fifth of the term before its end.
+	// marginDivisor is the safety margin: a holder begins no action in the last
+	// fifth of the term.
 	marginDivisor = 5
-	// driftDivisor: others wait a tenth longer than the term, for clocks that
-	// run at different speeds.
+	// driftDivisor allows for clock drift: other hosts wait a tenth longer than
+	// the term, as clocks run at different rates.
 	driftDivisor = 10
-	// renewDivisor: a holder renews four times in a term.
+	// renewDivisor is how many times a holder renews in one term.
 	renewDivisor = 4
 )
 
-// Options holds what a StoreLessor may be told; zero values have defaults.
+// Options configure a StoreLessor. Zero values have defaults.
 type Options struct {
 	Term    time.Duration // default 20 s
-	Longest time.Duration // how long an action, begun in time, may go on; default 30 s
+	Longest time.Duration // how long an action that was begun in time may run; default 30 s
 }
 
-// StoreLessor grants leases by conditional writes to the platform's store. No
-// clocks of two machines are compared: a host may take a lease over when it
-// has seen the object unchanged for the holder's term, by its own clock.
+// StoreLessor grants leases by conditional writes to the platform's store. It
+// does not compare the clocks of different machines: a host may take over a lease
+// once it has seen the object unchanged, by its own clock, for the holder's term
+// and a tenth of it.
 type StoreLessor struct {
 	store   store.Store
 	host    string
@@ -57,7 +59,7 @@
 	seen map[string]sighting
 }
 
-// sighting is when a stored lease was first seen in a version.
+// sighting is a version of a stored lease and when it was first seen.
 type sighting struct {
 	version store.Version
 	at      time.Time
@@ -74,7 +76,7 @@
 	return &StoreLessor{store: store, host: host, options: options, seen: map[string]sighting{}}
 }
 
-// RenewEvery is how often a holder should renew.
+// RenewEvery returns the interval at which a holder should renew.
 func (s *StoreLessor) RenewEvery() time.Duration { return s.options.Term / renewDivisor }
 
 // Acquire implements Lessor.
@@ -106,9 +108,10 @@
 	events.WithLabelValues(eventAcquired).Inc()
 	lease := &Lease{name: name, fence: uint64(acquired), quiet: time.Now(), writing: make(chan struct{}, 1), unknown: map[uint64]time.Time{}}
 	if version != 0 && !current.Released {
-		// Failure: an order that the holder before gave just before its lease
-		// lapsed is still being carried out by an engine that ignores fencing
-		// numbers, and undoes ours. Waiting for the longest action lets it end.
+		// Failure: an order that the previous holder sent just before its lease
+		// expired is still being executed by an engine that ignores fencing
+		// numbers, and reverts an order of this holder. Waiting for the longest
+		// action lets it end first.
 		lease.quiet = lease.quiet.Add(current.longest())
 	}
 	next.Fence = acquired
@@ -138,7 +141,7 @@
 	return err
 }
 
-// update writes a changed record over the lease.
+// update writes the lease's record after applying change to it.
 func (s *StoreLessor) update(ctx context.Context, lease *Lease, change func(*record)) error {
 	select {
 	case lease.writing <- struct{}{}:
@@ -169,11 +172,11 @@
 	return nil
 }
 
-// recover finds out why the object has another version than the holder's last
-// write: another host's, or an own earlier write whose answer never came, as
-// happens again and again while the store is slow. The latter is taken in,
-// valid from when it was sent, and reported as unknown so that the caller
-// writes again.
+// recover resolves a version conflict. The stored object is either another host's
+// write, and the lease is lost, or an earlier write of this holder whose answer
+// was lost, which happens repeatedly while the store is slow. Such a write is
+// adopted, with the term counting from when it was sent, and the outcome is
+// reported as unknown so that the caller writes again.
 func (s *StoreLessor) recover(ctx context.Context, lease *Lease) error {
 	version, stored, err := s.read(ctx, lease.name)
 	if err != nil {
@@ -190,7 +193,8 @@
 	return errors.Wrap(store.ErrOutcomeUnknown, "lease: an earlier write took effect")
 }
 
-// lapsesIn returns how long others still have to leave a stored lease alone.
+// lapsesIn returns how long other hosts must still wait before they may take over
+// a stored lease.
 func (s *StoreLessor) lapsesIn(name string, version store.Version, current record) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -205,7 +209,8 @@
 	return s.seen[name].at.Add(term + term/driftDivisor).Sub(now)
 }
 
-// read returns a stored lease; version zero if there is none.
+// read returns the stored version and record of a lease; the version is zero if
+// there is none.
 func (s *StoreLessor) read(ctx context.Context, name string) (store.Version, record, error) {
 	object, err := s.store.Get(ctx, Kind, name)
 	if errors.Is(err, store.ErrNoObject) {
