--- a/store/backoff.go
+++ b/store/backoff.go
@@ -8,12 +8,12 @@
 	"github.com/papayasail/papayasail/internal/sleep"
 )
 
-// Backoff spaces the tries of one loop that calls the store: doubling steps
-// with jitter. It is for one goroutine.
+// Backoff is an exponential backoff with jitter for one loop that calls the store.
+// It must not be used by several goroutines at a time.
 type Backoff struct {
 	Initial time.Duration // first step; default 200 ms
 	Max     time.Duration // longest step; default 15 s
-	Rand    *rand.Rand    // source of jitter; nil: the process-wide one
+	Rand    *rand.Rand    // source of jitter; nil means the process-wide one
 
 	attempt int
 }
@@ -23,9 +23,10 @@
 	defaultBackoffMax     = 15 * time.Second
 )
 
-// Next returns how long to wait before the next try. A step is drawn evenly
-// from half of it to the whole: hosts that failed at the same moment, when the
-// store went away, come back at different ones and do not overload it again.
+// Next returns how long to wait before the next attempt, and doubles the step up
+// to Max. The wait is uniformly distributed between half the step and the whole
+// step, so that hosts whose calls failed at the same time, when the store became
+// unavailable, do not retry at the same time and overload it again.
 func (b *Backoff) Next() time.Duration {
 	step, longest := b.Initial, b.Max
 	if step <= 0 {
@@ -42,10 +43,11 @@
 	return step/2 + time.Duration(b.float()*float64(step/2))
 }
 
-// Reset starts again from the first step, after a success.
+// Reset returns to the first step; it is called after a success.
 func (b *Backoff) Reset() { b.attempt = 0 }
 
-// Wait sleeps for Next or until ctx ends, whose error it returns.
+// Wait sleeps for the duration Next returns, or until ctx ends; then it returns
+// the error of ctx.
 func (b *Backoff) Wait(ctx context.Context) error { return sleep.For(ctx, b.Next()) }
 
 func (b *Backoff) float() float64 {
--- a/store/counted.go
+++ b/store/counted.go
@@ -11,12 +11,12 @@
 	Namespace: "papayasail",
 	Subsystem: "platform",
 	Name:      "calls_total",
-	Help:      "Calls to the platform's store by operation and result; a waiting watch counts as one. Result over_budget was not sent.",
+	Help:      "Calls to the platform's store by operation and result; a long-poll watch counts as one. Calls with result over_budget were not sent.",
 }, []string{"op", "result"})
 
 func init() { prometheus.MustRegister(calls) }
 
-// Operations and results, the labels of the counter of calls.
+// Label values of the calls counter: operations and results.
 const (
 	opGet   = "get"
 	opPut   = "put"
@@ -36,19 +36,19 @@
 	resultOther       = "error"
 )
 
-// Checker is a store with calls that cost a fraction of the others.
+// Checker is a store with additional calls that cost a fraction of the others.
 type Checker interface {
 	Store
-	// Check only shows whether the store answers.
+	// Check returns an error if the store does not answer.
 	Check(ctx context.Context) error
-	// ListStale is List as of a moment that may be seconds ago.
+	// ListStale is like List, but its result may be seconds old.
 	ListStale(ctx context.Context, kind string) ([]Object, Version, error)
 }
 
-// Counted counts the calls to a store.
+// Counted is a Store that counts the calls to another store.
 type Counted struct{ store Store }
 
-// NewCounted counts the calls to store.
+// NewCounted returns a Counted that wraps store.
 func NewCounted(store Store) *Counted { return &Counted{store: store} }
 
 // Get implements Store.
@@ -79,13 +79,13 @@
 	return objects, revision, err
 }
 
-// CountedChecker counts the calls to a store that can be checked.
+// CountedChecker is a Checker that counts the calls to another Checker.
 type CountedChecker struct {
 	*Counted
 	checker Checker
 }
 
-// NewCountedChecker counts the calls to store.
+// NewCountedChecker returns a CountedChecker that wraps store.
 func NewCountedChecker(store Checker) *CountedChecker {
 	return &CountedChecker{Counted: NewCounted(store), checker: store}
 }
--- a/store/counted_test.go
+++ b/store/counted_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestCallsAreCountedOnce(t *testing.T) {
-	// Calls to the store have a price, and on the users' platform the counter
-	// stood at zero: only the store behind a budget counted.
+	// Guards against calls that are not counted because only Limited counts them:
+	// the counter stayed at zero where the store is used without a call budget.
 	is, ctx := is.New(t), context.Background()
 	read := func(op, result string) float64 {
 		var metric dto.Metric
@@ -33,7 +33,7 @@
 	is.Equal(read(opCheck, resultOK), checks+1)
 }
 
-// sound is a store that answers each check.
+// sound is a store that passes every check.
 type sound struct{ *Memory }
 
 func (sound) Check(context.Context) error { return nil }
--- a/store/limited.go
+++ b/store/limited.go
@@ -7,12 +7,13 @@
 	"golang.org/x/time/rate"
 )
 
-// Budget bounds the calls of one host.
+// Budget limits the rate of one host's calls.
 type Budget struct {
-	// Rate is in calls per second. Hosts times Rate has to stay under what the
-	// store takes: 390 hosts at the default of 4 make 1,560 of 2,000.
+	// Rate is in calls per second; default 4. The number of hosts times Rate must
+	// stay below the store's capacity: 390 hosts at the default make 1,560 of
+	// 2,000 calls per second.
 	Rate  float64
-	Burst int // calls; default 8
+	Burst int // in calls; default 8
 }
 
 const (
@@ -20,13 +21,13 @@
 	defaultBurst = 8
 )
 
-// Limited is a Store that counts each call and holds its host to a Budget.
+// Limited is a Store that counts each call and limits its host's calls to a Budget.
 type Limited struct {
 	store   Store
 	limiter *rate.Limiter
 }
 
-// NewLimited puts a budget before store.
+// NewLimited returns a Limited that wraps store.
 func NewLimited(store Store, budget Budget) *Limited {
 	if budget.Rate <= 0 {
 		budget.Rate = defaultRate
@@ -69,8 +70,9 @@
 	return l.store.Watch(ctx, kind, after)
 }
 
-// take waits for the budget. When ctx ends before the budget allows the call,
-// nothing is sent, so the error is ErrUnavailable: a write did not happen.
+// take waits until the budget allows a call. If ctx ends first, or would end
+// before then, nothing is sent, so the error is ErrUnavailable: a write did not
+// happen.
 func (l *Limited) take(ctx context.Context, op string) error {
 	if err := l.limiter.Wait(ctx); err != nil {
 		calls.WithLabelValues(op, resultOverBudget).Inc()
--- a/store/memory.go
+++ b/store/memory.go
@@ -12,38 +12,39 @@
 	"github.com/papayasail/papayasail/internal/sleep"
 )
 
-// Memory is a Store in memory: the twin of the platform's metadata store for tests
-// and stand-ins, with switches for its failures.
+// Memory is an in-memory Store with fault injection. It simulates the platform's
+// metadata store in tests and stand-ins.
 type Memory struct {
-	// WatchLimit is how long Watch waits for a change. Set before first use.
+	// WatchLimit is how long Watch waits for a change. Set it before first use.
 	WatchLimit time.Duration
-	// KeepEvents is how many changes Watch can go back. Set before first use.
+	// KeepEvents is how many changes are kept for Watch. Set it before first use.
 	KeepEvents int
 
 	mu        sync.Mutex // guards all below
 	objects   map[objectKey]Object
 	revision  Version
 	events    []Object      // the last changes, in order
-	compacted Version       // changes up to here are no longer in events
-	changed   chan struct{} // closed and replaced at each change of state
+	compacted Version       // changes up to this revision are no longer in events
+	changed   chan struct{} // closed and replaced at each change of objects, history or faults
 	faults    Faults
 	calls     uint64
 }
 
 type objectKey struct{ kind, name string }
 
-// Faults are the failures that a stand-in of the store shows.
+// Faults are the failures injected into a simulated store.
 type Faults struct {
 	// Outage refuses every call; nothing is written.
 	Outage bool `json:"outage"`
-	// Silent takes every call and answers none; waiting watches end.
+	// Silent accepts every call and answers none; pending watches end.
 	Silent bool `json:"silent"`
-	// Slow delays every call; watches too.
+	// Slow delays every call, including watches.
 	Slow time.Duration `json:"slow_ns"`
-	// LoseAnswers loses the answers of so many writes after they took effect.
+	// LoseAnswers is the number of next writes whose answers are lost after they
+	// took effect.
 	LoseAnswers int `json:"lose_answers"`
-	// LoseRequests loses so many writes before they take effect; the caller
-	// cannot tell them from lost answers.
+	// LoseRequests is the number of next writes that are lost before they take
+	// effect; the caller cannot distinguish them from lost answers.
 	LoseRequests int `json:"lose_requests"`
 }
 
@@ -62,7 +63,7 @@
 	}
 }
 
-// SetFaults replaces the switches. An outage and silence end waiting watches.
+// SetFaults replaces the injected faults. Outage and Silent end pending watches.
 func (m *Memory) SetFaults(faults Faults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -70,14 +71,14 @@
 	m.wake()
 }
 
-// Faults returns the switches as they stand.
+// Faults returns the faults that are currently injected.
 func (m *Memory) Faults() Faults {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.faults
 }
 
-// Calls returns how many calls arrived; a waiting watch counts as one.
+// Calls returns how many calls arrived; a long-poll watch counts as one.
 func (m *Memory) Calls() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -98,13 +99,13 @@
 	return clone(object), nil
 }
 
-// Set writes an object whatever its version and whatever the faults, as the
-// platform's operators and servers do.
+// Set writes an object regardless of its version and of the faults. It simulates
+// writes by the platform's operators and servers.
 func (m *Memory) Set(kind, name string, value []byte) Version {
 	return m.overwrite(Object{Kind: kind, Name: name, Value: value})
 }
 
-// Remove removes an object as Set writes one.
+// Remove deletes an object regardless of its version and of the faults.
 func (m *Memory) Remove(kind, name string) {
 	m.overwrite(Object{Kind: kind, Name: name, Deleted: true})
 }
@@ -123,7 +124,7 @@
 	return version
 }
 
-// Forget drops the history of changes, as the platform does at times.
+// Forget compacts the whole history of changes, as the platform occasionally does.
 func (m *Memory) Forget() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -131,8 +132,8 @@
 	m.wake()
 }
 
-// Put implements Store. A slow store carries a write out even when its caller
-// has given up meanwhile.
+// Put implements Store. With Slow set, a write takes effect even if its caller has
+// given up in the meantime.
 func (m *Memory) Put(ctx context.Context, kind, name string, value []byte, expect Version) (Version, error) {
 	if len(value) > MaxValueBytes {
 		return 0, errors.Newf("platform: value of %d bytes is over the limit of %d", len(value), MaxValueBytes)
@@ -164,7 +165,7 @@
 	}
 }
 
-// put carries a write out.
+// put applies a conditional write, subject to the faults.
 func (m *Memory) put(object Object, expect Version) (Version, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -184,7 +185,7 @@
 }
 
 // Delete removes an object if its version is expect, and leaves a watch event.
-// It is not part of Store: only the platform's own operators delete.
+// It is not part of Store, because only the platform's operators delete objects.
 func (m *Memory) Delete(ctx context.Context, kind, name string, expect Version) (Version, error) {
 	if err := m.arrive(ctx); err != nil {
 		return 0, err
@@ -233,8 +234,8 @@
 	}
 }
 
-// eventsAfter returns the kept changes of a kind after a revision, and the
-// channel that is closed at the next change of state.
+// eventsAfter returns the changes of a kind after a revision, the revision that
+// they reach, and the channel that is closed at the next change.
 func (m *Memory) eventsAfter(kind string, after Version) ([]Object, Version, <-chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -253,7 +254,7 @@
 	return objects, max(m.revision, after), m.changed, nil
 }
 
-// count counts a call and returns how long the store takes for it.
+// count counts a call and returns the injected delay.
 func (m *Memory) count() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -261,7 +262,7 @@
 	return m.faults.Slow
 }
 
-// arrive counts a call and applies slowness and outage.
+// arrive counts a call and applies the faults Slow, Silent and Outage.
 func (m *Memory) arrive(ctx context.Context) error {
 	if err := sleep.For(ctx, m.count()); err != nil {
 		return errors.Mark(err, ErrUnavailable)
@@ -301,7 +302,7 @@
 	return object.Version, nil
 }
 
-// wake lets waiting watches look again. The caller holds mu.
+// wake makes pending watches check for changes and faults. The caller holds mu.
 func (m *Memory) wake() {
 	close(m.changed)
 	m.changed = make(chan struct{})
--- a/store/settle.go
+++ b/store/settle.go
@@ -7,17 +7,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// PutSettled writes like Store.Put and settles a lost answer itself: it makes
-// the same conditional write again until the store says what holds. Value has
-// to be unlike any other writer's, which a random id in it ensures.
+// PutSettled is like Store.Put but resolves unknown outcomes: it retries the same
+// conditional write until the store confirms whether it took effect. Value must
+// differ from every other writer's; a random id in it ensures that.
 //
-// Failure: the answer to a write is lost after it took effect. It shows as
-// VersionError at the second try, against our own write. The guard reads the
-// object and compares the value. The condition makes the repeat safe, and a
-// first try that is still on its way cannot take effect after the second.
+// Failure: the answer to a write is lost after the write took effect. The retry
+// then returns a VersionError caused by this writer's own write, so PutSettled
+// reads the object and compares the value. The condition makes the retry safe,
+// and a first attempt that is still in flight cannot take effect after the second.
 //
-// Errors: *VersionError (the object holds another write), ErrUnavailable
-// (nothing was written), ErrOutcomeUnknown (ctx ended before the store said).
+// Errors: *VersionError (the object was written by another writer),
+// ErrUnavailable (nothing was written), ErrOutcomeUnknown (ctx ended before the
+// outcome was known).
 func PutSettled(ctx context.Context, store Store, kind, name string, value []byte, expect Version) (Version, error) {
 	var backoff Backoff
 	sent := false
--- a/store/settle_test.go
+++ b/store/settle_test.go
@@ -13,9 +13,8 @@
 )
 
 func TestPutSettled(t *testing.T) {
-	// The holder of a lease renews it, and the store's answer is lost, with or
-	// without the write. The holder must learn the version it has, not take
-	// its own write for another's.
+	// Guards against a lease holder that mistakes its own renewal for another host's
+	// write when the store's answer is lost, with or without the write.
 	for _, faults := range []store.Faults{{}, {LoseAnswers: 1}, {LoseAnswers: 2}, {LoseRequests: 2}, {LoseRequests: 1, LoseAnswers: 1}} {
 		synctest.Test(t, func(t *testing.T) {
 			is, ctx := is.New(t), t.Context()
--- a/store/storetest/conformance.go
+++ b/store/storetest/conformance.go
@@ -1,5 +1,5 @@
-// Package storetest holds the conformance suite that every store.Store has to
-// pass. Values are JSON, as the platform's store holds nothing else.
+// Package storetest contains the conformance suite that every store.Store must
+// pass. Values are JSON, as the platform's store accepts nothing else.
 package storetest
 
 import (
@@ -18,8 +18,8 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// Subject is a store under test with the memory twin behind it, whose switches
-// the suite uses.
+// Subject is a store under test, with the in-memory store behind it, which the
+// suite uses to inject faults.
 type Subject struct {
 	Store  store.Store
 	Memory *store.Memory
@@ -27,8 +27,8 @@
 
 const kind = "thing"
 
-// Conformance runs the suite. Open is called in the synctest bubble of each
-// test and has to register the closing of what it opened with t.Cleanup.
+// Conformance runs the suite. It calls open in the synctest bubble of each test;
+// open must register the cleanup of its resources with t.Cleanup.
 func Conformance(t *testing.T, open func(t *testing.T) Subject) {
 	for _, c := range []struct {
 		name string
@@ -226,12 +226,12 @@
 	start := time.Now()
 	_, err := s.Store.Put(ctx, kind, "a", nil, 0)
 	is.True(errors.Is(err, store.ErrUnavailable) || errors.Is(err, store.ErrOutcomeUnknown))
-	is.Equal(time.Since(start), time.Second) // the caller's deadline holds
+	is.Equal(time.Since(start), time.Second) // the caller's deadline is met
 	s.Memory.SetFaults(store.Faults{})
 	time.Sleep(time.Minute)
 	_, readErr := s.Store.Get(t.Context(), kind, "a")
 	if errors.Is(err, store.ErrUnavailable) {
-		is.True(errors.Is(readErr, store.ErrNoObject)) // "nothing was written" is true
+		is.True(errors.Is(readErr, store.ErrNoObject)) // nothing was written, as the error promises
 	}
 }
 
@@ -252,7 +252,7 @@
 	is, ctx := is.New(t), t.Context()
 	_, err := s.Store.Put(ctx, kind, "a", make([]byte, store.MaxValueBytes+1), 0)
 	is.True(err != nil)
-	is.True(!errors.Is(err, store.ErrUnavailable)) // trying again is of no use
+	is.True(!errors.Is(err, store.ErrUnavailable)) // a retry cannot succeed
 	largest := []byte(strconv.Quote(strings.Repeat("a", store.MaxValueBytes-len(`""`))))
 	_, err = s.Store.Put(ctx, kind, "a", largest, 0)
 	is.NoErr(err)
