--- a/gatewayhost/apply.go
+++ b/gatewayhost/apply.go
@@ -26,7 +26,7 @@
 		return h.applyServer(object)
 	case object.Kind == objects.Evacuations:
 		h.fleet.SetEvacuated(object.Name, !object.Deleted)
-		h.evacuated.Store(max(h.evacuated.Load(), uint64(object.Version)))
+		h.evacuationRevision.Store(max(h.evacuationRevision.Load(), uint64(object.Version)))
 	}
 	return nil
 }
@@ -51,20 +51,20 @@
 	return nil
 }
 
-// undisturbed returns the time since a store call by this host or by an
+// sinceStoreFailure returns the time since a store call by this host or by an
 // allocator last failed.
-func (h *Host) undisturbed() time.Duration {
+func (h *Host) sinceStoreFailure() time.Duration {
 	return min(h.servers.Undisturbed(), h.allocation.Undisturbed())
 }
 
 const (
-	// lapsedReturn is the time after a store outage within which live servers
+	// entryRecoveryTime is the time after a store outage within which live servers
 	// have recreated the entries that expired during the outage.
-	lapsedReturn = 2500 * time.Millisecond
-	// departsTimeout bounds one status query to a server whose entry is gone;
-	// departsInterval separates two of them.
-	departsTimeout  = 200 * time.Millisecond
-	departsInterval = 250 * time.Millisecond
+	entryRecoveryTime = 2500 * time.Millisecond
+	// leavingQueryTimeout bounds one status query to a server whose entry is gone;
+	// leavingQueryInterval separates two of them.
+	leavingQueryTimeout  = 200 * time.Millisecond
+	leavingQueryInterval = 250 * time.Millisecond
 
 	msgEntryGone = "entry of a backend server is gone after a disturbance of the store"
 )
@@ -75,67 +75,67 @@
 // entries expire, and after the outage all servers appear removed although they
 // are alive. After a store failure, a server that does not report that it is
 // leaving is therefore removed only if its entry has not been recreated within
-// lapsedReturn.
+// entryRecoveryTime.
 //
 // It is called with the replica table's lock held. The membership acquires that
 // lock as well, so calling WatchDuty.Watches here would deadlock the host.
 func (h *Host) removeServer(id string) {
-	if h.undisturbed() > h.options.ListChangedSlack {
+	if h.sinceStoreFailure() > h.options.ListChangedSlack {
 		h.fleet.Remove(id)
 		return
 	}
-	go h.removeDoubted(id)
+	go h.removeAfterStoreFailure(id)
 }
 
-// removeDoubted decides whether a server is gone whose entry was deleted
+// removeAfterStoreFailure decides whether a server is gone whose entry was deleted
 // shortly after a store failure. Only the few hosts that watch the store query
 // the server; the others are notified by the allocator if it is leaving.
-func (h *Host) removeDoubted(id string) {
+func (h *Host) removeAfterStoreFailure(id string) {
 	if server, _ := h.fleet.Get(id); server.ID != "" && h.watch.Watches() {
-		h.removeUnlessStaying(server)
+		h.removeAfterPolling(server)
 		return
 	}
-	_ = sleep.For(context.Background(), lapsedReturn) // the context never ends
-	h.removeUnlessBack(id)
+	_ = sleep.For(context.Background(), entryRecoveryTime) // the context never ends
+	h.removeUnlessRecreated(id)
 }
 
-// removeUnlessBack removes a server unless its entry has been recreated.
-func (h *Host) removeUnlessBack(id string) {
+// removeUnlessRecreated removes a server unless its entry has been recreated.
+func (h *Host) removeUnlessRecreated(id string) {
 	if _, back := h.table.Get(h.options.Objects.Servers, id); !back {
 		h.fleet.Remove(id)
 	}
 }
 
-// removeUnlessStaying polls a server until its entry has been recreated, the
-// server reports that it is leaving, a query fails, or lapsedReturn has passed.
-// It polls repeatedly because a server's status is some hundred milliseconds
-// old: the first answer may predate its decision to leave.
-func (h *Host) removeUnlessStaying(server fleet.Server) {
-	for asked := time.Duration(0); asked < lapsedReturn; asked += departsInterval {
-		departs, err := h.askDeparts(server)
-		if departs || err != nil {
-			h.logger.Info(msgEntryGone, zap.String("server", server.ID), zap.Bool("departs", departs), zap.Duration("after", asked), zap.Error(err))
+// removeAfterPolling polls a server until its entry has been recreated, the
+// server reports that it is leaving, a query fails, or entryRecoveryTime has
+// passed. It polls repeatedly because a server's status is some hundred
+// milliseconds old: the first answer may predate its decision to leave.
+func (h *Host) removeAfterPolling(server fleet.Server) {
+	for elapsed := time.Duration(0); elapsed < entryRecoveryTime; elapsed += leavingQueryInterval {
+		leaving, err := h.queryLeaving(server)
+		if leaving || err != nil {
+			h.logger.Info(msgEntryGone, zap.String("server", server.ID), zap.Bool("departs", leaving), zap.Duration("after", elapsed), zap.Error(err))
 			break
 		}
-		_ = sleep.For(context.Background(), departsInterval) // the context never ends
+		_ = sleep.For(context.Background(), leavingQueryInterval) // the context never ends
 		if _, back := h.table.Get(h.options.Objects.Servers, server.ID); back {
 			return
 		}
 	}
-	h.removeUnlessBack(server.ID)
+	h.removeUnlessRecreated(server.ID)
 }
 
-// askDeparts queries whether a server is leaving.
-func (h *Host) askDeparts(server fleet.Server) (bool, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), departsTimeout)
+// queryLeaving queries whether a server is leaving.
+func (h *Host) queryLeaving(server fleet.Server) (bool, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), leavingQueryTimeout)
 	defer cancel()
-	word, err := h.ask(ctx, server)
-	return word.Leaves, err
+	status, err := h.queryStatus(ctx, server)
+	return status.Leaves, err
 }
 
-// ask queries the status of a server, at its service's health path if one is
-// configured.
-func (h *Host) ask(ctx context.Context, server fleet.Server) (fleet.OwnWord, error) {
+// queryStatus queries the status of a server, at its service's health path if one
+// is configured.
+func (h *Host) queryStatus(ctx context.Context, server fleet.Server) (fleet.OwnWord, error) {
 	path := ""
 	if c := h.gateway.Configuration(); c != nil && c.Services[server.Service] != nil {
 		path = c.Services[server.Service].HealthPath
--- a/gatewayhost/broken_test.go
+++ b/gatewayhost/broken_test.go
@@ -16,35 +16,35 @@
 
 // Guards against overload of a server that restarted cold during a store outage,
 // when its entry cannot report that it is cold.
-func TestServerWhoseConnectionBrokeIsAskedWhetherItIsCold(t *testing.T) {
+func TestBrokenConnectionTriggersColdQuery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var broke func(string)
+		var onBroken func(string)
 		var asked atomic.Int32
-		leaves := false
+		leaving := false
 		answers := func(string) (bool, error) {
 			if asked.Add(1) == 1 {
 				return false, errors.New("server is still starting")
 			}
-			return leaves, nil
+			return leaving, nil
 		}
-		backend := servers{departs: answers, coldFor: 10 * time.Second, broke: &broke}
+		backend := servers{queryLeaving: answers, coldFor: 10 * time.Second, onBroken: &onBroken}
 		h := newHostWith(backend, "a", network.New(network.Options{}).Host("10.0.0.1"), "10.0.0.1", store.NewMemory())
 		h.fleet.Put(fleet.Server{ID: "i-1", Service: "s", Address: "10.9.9.9:1", Domain: "d", Slots: 2})
 		full := func() bool {
 			return h.fleet.CandidatesFor(fleet.Query{Service: "s", Domain: "d", ColdShare: 0.001})[0].ColdFull
 		}
-		broke("10.9.9.9:1")
+		onBroken("10.9.9.9:1")
 		time.Sleep(time.Second)
 		is.Equal(asked.Load(), int32(0)) // cold servers of the service have no admission limit
 		h.fleet.SetColdRate("s", 1)
-		broke("10.9.9.9:1")
-		broke("10.9.9.9:1")
+		onBroken("10.9.9.9:1")
+		onBroken("10.9.9.9:1")
 		time.Sleep(2 * time.Second)
 		is.Equal(asked.Load(), int32(2))
 		is.True(full())
-		leaves = true
-		broke("10.9.9.9:1")
+		leaving = true
+		onBroken("10.9.9.9:1")
 		time.Sleep(time.Second)
 		_, usable := h.fleet.Get("i-1")
 		is.True(!usable) // the answer also reported that it is leaving
--- a/gatewayhost/evacuation_test.go
+++ b/gatewayhost/evacuation_test.go
@@ -23,13 +23,13 @@
 	memory.Remove(kindOfEvacuations, evacuatedDomain)
 }
 
-// using returns how many hosts would send requests to the test's servers.
-func (f *largeFleet) using() int {
-	using := 0
+// usingCount returns how many hosts would send requests to the test's servers.
+func (f *largeFleet) usingCount() int {
+	usingCount := 0
 	for _, h := range f.hosts {
-		using += min(1, len(h.fleet.Candidates("s", "d")))
+		usingCount += min(1, len(h.fleet.Candidates("s", "d")))
 	}
-	return using
+	return usingCount
 }
 
 // Guards against an evacuation, or its end, not reaching hosts that do not watch
@@ -42,14 +42,14 @@
 		_, err := f.memory.Put(ctx, kindOfServers, "i-1", []byte("ready"), 0)
 		is.NoErr(err)
 		time.Sleep(5 * time.Second)
-		is.Equal(f.using(), 12)
+		is.Equal(f.usingCount(), 12)
 		for range 3 {
 			evacuate(ctx, is, f.memory, true)
 			time.Sleep(time.Second)
-			is.Equal(f.using(), 0)
+			is.Equal(f.usingCount(), 0)
 			evacuate(ctx, is, f.memory, false)
 			time.Sleep(time.Second)
-			is.Equal(f.using(), 12)
+			is.Equal(f.usingCount(), 12)
 		}
 		stop()
 		time.Sleep(time.Minute)
@@ -57,7 +57,7 @@
 	})
 }
 
-func TestHostThatStartsKnowsEvacuations(t *testing.T) {
+func TestStartingHostAppliesEvacuations(t *testing.T) {
 	// Guards against a host that starts before it has joined any peer, and uses a
 	// domain whose evacuation order is in its stale read of the store.
 	synctest.Test(t, func(t *testing.T) {
@@ -70,7 +70,7 @@
 		f := startFleet(ctx, 1, memory)
 		time.Sleep(50 * time.Millisecond)
 		is.Equal(len(f.hosts[0].fleet.Usable("s")), 1)
-		is.Equal(f.using(), 0)
+		is.Equal(f.usingCount(), 0)
 		stop()
 		time.Sleep(time.Minute)
 		synctest.Wait()
@@ -79,7 +79,7 @@
 
 // Guards against a host that starts during a store outage, after an evacuation,
 // and does not receive the order from its peers.
-func TestEvacuationOutlivesItsWatchers(t *testing.T) {
+func TestEvacuationReachesHostStartedDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(t.Context())
@@ -90,7 +90,7 @@
 		evacuate(ctx, is, f.memory, true)
 		time.Sleep(time.Second)
 		f.memory.SetFaults(store.Faults{Outage: true})
-		late := newHost("late", f.fabric.Host("10.0.1.1"), "10.0.1.1", f.memory, stays, "10.0.0.1"+peerPort)
+		late := newHost("late", f.fabric.Host("10.0.1.1"), "10.0.1.1", f.memory, notLeaving, "10.0.0.1"+peerPort)
 		for _, run := range []func(context.Context) error{late.runNode, late.boot, late.servers.Run, late.evacuations.Run} {
 			go func() { _ = run(ctx) }()
 		}
@@ -103,25 +103,25 @@
 	})
 }
 
-// deafStore is a store whose watches deliver no changes.
-type deafStore struct{ checkedStore }
+// stalledWatchStore is a store whose watches deliver no changes.
+type stalledWatchStore struct{ checkedStore }
 
-func (deafStore) Watch(ctx context.Context, _ string, _ store.Version) ([]store.Object, store.Version, error) {
+func (stalledWatchStore) Watch(ctx context.Context, _ string, _ store.Version) ([]store.Object, store.Version, error) {
 	<-ctx.Done()
 	return nil, 0, ctx.Err()
 }
 
 // Guards against an evacuation missed by a watch before the store compacted its
 // history, which only the watch of another kind reports.
-func TestEvacuationMissedWithTheHistory(t *testing.T) {
+func TestEvacuationMissedBeforeCompaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(t.Context())
-		h, memory := alone(stays)
-		h.evacuations.Store = deafStore{checkedStore{memory}}
+		h, memory := standaloneHost(notLeaving)
+		h.evacuations.Store = stalledWatchStore{checkedStore{memory}}
 		go func() { _ = h.evacuations.Run(ctx) }()
 		time.Sleep(time.Second)
-		h.table.Adopt(entry(1, false))
+		h.table.Adopt(serverEntry(1, false))
 		evacuate(ctx, is, memory, true)
 		time.Sleep(time.Second)
 		is.Equal(len(h.fleet.Candidates("s", "d")), 1)
@@ -133,12 +133,12 @@
 	})
 }
 
-func TestEvacuationWithoutReadableContentHolds(t *testing.T) {
-	// Guards against an evacuation that ends because another writer overwrites the
-	// order with invalid content; sending requests to the domain is the greater risk.
+func TestEvacuationWithUnreadableContentApplies(t *testing.T) {
+	// Guards against an evacuation that ends because another writer overwrites
+	// the order with invalid content; using the domain is the greater risk.
 	is := is.New(t)
-	h, _ := alone(stays)
-	h.table.Adopt(entry(5, false))
+	h, _ := standaloneHost(notLeaving)
+	h.table.Adopt(serverEntry(5, false))
 	for i, value := range [][]byte{nil, []byte("null"), []byte("{\"zone\":7}"), []byte("\xff")} {
 		_, findings := h.table.Adopt([]store.Object{{Kind: kindOfEvacuations, Name: evacuatedDomain, Version: store.Version(6 + i), Value: value}})
 		is.Equal(len(findings), 0)
@@ -150,11 +150,11 @@
 	is.Equal(len(h.fleet.Candidates("s", "d")), 1)
 }
 
-func TestAllocatorTellsOfEvacuations(t *testing.T) {
+func TestAllocatorReportsEvacuations(t *testing.T) {
 	// Guards against an evacuation order that gossip did not deliver to a host: the
 	// allocator's next answer has a newer revision, which the host then pulls.
 	is := is.New(t)
-	h, _ := alone(stays)
+	h, _ := standaloneHost(notLeaving)
 	h.table.Adopt([]store.Object{{Kind: kindOfEvacuations, Name: evacuatedDomain, Version: 9}})
 	is.Equal(h.allocator.Evacuated(), uint64(9))
 	h.catchUpEvacuations("b", 9)
--- a/gatewayhost/freshness.go
+++ b/gatewayhost/freshness.go
@@ -13,52 +13,54 @@
 )
 
 const (
-	msgReread = "store answers again: what it has is listed anew"
-	msgMissed = "watches missed changes in the store; listing all objects again"
-	msgBehind = "host is behind an allocator and could not catch up"
+	msgRelist        = "store answers again: what it has is listed anew"
+	msgWatchesBehind = "watches missed changes in the store; listing all objects again"
+	msgBehind        = "host is behind an allocator and could not catch up"
 
 	// confirmTimeout bounds a store call that verifies that the configuration is
-	// the newest; confirmAge is how long such a verification remains valid.
-	confirmTimeout = 400 * time.Millisecond
-	confirmAge     = 700 * time.Millisecond
-	// toldAge is how long an allocator's report of the newest configuration
-	// remains valid; each host sends a report, which the allocator answers, at
-	// least every 0.7 s. confirmAge and toldAge add up to less than the 2 s that
-	// the operator allows until a configuration is active.
-	toldAge = 900 * time.Millisecond
-	// guardInterval separates the store checks of the hosts that watch it; one
-	// check costs a tenth of a full call. guardTimeout bounds one check.
-	guardInterval = 500 * time.Millisecond
-	guardTimeout  = 250 * time.Millisecond
-	// missedAfter is how long a watch may take to deliver a change that the
+	// the newest; verificationTTL is how long such a verification remains valid.
+	confirmTimeout  = 400 * time.Millisecond
+	verificationTTL = 700 * time.Millisecond
+	// allocatorReportTTL is how long an allocator's report of the newest
+	// configuration remains valid; each host sends a report, which the allocator
+	// answers, at least every 0.7 s. verificationTTL and allocatorReportTTL add
+	// up to less than the 2 s that the operator allows until a configuration is
+	// active.
+	allocatorReportTTL = 900 * time.Millisecond
+	// storeCheckInterval separates the store checks of the hosts that watch it; one
+	// check costs a tenth of a full call. storeCheckTimeout bounds one check.
+	storeCheckInterval = 500 * time.Millisecond
+	storeCheckTimeout  = 250 * time.Millisecond
+	// watchLagLimit is how long a watch may take to deliver a change that the
 	// store has.
-	missedAfter = 250 * time.Millisecond
+	watchLagLimit = 250 * time.Millisecond
 	// pullTimeout bounds one pull from an allocator.
 	pullTimeout = time.Second
 )
 
-// surelyNewest returns the revision of the active configuration if a read of
-// the store has verified it within confirmAge, or zero if there may be a newer
+// verifiedRevision returns the revision of the active configuration if a read of
+// the store has verified it within verificationTTL, or zero if there may be a newer
 // one. A pending watch is no proof, as it may have missed a change.
-func (h *Host) surelyNewest() uint64 {
-	if h.verified() > confirmAge {
+func (h *Host) verifiedRevision() uint64 {
+	if h.verificationAge() > verificationTTL {
 		return 0
 	}
 	return h.revision()
 }
 
-// verified returns the time since the configuration was last read from the
+// verificationAge returns the time since the configuration was last read from the
 // store, by this host or by another one that found the same revision, or
 // moment.Never.
-func (h *Host) verified() time.Duration {
-	return min(h.confirmed.Age(), h.relayed.Age())
+func (h *Host) verificationAge() time.Duration {
+	return min(h.verifiedAt.Age(), h.relayedVerifiedAt.Age())
 }
 
-// relay records that another allocator verified, age ago, that the revision was
-// the newest in the store. It fetches that revision if this host's is older.
-func (h *Host) relay(allocator string, revision uint64, age time.Duration) {
-	if own := h.revision(); own == revision && age < h.relayed.Age() {
-		h.relayed.Mark(time.Now().Add(-age))
+// recordRelayedVerification records that another allocator verified, age ago,
+// that the revision was the newest in the store. It fetches that revision if this
+// host's is older.
+func (h *Host) recordRelayedVerification(allocator string, revision uint64, age time.Duration) {
+	if own := h.revision(); own == revision && age < h.relayedVerifiedAt.Age() {
+		h.relayedVerifiedAt.Mark(time.Now().Add(-age))
 	}
 	h.catchUp(allocator, revision)
 }
@@ -72,10 +74,10 @@
 // confirm reports whether the active configuration is the newest: by a recent
 // verification, by an allocator's recent report, or else by a read of the store.
 func (h *Host) confirm(ctx context.Context) bool {
-	if h.surelyNewest() > 0 {
+	if h.verifiedRevision() > 0 {
 		return true
 	}
-	if newest, age := h.allocation.Newest(); age < toldAge && newest > 0 {
+	if newest, age := h.allocation.Newest(); age < allocatorReportTTL && newest > 0 {
 		return h.revision() >= newest
 	}
 	return h.confirmAtStore(ctx)
@@ -91,7 +93,7 @@
 // kind instead of getting the object, as a list also returns the store's
 // current revision.
 func (h *Host) verify(ctx context.Context) error {
-	asked := time.Now()
+	started := time.Now()
 	objects, revision, err := h.options.Store.List(ctx, h.options.Objects.Configuration)
 	if err != nil {
 		return err
@@ -100,47 +102,47 @@
 	if i < 0 {
 		return store.ErrNoObject
 	}
-	there := seen{revision, objects[i].Version}
-	missed := h.misses(there)
+	stored := storeState{revision, objects[i].Version}
+	missed := h.watchesBehind(stored)
 	h.table.Adopt(objects)
-	h.confirmed.Mark(asked)
-	if missed && h.watch.Watches() && h.comparing.CompareAndSwap(false, true) {
-		go h.compare(there)
+	h.verifiedAt.Mark(started)
+	if missed && h.watch.Watches() && h.checkingWatches.CompareAndSwap(false, true) {
+		go h.relistIfBehind(stored)
 	}
 	return nil
 }
 
-// seen is the state of the store as returned by a list: its revision, and the
+// storeState is the state of the store as returned by a list: its revision, and the
 // version of the configuration.
-type seen struct{ revision, configuration store.Version }
+type storeState struct{ revision, configuration store.Version }
 
-// misses reports whether this host's watches are behind the store. A
+// watchesBehind reports whether this host's watches are behind the store. A
 // configuration found by verify advances the table's version and would hide
 // other missed changes, so the position of the configuration's own watch is
 // compared as well.
-func (h *Host) misses(there seen) bool {
-	return h.reached() < there.revision || h.configuration.Reached() < there.configuration
+func (h *Host) watchesBehind(stored storeState) bool {
+	return h.reachedRevision() < stored.revision || h.configuration.Reached() < stored.configuration
 }
 
-// reached returns the revision up to which this host has all changes of the
+// reachedRevision returns the revision up to which this host has all changes of the
 // kinds that it follows.
-func (h *Host) reached() store.Version {
+func (h *Host) reachedRevision() store.Version {
 	objects := h.options.Objects
 	return max(h.table.Version(), min(h.table.Listed(objects.Servers), h.table.Listed(objects.Evacuations)))
 }
 
-// compare relists all kinds if this host's watches have not caught up with the
-// store after missedAfter.
+// relistIfBehind relists all kinds if this host's watches have not caught up with
+// the store after watchLagLimit.
 //
 // Failure: the store answers calls, but its watches deliver nothing for seconds
 // until they end because the history was compacted, and engines leave in the
 // meantime. A change of a kind that is not followed costs one list of each kind.
-func (h *Host) compare(there seen) {
-	defer h.comparing.Store(false)
-	_ = sleep.For(context.Background(), missedAfter) // the context never ends
-	if h.misses(there) {
-		h.logger.Warn(msgMissed, zap.Uint64("revision", uint64(there.revision)), zap.Uint64("own", uint64(h.reached())))
-		h.relistBut("")
+func (h *Host) relistIfBehind(stored storeState) {
+	defer h.checkingWatches.Store(false)
+	_ = sleep.For(context.Background(), watchLagLimit) // the context never ends
+	if h.watchesBehind(stored) {
+		h.logger.Warn(msgWatchesBehind, zap.Uint64("revision", uint64(stored.revision)), zap.Uint64("own", uint64(h.reachedRevision())))
+		h.relistExcept("")
 	}
 }
 
@@ -150,12 +152,12 @@
 
 // relist makes all followers list their objects again.
 func (h *Host) relist() {
-	h.logger.Info(msgReread)
-	h.relistBut("")
+	h.logger.Info(msgRelist)
+	h.relistExcept("")
 }
 
-// relistBut makes the followers of all kinds but one list their objects again.
-func (h *Host) relistBut(kind string) {
+// relistExcept makes the followers of all kinds but one list their objects again.
+func (h *Host) relistExcept(kind string) {
 	for _, f := range []*replica.Follower{h.configuration, h.servers, h.evacuations} {
 		if f.Kind != kind {
 			f.Relist()
@@ -177,7 +179,7 @@
 
 // catchUpEvacuations is catchUp for the evacuations of failure domains.
 func (h *Host) catchUpEvacuations(allocator string, revision uint64) {
-	if h.evacuated.Load() < revision {
+	if h.evacuationRevision.Load() < revision {
 		h.pull(allocator, revision)
 	}
 }
--- a/gatewayhost/host.go
+++ b/gatewayhost/host.go
@@ -51,11 +51,11 @@
 	storeBackoff    = 60 * time.Millisecond
 	storeBackoffMax = time.Second
 
-	// readHeaderTimeout and keptIdle are longer than the operator's limits for
+	// readHeaderTimeout and idleTimeout are longer than the operator's limits for
 	// callers (3 s and 15 s), so that callers close connections first: a
 	// connection closed by the host loses a request sent at the same moment.
 	readHeaderTimeout = 10 * time.Second
-	keptIdle          = time.Minute
+	idleTimeout       = time.Minute
 	maxHeaderBytes    = 64 << 10
 )
 
@@ -91,7 +91,7 @@
 	Held(ctx context.Context, server fleet.Server) (fleet.Held, error)
 	// OnBroken sets the callback for a broken connection, including an idle
 	// one, to an address. The callback must not block.
-	OnBroken(broke func(address string))
+	OnBroken(callback func(address string))
 }
 
 // Server is an HTTP server of the host. Address is an IP:port.
@@ -127,75 +127,75 @@
 
 // Host is one entry host.
 type Host struct {
-	options       Options
-	logger        *zap.Logger
-	table         *replica.Table
-	configuration *replica.Follower
-	servers       *replica.Follower
-	evacuations   *replica.Follower
-	evacuated     atomic.Uint64 // newest revision of an evacuation order
-	node          atomic.Pointer[peer.Node]
-	fleet         *fleet.Table
-	quarantine    *quarantine.Table
-	quarantined   chan struct{} // has a token while changes of the quarantine are to be stored
-	askingCold    sync.Map      // addresses whose servers are being queried whether they are cold
-	allocator     *allocation.Allocator
-	allocation    *allocation.Client
-	sentinel      *allocation.Sentinel
-	gateway       *gateway.Gateway
-	confirmed     moment.Moment // start of the last successful read of the configuration from the store
-	relayed       moment.Moment // same for a read by another host that found the same revision
-	stopping      atomic.Bool
-	pulling       atomic.Bool   // a pull from an allocator is in progress
-	comparing     atomic.Bool   // a comparison of the watches with the store is in progress
-	booting       atomic.Bool   // has not joined its peers yet
-	lives         atomic.Uint64 // number of rejoins under a new incarnation
-	watch         *domain.WatchDuty
+	options            Options
+	logger             *zap.Logger
+	table              *replica.Table
+	configuration      *replica.Follower
+	servers            *replica.Follower
+	evacuations        *replica.Follower
+	evacuationRevision atomic.Uint64 // newest revision of an evacuation order
+	node               atomic.Pointer[peer.Node]
+	fleet              *fleet.Table
+	quarantine         *quarantine.Table
+	quarantineDirty    chan struct{} // has a token while changes of the quarantine are to be stored
+	coldQueries        sync.Map      // addresses whose servers are being queried whether they are cold
+	allocator          *allocation.Allocator
+	allocation         *allocation.Client
+	sentinel           *allocation.Sentinel
+	gateway            *gateway.Gateway
+	verifiedAt         moment.Moment // start of the last successful read of the configuration from the store
+	relayedVerifiedAt  moment.Moment // same for a read by another host that found the same revision
+	stopping           atomic.Bool
+	pulling            atomic.Bool   // a pull from an allocator is in progress
+	checkingWatches    atomic.Bool   // a comparison of the watches with the store is in progress
+	booting            atomic.Bool   // has not joined its peers yet
+	rejoins            atomic.Uint64 // number of rejoins under a new incarnation
+	watch              *domain.WatchDuty
 }
 
 // New returns a host; Run starts it.
 func New(o Options) *Host {
-	h := &Host{options: o, logger: o.Logger, quarantined: make(chan struct{}, 1)}
+	h := &Host{options: o, logger: o.Logger, quarantineDirty: make(chan struct{}, 1)}
 	h.table = replica.New(h.apply)
 	h.watch = &domain.WatchDuty{
 		Host: o.Name, Fleet: h, Check: h.checkStore, Returned: h.relist, Active: func() bool { return !h.booting.Load() },
-		Interval: guardInterval, Timeout: guardTimeout,
+		Interval: storeCheckInterval, Timeout: storeCheckTimeout,
 	}
-	h.configuration = h.follower(o.Objects.Configuration, configurationSpacing)
-	h.servers = h.follower(o.Objects.Servers, serversSpacing)
-	h.evacuations = h.follower(o.Objects.Evacuations, 0)
+	h.configuration = h.newFollower(o.Objects.Configuration, configurationSpacing)
+	h.servers = h.newFollower(o.Objects.Servers, serversSpacing)
+	h.evacuations = h.newFollower(o.Objects.Evacuations, 0)
 	h.fleet = fleet.NewTable(o.Name, o.Logger)
 	h.allocator = allocation.NewAllocator(h.fleet, placement.DefaultLimits, rand.IntN, o.Logger)
 	h.allocator.Undisturbed = h.servers.Undisturbed
-	h.allocator.Revision, h.allocator.Verified, h.allocator.Relayed = h.surelyNewest, h.verified, h.relay
+	h.allocator.Revision, h.allocator.Verified, h.allocator.Relayed = h.verifiedRevision, h.verificationAge, h.recordRelayedVerification
 	h.quarantine = quarantine.NewTable(o.Logger, o.Registerer)
 	h.quarantine.Changed = func() { h.node.Load().Announce() }
-	h.quarantine.Kept = h.noteQuarantined
+	h.quarantine.Kept = h.scheduleQuarantineWrite
 	h.node.Store(h.newNode(0, o.Registerer))
 	h.table.Subscribe(func() { h.node.Load().Announce() })
-	o.Backend.OnBroken(h.connectionBroke)
+	o.Backend.OnBroken(h.handleBrokenConnection)
 	h.allocation = allocation.NewClient(o.Name, o.Domain, h, h.allocator, h.fleet, o.Logger)
-	h.allocator.Evacuated = h.evacuated.Load
+	h.allocator.Evacuated = h.evacuationRevision.Load
 	h.allocation.Told, h.allocation.ToldEvacuated = h.catchUp, h.catchUpEvacuations
 	h.sentinel = &allocation.Sentinel{
-		Host: o.Name, Client: h.allocation, Fleet: h.fleet, Check: o.Store.Check, Verify: h.verify, Verified: h.verified, Ask: h.ask,
+		Host: o.Name, Client: h.allocation, Fleet: h.fleet, Check: o.Store.Check, Verify: h.verify, Verified: h.verificationAge, Ask: h.queryStatus,
 		Logger: o.Logger,
 	}
 	h.gateway = gateway.New(gateway.Options{
 		Domain: o.Domain, Fleet: h.fleet, Backend: o.Backend, Allocator: h.allocation, Quarantine: h.quarantine, Logger: o.Logger,
 		Limits:  placement.DefaultLimits,
 		Budget:  &gateway.Budget{Ratio: o.RepeatRatio, Allowance: o.RepeatAllowance, Window: o.RepeatWindow, Hosts: h.liveHosts},
-		Confirm: h.confirm, Others: h.othersLive, Metrics: gateway.NewMetrics(o.Registerer),
+		Confirm: h.confirm, Others: h.hasLivePeers, Metrics: gateway.NewMetrics(o.Registerer),
 	})
 	return h
 }
 
-// follower returns a follower of the objects of a kind.
-func (h *Host) follower(kind string, spacing time.Duration) *replica.Follower {
+// newFollower returns a follower of the objects of a kind.
+func (h *Host) newFollower(kind string, spacing time.Duration) *replica.Follower {
 	return &replica.Follower{
 		Store: h.options.Store, Kind: kind, Table: h.table, Logger: h.logger.With(zap.String("kind", kind)),
 		Active: h.watch.Watches, Spacing: spacing, Backoff: store.Backoff{Initial: storeBackoff, Max: storeBackoffMax},
-		OnCompacted: func() { h.relistBut(kind) },
+		OnCompacted: func() { h.relistExcept(kind) },
 	}
 }
 
@@ -211,7 +211,7 @@
 	group, inner := errgroup.WithContext(inner)
 	h.booting.Store(true)
 	for _, run := range h.background() {
-		group.Go(func() error { return ignoreEnd(run(inner)) })
+		group.Go(func() error { return ignoreCanceled(run(inner)) })
 	}
 	server := h.serve(inner, group, callers)
 	for _, other := range others {
@@ -234,12 +234,12 @@
 // background returns the background loops; each runs until its context ends.
 func (h *Host) background() []func(context.Context) error {
 	return []func(context.Context) error{
-		h.boot, h.configuration.Run, h.servers.Run, h.evacuations.Run, h.watch.Run, h.keepQuarantine, h.releaseLost,
+		h.boot, h.configuration.Run, h.servers.Run, h.evacuations.Run, h.watch.Run, h.syncQuarantine, h.releaseLostGenerations,
 		h.runNode, h.allocation.Run, h.allocation.Exchange, h.sentinel.Run,
 	}
 }
 
-func ignoreEnd(err error) error {
+func ignoreCanceled(err error) error {
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
@@ -249,7 +249,7 @@
 // serve starts an HTTP server in the group; it runs until ctx ends.
 func (h *Host) serve(ctx context.Context, group *errgroup.Group, s Server) *http.Server {
 	server := &http.Server{
-		Handler: s.Handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: keptIdle, MaxHeaderBytes: maxHeaderBytes,
+		Handler: s.Handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: zap.NewStdLog(h.logger.Named("http")),
 	}
 	group.Go(func() error {
--- a/gatewayhost/host_test.go
+++ b/gatewayhost/host_test.go
@@ -50,23 +50,23 @@
 // servers is a Backend that only answers a host's own queries.
 type servers struct {
 	gateway.Backend
-	departs func(id string) (bool, error)
-	held    fleet.Held
-	coldFor time.Duration
-	broke   *func(address string) // receives the host's OnBroken callback unless nil
+	queryLeaving func(id string) (bool, error)
+	held         fleet.Held
+	coldFor      time.Duration
+	onBroken     *func(address string) // receives the host's OnBroken callback unless nil
 }
 
-func (s servers) OnBroken(broke func(string)) {
-	if s.broke != nil {
-		*s.broke = broke
+func (s servers) OnBroken(onBroken func(string)) {
+	if s.onBroken != nil {
+		*s.onBroken = onBroken
 	}
 }
 
 func (s servers) Held(context.Context, fleet.Server) (fleet.Held, error) { return s.held, nil }
 
 func (s servers) Ask(_ context.Context, server fleet.Server, _ string) (fleet.OwnWord, error) {
-	leaves, err := s.departs(server.ID)
-	return fleet.OwnWord{Leaves: leaves, ColdFor: s.coldFor}, err
+	leaving, err := s.queryLeaving(server.ID)
+	return fleet.OwnWord{Leaves: leaving, ColdFor: s.coldFor}, err
 }
 
 var errUnreadable = errors.New("unreadable")
@@ -89,8 +89,8 @@
 	}
 }
 
-func newHost(name string, through link.Network, address string, memory *store.Memory, departs func(string) (bool, error), seeds ...string) *Host {
-	return newHostWith(servers{departs: departs}, name, through, address, memory, seeds...)
+func newHost(name string, through link.Network, address string, memory *store.Memory, queryLeaving func(string) (bool, error), seeds ...string) *Host {
+	return newHostWith(servers{queryLeaving: queryLeaving}, name, through, address, memory, seeds...)
 }
 
 func newHostWith(backend Backend, name string, through link.Network, address string, memory *store.Memory, seeds ...string) *Host {
@@ -102,16 +102,16 @@
 	})
 }
 
-func stays(string) (bool, error) { return false, nil }
+func notLeaving(string) (bool, error) { return false, nil }
 
-// alone returns a host without peers, and its store.
-func alone(departs func(string) (bool, error)) (*Host, *store.Memory) {
+// standaloneHost returns a host without peers, and its store.
+func standaloneHost(queryLeaving func(string) (bool, error)) (*Host, *store.Memory) {
 	memory := store.NewMemory()
-	return newHost("a", network.New(network.Options{}).Host("10.0.0.1"), "10.0.0.1", memory, departs), memory
+	return newHost("a", network.New(network.Options{}).Host("10.0.0.1"), "10.0.0.1", memory, queryLeaving), memory
 }
 
-// disturb makes one store call of the host fail.
-func disturb(h *Host, memory *store.Memory) {
+// failStoreCall makes one store call of the host fail.
+func failStoreCall(h *Host, memory *store.Memory) {
 	memory.SetFaults(store.Faults{Outage: true})
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer stop()
@@ -119,20 +119,20 @@
 	memory.SetFaults(store.Faults{})
 }
 
-func entry(version store.Version, deleted bool) []store.Object {
+func serverEntry(version store.Version, deleted bool) []store.Object {
 	return []store.Object{{Kind: kindOfServers, Name: "i-1", Version: version, Value: []byte("ready"), Deleted: deleted}}
 }
 
 // Guards against a deadlock of the host when an entry is removed shortly after a
 // store failure.
-func TestRemovalsDuringADisturbanceDoNotStopTheHost(t *testing.T) {
+func TestRemovalAfterStoreFailureDoesNotDeadlock(t *testing.T) {
 	is := is.New(t)
-	h, memory := alone(stays)
-	disturb(h, memory)
+	h, memory := standaloneHost(notLeaving)
+	failStoreCall(h, memory)
 	done := make(chan struct{})
 	go func() {
-		h.table.Adopt(entry(5, false))
-		h.table.Adopt(entry(6, true))
+		h.table.Adopt(serverEntry(5, false))
+		h.table.Adopt(serverEntry(6, true))
 		h.Members()
 		close(done)
 	}()
@@ -144,64 +144,64 @@
 	is.Equal(h.table.Version(), store.Version(6))
 }
 
-func TestLapsedEntriesAreNotRemovals(t *testing.T) {
-	// Guards against live servers being removed because their entries expired during
-	// a store outage; servers recreate their entries within two seconds.
+func TestExpiredEntriesAreNotRemovals(t *testing.T) {
+	// Guards against live servers being removed because their entries expired
+	// during a store outage; servers recreate their entries within two seconds.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h, memory := alone(stays)
-		h.table.Adopt(entry(5, false))
-		disturb(h, memory)
-		h.table.Adopt(entry(6, true))
+		h, memory := standaloneHost(notLeaving)
+		h.table.Adopt(serverEntry(5, false))
+		failStoreCall(h, memory)
+		h.table.Adopt(serverEntry(6, true))
 		time.Sleep(2 * time.Second)
 		is.Equal(len(h.fleet.Usable("s")), 1)
-		h.table.Adopt(entry(7, false))
+		h.table.Adopt(serverEntry(7, false))
 		time.Sleep(5 * time.Second)
 		is.Equal(len(h.fleet.Usable("s")), 1)
 	})
 }
 
-func TestUnreadableEntryGoesOutOfUse(t *testing.T) {
+func TestServerWithUnreadableEntryIsNotUsed(t *testing.T) {
 	// Guards against a server that stays in use by its previous entry after another
 	// writer has overwritten that entry with unreadable bytes.
 	is := is.New(t)
-	h, _ := alone(stays)
-	h.table.Adopt(entry(5, false))
-	spoiled := entry(6, false)
-	spoiled[0].Value = nil
-	_, findings := h.table.Adopt(spoiled)
+	h, _ := standaloneHost(notLeaving)
+	h.table.Adopt(serverEntry(5, false))
+	unreadable := serverEntry(6, false)
+	unreadable[0].Value = nil
+	_, findings := h.table.Adopt(unreadable)
 	is.Equal(len(findings), 1)
 	is.Equal(len(h.fleet.Usable("s")), 0)
-	h.table.Adopt(entry(7, false))
+	h.table.Adopt(serverEntry(7, false))
 	is.Equal(len(h.fleet.Usable("s")), 1)
 }
 
-func TestEntryThatStaysAwayIsARemoval(t *testing.T) {
+func TestEntryNotRecreatedIsARemoval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h, memory := alone(stays)
-		h.table.Adopt(entry(5, false))
-		disturb(h, memory)
-		h.table.Adopt(entry(6, true))
-		time.Sleep(lapsedReturn + departsInterval)
+		h, memory := standaloneHost(notLeaving)
+		h.table.Adopt(serverEntry(5, false))
+		failStoreCall(h, memory)
+		h.table.Adopt(serverEntry(6, true))
+		time.Sleep(entryRecoveryTime + leavingQueryInterval)
 		synctest.Wait()
 		is.Equal(len(h.fleet.Usable("s")), 0)
 	})
 }
 
 // Guards against waiting for the entry of a server that reports that it is leaving.
-func TestServerThatSaysSoLeavesAtOnce(t *testing.T) {
+func TestLeavingServerIsRemovedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		asked := 0
-		h, memory := alone(func(string) (bool, error) {
+		h, memory := standaloneHost(func(string) (bool, error) {
 			asked++
 			return asked > 1, nil
 		})
-		h.table.Adopt(entry(5, false))
-		disturb(h, memory)
-		h.table.Adopt(entry(6, true))
-		time.Sleep(departsInterval + time.Millisecond)
+		h.table.Adopt(serverEntry(5, false))
+		failStoreCall(h, memory)
+		h.table.Adopt(serverEntry(6, true))
+		time.Sleep(leavingQueryInterval + time.Millisecond)
 		synctest.Wait()
 		is.Equal(len(h.fleet.Usable("s")), 0)
 	})
@@ -214,7 +214,7 @@
 	silent atomic.Bool
 }
 
-func (s *silentStore) hush(ctx context.Context) error {
+func (s *silentStore) blockIfSilent(ctx context.Context) error {
 	if !s.silent.Load() {
 		return nil
 	}
@@ -223,11 +223,11 @@
 }
 
 func (s *silentStore) Check(ctx context.Context) error {
-	return errors.CombineErrors(s.hush(ctx), s.checkedStore.Check(ctx))
+	return errors.CombineErrors(s.blockIfSilent(ctx), s.checkedStore.Check(ctx))
 }
 
 func (s *silentStore) Watch(ctx context.Context, kind string, after store.Version) ([]store.Object, store.Version, error) {
-	if err := s.hush(ctx); err != nil {
+	if err := s.blockIfSilent(ctx); err != nil {
 		return nil, 0, err
 	}
 	return s.checkedStore.Watch(ctx, kind, after)
@@ -235,10 +235,10 @@
 
 // Guards against a watch that began while the store was silent, and is therefore
 // never answered.
-func TestWatchThatBeganInSilence(t *testing.T) {
+func TestWatchBegunWhileStoreIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h, memory := alone(stays)
+		h, memory := standaloneHost(notLeaving)
 		silent := &silentStore{checkedStore: checkedStore{memory}}
 		h.options.Store, h.servers.Store, h.configuration.Store = silent, silent, silent
 		ctx, stop := context.WithCancel(t.Context())
@@ -259,9 +259,9 @@
 	})
 }
 
-func TestUnreadableConfigurationLeavesTheLastGoodOne(t *testing.T) {
+func TestUnreadableConfigurationKeepsLastValidOne(t *testing.T) {
 	is := is.New(t)
-	h, _ := alone(stays)
+	h, _ := standaloneHost(notLeaving)
 	offer := func(version store.Version, value []byte) int {
 		_, found := h.table.Adopt([]store.Object{{Kind: kindOfConfiguration, Name: "main", Version: version, Value: value}})
 		return len(found)
@@ -275,11 +275,11 @@
 	is.True(h.Ready())
 }
 
-func TestConfirmAsksTheStore(t *testing.T) {
-	// Guards against a host that reports a route as unknown because its configuration
-	// is stale; only an answer of the store proves that it is current.
+func TestConfirmReadsTheStore(t *testing.T) {
+	// Guards against a host that reports a route as unknown because its
+	// configuration is stale; only the store's answer proves it current.
 	is := is.New(t)
-	h, memory := alone(stays)
+	h, memory := standaloneHost(notLeaving)
 	_, err := memory.Put(context.Background(), kindOfConfiguration, "main", []byte{7}, 0)
 	is.NoErr(err)
 	memory.SetFaults(store.Faults{Outage: true})
@@ -291,17 +291,17 @@
 
 // Guards against a host that the fleet regards as superseded because its wall
 // clock was set back.
-func TestHostWhoseClockWasSetBackJoins(t *testing.T) {
+func TestHostRejoinsAfterClockWasSetBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		fabric := network.New(network.Options{})
-		h := newHost("a", fabric.Host("10.0.0.1"), "10.0.0.1", store.NewMemory(), stays)
+		h := newHost("a", fabric.Host("10.0.0.1"), "10.0.0.1", store.NewMemory(), notLeaving)
 		ctx, stop := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() { ended <- h.runNode(ctx) }()
 		time.Sleep(100 * time.Millisecond)
 		ahead := uint64(time.Now().Add(time.Minute).UnixMilli())
-		tell(ctx, is, fabric.Host("10.0.0.2"), &peerpb.ProbeRequest{
+		sendProbe(ctx, is, fabric.Host("10.0.0.2"), &peerpb.ProbeRequest{
 			From: &peerpb.Member{Host: "b", Incarnation: 1, State: peerpb.MemberState_ALIVE, PeerAddress: "10.0.0.2" + peerPort},
 			News: []*peerpb.Member{{Host: "a", Incarnation: ahead, State: peerpb.MemberState_ALIVE, PeerAddress: "10.0.0.1" + peerPort}},
 		})
@@ -309,12 +309,12 @@
 		is.Equal(len(ended), 0)
 		is.Equal(incarnationOf(h, "a"), ahead+1)
 		stop()
-		is.NoErr(ignoreEnd(<-ended))
+		is.NoErr(ignoreCanceled(<-ended))
 	})
 }
 
-// tell sends the host a probe that carries membership updates.
-func tell(ctx context.Context, is *is.I, from link.Network, news *peerpb.ProbeRequest) {
+// sendProbe sends the host a probe that carries membership updates.
+func sendProbe(ctx context.Context, is *is.I, from link.Network, news *peerpb.ProbeRequest) {
 	conn, err := grpc.NewClient("passthrough:10.0.0.1"+peerPort, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithContextDialer(func(ctx context.Context, address string) (net.Conn, error) { return from.Dial(ctx, address) }))
 	is.NoErr(err)
@@ -332,33 +332,33 @@
 	return 0
 }
 
-// follow runs the host's store followers until ctx ends.
-func follow(ctx context.Context, h *Host) {
+// runFollowers runs the host's store followers until ctx ends.
+func runFollowers(ctx context.Context, h *Host) {
 	for _, run := range []func(context.Context) error{h.servers.Run, h.evacuations.Run, h.configuration.Run} {
 		go func() { _ = run(ctx) }()
 	}
 }
 
 // Guards against missing a leaving engine because a watch delivers nothing.
-func TestDeafWatchesAreNoticed(t *testing.T) {
+func TestStalledWatchIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h, memory := alone(stays)
-		h.servers.Store = deafStore{checkedStore{memory}}
+		h, memory := standaloneHost(notLeaving)
+		h.servers.Store = stalledWatchStore{checkedStore{memory}}
 		ctx, stop := context.WithCancel(t.Context())
-		follow(ctx, h)
+		runFollowers(ctx, h)
 		_, err := memory.Put(ctx, kindOfConfiguration, "main", []byte{7}, 0)
 		is.NoErr(err)
 		version, err := memory.Put(ctx, kindOfServers, "i-1", []byte("ready"), 0)
 		is.NoErr(err)
 		time.Sleep(time.Second)
 		is.NoErr(h.verify(ctx))
-		time.Sleep(missedAfter + time.Millisecond)
+		time.Sleep(watchLagLimit + time.Millisecond)
 		is.Equal(len(h.fleet.Usable("s")), 1)
 		_, err = memory.Put(ctx, kindOfServers, "i-1", []byte("leaving"), version)
 		is.NoErr(err)
 		is.NoErr(h.verify(ctx))
-		time.Sleep(missedAfter + time.Millisecond)
+		time.Sleep(watchLagLimit + time.Millisecond)
 		synctest.Wait()
 		is.Equal(len(h.fleet.Usable("s")), 0)
 		stop()
@@ -368,27 +368,27 @@
 
 // Guards against missed changes that stay hidden because verify found a later
 // configuration.
-func TestDeafWatchesAreNoticedBesideAConfiguration(t *testing.T) {
+func TestStalledWatchIsDetectedDespiteNewConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h, memory := alone(stays)
-		h.servers.Store, h.configuration.Store = deafStore{checkedStore{memory}}, deafStore{checkedStore{memory}}
+		h, memory := standaloneHost(notLeaving)
+		h.servers.Store, h.configuration.Store = stalledWatchStore{checkedStore{memory}}, stalledWatchStore{checkedStore{memory}}
 		ctx, stop := context.WithCancel(t.Context())
-		follow(ctx, h)
+		runFollowers(ctx, h)
 		configuration, err := memory.Put(ctx, kindOfConfiguration, "main", []byte{7}, 0)
 		is.NoErr(err)
 		server, err := memory.Put(ctx, kindOfServers, "i-1", []byte("ready"), 0)
 		is.NoErr(err)
 		time.Sleep(time.Second)
 		is.NoErr(h.verify(ctx))
-		time.Sleep(missedAfter + time.Millisecond)
+		time.Sleep(watchLagLimit + time.Millisecond)
 		is.Equal(len(h.fleet.Usable("s")), 1)
 		_, err = memory.Put(ctx, kindOfServers, "i-1", []byte("leaving"), server)
 		is.NoErr(err)
 		_, err = memory.Put(ctx, kindOfConfiguration, "main", []byte{8}, configuration)
 		is.NoErr(err)
 		is.NoErr(h.verify(ctx))
-		time.Sleep(missedAfter + time.Millisecond)
+		time.Sleep(watchLagLimit + time.Millisecond)
 		synctest.Wait()
 		is.Equal(len(h.fleet.Usable("s")), 0)
 		stop()
@@ -400,21 +400,21 @@
 func TestChangesOfOtherKindsAreListedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h, memory := alone(stays)
+		h, memory := standaloneHost(notLeaving)
 		ctx, stop := context.WithCancel(t.Context())
-		follow(ctx, h)
+		runFollowers(ctx, h)
 		_, err := memory.Put(ctx, kindOfConfiguration, "main", []byte{7}, 0)
 		is.NoErr(err)
 		time.Sleep(time.Second)
 		other, err := memory.Put(ctx, "other", "x", []byte{1}, 0)
 		is.NoErr(err)
 		is.NoErr(h.verify(ctx))
-		is.True(h.reached() < other)
-		time.Sleep(missedAfter + time.Millisecond)
+		is.True(h.reachedRevision() < other)
+		time.Sleep(watchLagLimit + time.Millisecond)
 		synctest.Wait()
-		is.Equal(h.reached(), other)
+		is.Equal(h.reachedRevision(), other)
 		is.NoErr(h.verify(ctx))
-		is.True(!h.comparing.Load())
+		is.True(!h.checkingWatches.Load())
 		stop()
 		synctest.Wait()
 	})
--- a/gatewayhost/large_test.go
+++ b/gatewayhost/large_test.go
@@ -15,32 +15,32 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// pricedStore counts full-price calls (lists and watches). It can refuse all calls
-// of its host.
-type pricedStore struct {
+// countingStore counts full-price calls (lists and watches). It can refuse all
+// calls of its host.
+type countingStore struct {
 	checkedStore
-	calls *callCount
-	turns atomic.Bool // refuses all calls
+	calls    *callCount
+	refusing atomic.Bool // refuses all calls
 }
 
-func (s *pricedStore) Check(ctx context.Context) error {
-	if s.turns.Load() {
+func (s *countingStore) Check(ctx context.Context) error {
+	if s.refusing.Load() {
 		return store.ErrUnavailable
 	}
 	return s.checkedStore.Check(ctx)
 }
 
-func (s *pricedStore) List(ctx context.Context, kind string) ([]store.Object, store.Version, error) {
+func (s *countingStore) List(ctx context.Context, kind string) ([]store.Object, store.Version, error) {
 	s.calls.add(kind)
-	if s.turns.Load() {
+	if s.refusing.Load() {
 		return nil, 0, store.ErrUnavailable
 	}
 	return s.checkedStore.List(ctx, kind)
 }
 
-func (s *pricedStore) Watch(ctx context.Context, kind string, after store.Version) ([]store.Object, store.Version, error) {
+func (s *countingStore) Watch(ctx context.Context, kind string, after store.Version) ([]store.Object, store.Version, error) {
 	s.calls.add(kind)
-	if s.turns.Load() {
+	if s.refusing.Load() {
 		return nil, 0, store.ErrUnavailable
 	}
 	return s.checkedStore.Watch(ctx, kind, after)
@@ -61,8 +61,8 @@
 	c.byKind[kind]++
 }
 
-// of returns the number of calls for a kind.
-func (c *callCount) of(kind string) int {
+// forKind returns the number of calls for a kind.
+func (c *callCount) forKind(kind string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.byKind[kind]
@@ -71,7 +71,7 @@
 // largeFleet is a fleet of hosts of one failure domain that start together.
 type largeFleet struct {
 	hosts  []*Host
-	stores []*pricedStore
+	stores []*countingStore
 	calls  callCount
 	memory *store.Memory
 	fabric *network.Fabric
@@ -82,8 +82,8 @@
 	f := &largeFleet{memory: memory, fabric: fabric}
 	for i := range count {
 		address := fmt.Sprintf("10.0.0.%d", i+1)
-		h := newHost(fmt.Sprintf("h%02d", i), fabric.Host(address), address, f.memory, stays, "10.0.0.1"+peerPort)
-		priced := &pricedStore{checkedStore: checkedStore{f.memory}, calls: &f.calls}
+		h := newHost(fmt.Sprintf("h%02d", i), fabric.Host(address), address, f.memory, notLeaving, "10.0.0.1"+peerPort)
+		priced := &countingStore{checkedStore: checkedStore{f.memory}, calls: &f.calls}
 		h.options.Store, h.servers.Store, h.configuration.Store, h.evacuations.Store = priced, priced, priced, priced
 		h.booting.Store(true)
 		f.hosts, f.stores = append(f.hosts, h), append(f.stores, priced)
@@ -105,7 +105,7 @@
 }
 
 // Guards against all hosts watching the store when they start together.
-func TestFleetThatStartsTogetherSparesTheStore(t *testing.T) {
+func TestFewHostsWatchWhenFleetStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(t.Context())
@@ -120,7 +120,7 @@
 		time.Sleep(5 * time.Second)
 		is.Equal(len(f.watching()), 3)
 		for _, kind := range []string{kindOfConfiguration, kindOfServers, kindOfEvacuations} {
-			is.True(f.calls.of(kind) <= 12) // 48 if each host watched until it had joined the others
+			is.True(f.calls.forKind(kind) <= 12) // 48 if each host watched until it had joined the others
 		}
 		stop()
 		time.Sleep(time.Minute) // lets connection timers expire
@@ -129,13 +129,13 @@
 }
 
 func TestHostWithoutPeersFollowsTheStoreItself(t *testing.T) {
-	// Guards against a host that keeps serving by its stale read of the store because
-	// none of its seeds answers.
+	// Guards against a host that keeps serving by its stale read of the store
+	// because none of its seeds answers.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(t.Context())
 		f := startFleet(ctx, 1, store.NewMemory())
-		time.Sleep(bootWait + time.Second)
+		time.Sleep(joinTimeout + time.Second)
 		_, err := f.memory.Put(ctx, kindOfServers, "i-1", []byte("ready"), 0)
 		is.NoErr(err)
 		time.Sleep(serversSpacing)
@@ -148,7 +148,7 @@
 
 // Guards against a failure domain that receives no changes because the store
 // refuses the calls of its watchers.
-func TestWatcherThatIsTurnedAwayHandsOver(t *testing.T) {
+func TestWatcherRefusedByStoreIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(t.Context())
@@ -157,13 +157,13 @@
 		first := f.watching()
 		is.Equal(len(first), 3)
 		for _, i := range first[1:] {
-			f.stores[i].turns.Store(true)
+			f.stores[i].refusing.Store(true)
 		}
 		time.Sleep(6 * time.Second)
 		second := f.watching()
 		is.Equal(len(second), 3)
 		for _, i := range second {
-			is.True(!f.stores[i].turns.Load())
+			is.True(!f.stores[i].refusing.Load())
 		}
 		_, err := f.memory.Put(ctx, kindOfServers, "i-1", []byte("ready"), 0)
 		is.NoErr(err)
@@ -172,7 +172,7 @@
 			is.Equal(len(h.fleet.Usable("s")), 1)
 		}
 		for _, i := range first {
-			f.stores[i].turns.Store(false)
+			f.stores[i].refusing.Store(false)
 		}
 		time.Sleep(4 * time.Second)
 		is.Equal(f.watching(), first)
@@ -182,20 +182,20 @@
 	})
 }
 
-func TestRelayedWordCountsForItsOwnVersionOnly(t *testing.T) {
-	// Guards against rejecting a route because another host verified a configuration
-	// revision that is not the active one here.
+func TestRelayedVerificationAppliesToSameRevisionOnly(t *testing.T) {
+	// Guards against rejecting a route because another host verified a
+	// configuration revision that is not the active one here.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h, _ := alone(stays)
+		h, _ := standaloneHost(notLeaving)
 		h.table.Adopt([]store.Object{{Kind: kindOfConfiguration, Name: "main", Version: 5, Value: []byte{7}}})
-		h.relay("b", 4, 0)
-		is.Equal(h.surelyNewest(), uint64(0))
-		h.relay("b", 5, 300*time.Millisecond)
-		is.Equal(h.surelyNewest(), uint64(5))
-		h.relay("b", 5, 600*time.Millisecond) // an older verification
-		is.Equal(h.verified(), 300*time.Millisecond)
-		time.Sleep(confirmAge - 300*time.Millisecond + time.Millisecond)
-		is.Equal(h.surelyNewest(), uint64(0))
+		h.recordRelayedVerification("b", 4, 0)
+		is.Equal(h.verifiedRevision(), uint64(0))
+		h.recordRelayedVerification("b", 5, 300*time.Millisecond)
+		is.Equal(h.verifiedRevision(), uint64(5))
+		h.recordRelayedVerification("b", 5, 600*time.Millisecond) // an older verification
+		is.Equal(h.verificationAge(), 300*time.Millisecond)
+		time.Sleep(verificationTTL - 300*time.Millisecond + time.Millisecond)
+		is.Equal(h.verifiedRevision(), uint64(0))
 	})
 }
--- a/gatewayhost/members.go
+++ b/gatewayhost/members.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	msgRenamed = "fleet knows a newer life of this host; it joins as a newer one"
+	msgRejoining = "fleet knows a newer life of this host; it joins as a newer one"
 
 	// probeInterval is the interval between probes of peers. A dead host is
 	// suspected within about a second, which matches the interval at which
@@ -28,9 +28,9 @@
 	suspicionTimeout = 4 * time.Second
 	// addressesTTL is how long callers may cache an address list.
 	addressesTTL = time.Second
-	// livesShift reserves the low bits of Generation for membership changes
+	// rejoinShift reserves the low bits of Generation for membership changes
 	// within one incarnation.
-	livesShift = 40
+	rejoinShift = 40
 )
 
 // newNode returns this host's membership node; for incarnation 0, the wall clock
@@ -42,7 +42,7 @@
 			Host: o.Name, Incarnation: incarnation, FailureDomain: o.Domain, PeerAddress: o.PeerAddress, CallerAddress: o.CallersAddress,
 			Capacity: o.Capacity,
 		},
-		Network: o.Network, Seeds: o.Seeds, Configuration: spreading{h.table}, Handler: noForwarding{}, Suspects: h.quarantine,
+		Network: o.Network, Seeds: o.Seeds, Configuration: gossipedTable{h.table}, Handler: noForwarding{}, Suspects: h.quarantine,
 		Logger:     o.Logger,
 		Register:   func(registrar grpc.ServiceRegistrar) { allocation.Register(registrar, h.allocator) },
 		Registerer: registerer, ProbeInterval: probeInterval, SuspicionTimeout: suspicionTimeout,
@@ -65,9 +65,9 @@
 		if ctx.Err() != nil || !errors.As(err, &superseded) {
 			return err
 		}
-		h.logger.Warn(msgRenamed, zap.Uint64("known", superseded.Known))
+		h.logger.Warn(msgRejoining, zap.Uint64("known", superseded.Known))
 		h.node.Store(h.newNode(superseded.Known+1, prometheus.NewRegistry()))
-		h.lives.Add(1)
+		h.rejoins.Add(1)
 	}
 }
 
@@ -77,7 +77,7 @@
 // Generation increases with every change of Members, except of the versions that
 // members advertise, and when this host rejoins under a new incarnation.
 func (h *Host) Generation() uint64 {
-	return h.lives.Load()<<livesShift + h.node.Load().Generation()
+	return h.rejoins.Load()<<rejoinShift + h.node.Load().Generation()
 }
 
 // SetStoreAway sets whether this host advertises to its peers that it cannot
@@ -100,8 +100,8 @@
 	return max(1, live)
 }
 
-// othersLive reports whether another entry host is alive.
-func (h *Host) othersLive() bool {
+// hasLivePeers reports whether another entry host is alive.
+func (h *Host) hasLivePeers() bool {
 	return slices.ContainsFunc(h.Members(), func(m peer.Member) bool { return m.State == peer.StateAlive && m.Host != h.options.Name })
 }
 
@@ -119,12 +119,12 @@
 	return addresses, addressesTTL, true
 }
 
-// spreading adapts the replica table to peer.ConfigurationTable, so that stored
+// gossipedTable adapts the replica table to peer.ConfigurationTable, so that stored
 // objects are gossiped among peers.
-type spreading struct{ *replica.Table }
+type gossipedTable struct{ *replica.Table }
 
 // Adopt implements peer.ConfigurationTable.
-func (s spreading) Adopt(objects []store.Object) (int, error) {
+func (s gossipedTable) Adopt(objects []store.Object) (int, error) {
 	count, found := s.Table.Adopt(objects)
 	if len(found) > 0 {
 		return count, found[0].Err
--- a/gatewayhost/quarantine.go
+++ b/gatewayhost/quarantine.go
@@ -21,15 +21,16 @@
 	msgQuarantineNotStored  = "storing quarantined requests failed; retrying"
 	msgQuarantineUnreadable = "stored quarantined requests cannot be read"
 
-	// nameOfQuarantine is the name of the single object of its kind.
-	nameOfQuarantine   = "requests"
-	sourceOfQuarantine = "store"
-	// mostStored bounds the number of requests in the object; those whose
+	// quarantineName is the name of the single object of its kind.
+	quarantineName   = "requests"
+	quarantineSource = "store"
+	// maxStoredRequests bounds the number of requests in the object; those whose
 	// quarantine ends last are kept.
-	mostStored = 512
-	// staleness is the delay after which a started host reads the object again:
-	// the first read may have returned data that is some seconds old.
-	staleness = 4 * time.Second
+	maxStoredRequests = 512
+	// quarantineRereadDelay is the delay after which a started host reads the
+	// object again: the first read may have returned data that is some seconds
+	// old.
+	quarantineRereadDelay = 4 * time.Second
 	// quarantineTimeout bounds one attempt to write the object.
 	quarantineTimeout = 2 * time.Second
 )
@@ -48,7 +49,7 @@
 
 func encodeQuarantine(records []quarantine.Record, now time.Time) ([]byte, error) {
 	slices.SortFunc(records, func(a, b quarantine.Record) int { return cmp.Compare(b.Left, a.Left) })
-	records = records[:min(len(records), mostStored)]
+	records = records[:min(len(records), maxStoredRequests)]
 	content := storedQuarantine{Requests: make([]storedRequest, 0, len(records))}
 	for _, r := range records {
 		content.Requests = append(content.Requests, storedRequest{
@@ -76,13 +77,13 @@
 	return records, nil
 }
 
-// keepQuarantine synchronises the quarantine with the store until ctx ends: it
-// reads the stored object twice, at startup and after staleness, and writes it
-// when this host's quarantine changes. Running hosts learn of changes by gossip;
-// the stored object is for hosts that start while no peer is alive.
-func (h *Host) keepQuarantine(ctx context.Context) error {
+// syncQuarantine synchronises the quarantine with the store until ctx ends: it
+// reads the stored object twice, at startup and after quarantineRereadDelay, and
+// writes it when this host's quarantine changes. Running hosts learn of changes
+// by gossip; the stored object is for hosts that start while no peer is alive.
+func (h *Host) syncQuarantine(ctx context.Context) error {
 	h.readQuarantine(ctx)
-	reread := time.NewTimer(staleness)
+	reread := time.NewTimer(quarantineRereadDelay)
 	defer reread.Stop()
 	backoff := store.Backoff{Initial: storeBackoff, Max: storeBackoffMax}
 	for {
@@ -92,10 +93,10 @@
 			return ctx.Err()
 		case <-reread.C:
 			if !h.readQuarantine(ctx) {
-				reread.Reset(staleness)
+				reread.Reset(quarantineRereadDelay)
 			}
 			continue
-		case <-h.quarantined:
+		case <-h.quarantineDirty:
 			err = h.storeQuarantine(ctx)
 		}
 		if err == nil {
@@ -103,17 +104,17 @@
 			continue
 		}
 		h.logger.Warn(msgQuarantineNotStored, zap.Error(err))
-		h.noteQuarantined()
+		h.scheduleQuarantineWrite()
 		if err := sleep.For(ctx, backoff.Next()); err != nil {
 			return err
 		}
 	}
 }
 
-// noteQuarantined schedules a write of the quarantine to the store.
-func (h *Host) noteQuarantined() {
+// scheduleQuarantineWrite schedules a write of the quarantine to the store.
+func (h *Host) scheduleQuarantineWrite() {
 	select {
-	case h.quarantined <- struct{}{}:
+	case h.quarantineDirty <- struct{}{}:
 	default:
 	}
 }
@@ -123,20 +124,20 @@
 func (h *Host) readQuarantine(ctx context.Context) bool {
 	objects, _, answered := h.listStale(ctx, h.options.Objects.Quarantine)
 	for _, object := range objects {
-		h.adoptQuarantine(object)
+		h.mergeQuarantine(object)
 	}
 	return answered
 }
 
-// adoptQuarantine merges a stored object. One that cannot be decoded is ignored,
+// mergeQuarantine merges a stored object. One that cannot be decoded is ignored,
 // as another writer may have overwritten it.
-func (h *Host) adoptQuarantine(object store.Object) {
+func (h *Host) mergeQuarantine(object store.Object) {
 	records, err := decodeQuarantine(object.Value, time.Now())
 	if err != nil {
 		h.logger.Warn(msgQuarantineUnreadable, zap.Uint64("revision", uint64(object.Version)), zap.Error(err))
 		return
 	}
-	h.quarantine.Merge(records, sourceOfQuarantine)
+	h.quarantine.Merge(records, quarantineSource)
 }
 
 // storeQuarantine merges the stored object with this host's quarantine and
@@ -145,18 +146,18 @@
 	ctx, cancel := context.WithTimeout(ctx, quarantineTimeout)
 	defer cancel()
 	kind := h.options.Objects.Quarantine
-	object, err := h.options.Store.Get(ctx, kind, nameOfQuarantine)
+	object, err := h.options.Store.Get(ctx, kind, quarantineName)
 	if err != nil && !errors.Is(err, store.ErrNoObject) {
 		return err
 	}
 	if err == nil {
-		h.adoptQuarantine(object)
+		h.mergeQuarantine(object)
 	}
 	value, err := encodeQuarantine(h.quarantine.All(), time.Now())
 	if err != nil {
 		return err
 	}
-	revision, err := h.options.Store.Put(ctx, kind, nameOfQuarantine, value, object.Version)
+	revision, err := h.options.Store.Put(ctx, kind, quarantineName, value, object.Version)
 	if err != nil {
 		return err
 	}
--- a/gatewayhost/quarantine_test.go
+++ b/gatewayhost/quarantine_test.go
@@ -42,15 +42,15 @@
 	gateway.Backend
 	memory *store.Memory
 
-	mu      sync.Mutex // guards all below
-	started int
-	lives   map[string]chan struct{} // by server: closed when the server has crashed
-	crashes []time.Time
-	sends   []time.Time // of requests with crashingBody
+	mu           sync.Mutex // guards all below
+	started      int
+	crashSignals map[string]chan struct{} // by server: closed when the server has crashed
+	crashes      []time.Time
+	sends        []time.Time // of requests with crashingBody
 }
 
 func newCrashing(memory *store.Memory) *crashing {
-	c := &crashing{memory: memory, lives: map[string]chan struct{}{}}
+	c := &crashing{memory: memory, crashSignals: map[string]chan struct{}{}}
 	for range serverCount {
 		c.start()
 	}
@@ -63,19 +63,19 @@
 	defer c.mu.Unlock()
 	c.started++
 	id := fmt.Sprintf("i-%d", c.started)
-	c.lives[id] = make(chan struct{})
+	c.crashSignals[id] = make(chan struct{})
 	c.memory.Set(kindOfServers, id, []byte("ready"))
 }
 
-func (c *crashing) end(id string) {
+func (c *crashing) crash(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
-	case <-c.lives[id]:
+	case <-c.crashSignals[id]:
 		return
 	default:
 	}
-	close(c.lives[id])
+	close(c.crashSignals[id])
 	c.crashes = append(c.crashes, time.Now())
 	time.AfterFunc(replaceAfter, func() {
 		c.memory.Remove(kindOfServers, id)
@@ -83,16 +83,16 @@
 	})
 }
 
-func (c *crashing) life(id string) chan struct{} {
+func (c *crashing) crashSignal(id string) chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lives[id]
+	return c.crashSignals[id]
 }
 
 // Ended reports whether a server has crashed.
 func (c *crashing) Ended(_ context.Context, server fleet.Server) bool {
 	select {
-	case <-c.life(server.ID):
+	case <-c.crashSignal(server.ID):
 		return true
 	default:
 		return false
@@ -117,10 +117,10 @@
 		c.mu.Lock()
 		c.sends = append(c.sends, time.Now())
 		c.mu.Unlock()
-		time.AfterFunc(crashAfter, func() { c.end(call.Server.ID) })
+		time.AfterFunc(crashAfter, func() { c.crash(call.Server.ID) })
 	}
 	select {
-	case <-c.life(call.Server.ID):
+	case <-c.crashSignal(call.Server.ID):
 		return nil, &backend.CallError{Evidence: backend.Broken, Err: io.ErrUnexpectedEOF}
 	case <-runs.C:
 	case <-ctx.Done():
@@ -152,12 +152,12 @@
 	memory  *store.Memory
 	fabric  *network.Fabric
 	hosts   []*Host
-	ends    []context.CancelFunc // by host
+	cancels []context.CancelFunc // by host
 	next    int                  // number of the last request
 }
 
 func startCrashingFleet(ctx context.Context, hosts int) *crashingFleet {
-	f := &crashingFleet{memory: store.NewMemory(), fabric: network.New(network.Options{}), hosts: make([]*Host, hosts), ends: make([]context.CancelFunc, hosts)}
+	f := &crashingFleet{memory: store.NewMemory(), fabric: network.New(network.Options{}), hosts: make([]*Host, hosts), cancels: make([]context.CancelFunc, hosts)}
 	f.servers = newCrashing(f.memory)
 	for i := range f.hosts {
 		f.startHost(ctx, i)
@@ -177,15 +177,15 @@
 		map[string]*gateway.Organisation{"key": {Name: "o"}}, gateway.ClientLimits{}))
 	h.booting.Store(true)
 	f.hosts[i] = h
-	ctx, f.ends[i] = context.WithCancel(ctx)
-	for _, run := range []func(context.Context) error{h.runNode, h.boot, h.servers.Run, h.configuration.Run, h.evacuations.Run, h.keepQuarantine, h.watch.Run} {
+	ctx, f.cancels[i] = context.WithCancel(ctx)
+	for _, run := range []func(context.Context) error{h.runNode, h.boot, h.servers.Run, h.configuration.Run, h.evacuations.Run, h.syncQuarantine, h.watch.Run} {
 		go func() { _ = run(ctx) }()
 	}
 }
 
 // restartAll stops all hosts at the same time and starts them again.
 func (f *crashingFleet) restartAll(ctx context.Context) {
-	for _, end := range f.ends {
+	for _, end := range f.cancels {
 		end()
 	}
 	time.Sleep(time.Second)
@@ -210,8 +210,8 @@
 	return host.gateway.Serve(ctx, request, nil)
 }
 
-// pressFor sends crashingBody to the hosts in turn for the duration d.
-func (f *crashingFleet) pressFor(ctx context.Context, d time.Duration) {
+// sendCrashingFor sends crashingBody to the hosts in turn for the duration d.
+func (f *crashingFleet) sendCrashingFor(ctx context.Context, d time.Duration) {
 	for began := time.Now(); time.Since(began) < d; time.Sleep(400 * time.Millisecond) {
 		host, request := f.request(crashingBody)
 		go host.gateway.Serve(ctx, request, nil)
@@ -234,7 +234,7 @@
 func TestRequestThatCrashesServersIsQuarantined(t *testing.T) {
 	for _, hosts := range []int{7, 40} {
 		withCrashingFleet(t, hosts, func(ctx context.Context, is *is.I, f *crashingFleet) {
-			f.pressFor(ctx, 20*time.Second)
+			f.sendCrashingFor(ctx, 20*time.Second)
 			is.True(f.servers.retriesAfterThird() <= retriesAllowed)
 			is.Equal(f.serve(ctx, harmlessBody).Status, http.StatusOK)
 		})
@@ -242,13 +242,13 @@
 }
 
 // Guards against a quarantine that is lost when all hosts are killed at once.
-func TestQuarantineOutlivesAllHosts(t *testing.T) {
+func TestQuarantineSurvivesRestartOfAllHosts(t *testing.T) {
 	withCrashingFleet(t, 7, func(ctx context.Context, is *is.I, f *crashingFleet) {
 		for range 3 {
-			f.pressFor(ctx, 10*time.Second)
+			f.sendCrashingFor(ctx, 10*time.Second)
 			f.restartAll(ctx)
 		}
-		f.pressFor(ctx, 10*time.Second)
+		f.sendCrashingFor(ctx, 10*time.Second)
 		is.True(f.servers.retriesAfterThird() <= retriesAllowed)
 		is.Equal(f.serve(ctx, harmlessBody).Status, http.StatusOK)
 	})
@@ -256,22 +256,22 @@
 
 // Guards against a quarantine that is never stored because the store was
 // unavailable when the quarantine began.
-func TestQuarantineIsStoredOnceTheStoreIsBack(t *testing.T) {
+func TestQuarantineIsStoredAfterStoreOutage(t *testing.T) {
 	withCrashingFleet(t, 7, func(ctx context.Context, is *is.I, f *crashingFleet) {
 		f.memory.SetFaults(store.Faults{Outage: true})
-		f.pressFor(ctx, 10*time.Second)
+		f.sendCrashingFor(ctx, 10*time.Second)
 		f.memory.SetFaults(store.Faults{})
 		time.Sleep(5 * time.Second)
 		f.restartAll(ctx)
 		before := len(f.servers.sends)
-		f.pressFor(ctx, 10*time.Second)
+		f.sendCrashingFor(ctx, 10*time.Second)
 		is.Equal(len(f.servers.sends), before)
 	})
 }
 
 // Guards against a host that fails on a stored quarantine that another writer
 // has overwritten.
-func TestStoredQuarantineThatCannotBeRead(t *testing.T) {
+func TestUnreadableStoredQuarantine(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{"", "7", "[]", `{"requests":7}`, `{"requests":[{"fingerprint":"not hexadecimal"}]}`} {
 		_, err := decodeQuarantine([]byte(text), time.Now())
@@ -291,10 +291,10 @@
 // Guards against an ended quarantine that is restored from the store.
 func TestEndOfAQuarantineIsStored(t *testing.T) {
 	is := is.New(t)
-	h, memory := alone(stays)
+	h, memory := standaloneHost(notLeaving)
 	stored := func() []quarantine.Record {
 		is.NoErr(h.storeQuarantine(t.Context()))
-		object, err := memory.Get(t.Context(), h.options.Objects.Quarantine, nameOfQuarantine)
+		object, err := memory.Get(t.Context(), h.options.Objects.Quarantine, quarantineName)
 		is.NoErr(err)
 		records, err := decodeQuarantine(object.Value, time.Now())
 		is.NoErr(err)
--- a/gatewayhost/release.go
+++ b/gatewayhost/release.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	msgReleased    = "backend server has no more what was sent to it; its places are free"
-	msgHeldNotSaid = "backend server did not report its generations"
+	msgReleased        = "backend server has no more what was sent to it; its places are free"
+	msgHeldNotReported = "backend server did not report its generations"
 
 	// releaseInterval is the interval between queries to one engine;
 	// releaseTimeout bounds one query.
@@ -21,27 +21,27 @@
 	releaseTimeout  = 500 * time.Millisecond
 )
 
-// releaseLost queries engines at which generations make no progress for the
-// generations that they have, and releases the reservations of all others, until
-// ctx ends. The generations themselves keep waiting, as output that the engine
-// has already sent may still arrive.
-func (h *Host) releaseLost(ctx context.Context) error {
+// releaseLostGenerations queries engines at which generations make no progress
+// for the generations that they have, and releases the reservations of all
+// others, until ctx ends. The generations themselves keep waiting, as output that
+// the engine has already sent may still arrive.
+func (h *Host) releaseLostGenerations(ctx context.Context) error {
 	for sleep.For(ctx, releaseInterval) == nil {
 		var group sync.WaitGroup
 		for _, server := range h.fleet.Silent() {
-			group.Go(func() { h.releaseAt(ctx, server) })
+			group.Go(func() { h.releaseLostOn(ctx, server) })
 		}
 		group.Wait()
 	}
 	return ctx.Err()
 }
 
-func (h *Host) releaseAt(ctx context.Context, server fleet.Server) {
+func (h *Host) releaseLostOn(ctx context.Context, server fleet.Server) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	held, err := h.options.Backend.Held(ctx, server)
 	if err != nil {
-		h.logger.Debug(msgHeldNotSaid, zap.String("server", server.ID), zap.Error(err))
+		h.logger.Debug(msgHeldNotReported, zap.String("server", server.ID), zap.Error(err))
 		return
 	}
 	if released := h.fleet.Release(server.Life(), held); len(released) > 0 {
--- a/gatewayhost/stop.go
+++ b/gatewayhost/stop.go
@@ -15,17 +15,17 @@
 	MsgStopping = "entry host stops"
 	msgCutOff   = "requests cut off at the end of the grace"
 
-	// calledBack is how long a stopping host keeps accepting requests until
+	// addressRefreshTime is how long a stopping host keeps accepting requests until
 	// callers have refreshed their addresses: addressesTTL and a round trip.
-	calledBack = 1500 * time.Millisecond
+	addressRefreshTime = 1500 * time.Millisecond
 	// stopMargin is the part of StopGrace that is reserved for ending the
 	// process.
 	stopMargin = 300 * time.Millisecond
-	// stopCheck is the interval between checks for running generations.
-	stopCheck = 50 * time.Millisecond
-	// lastRequests is how long before the stop deadline a host stops accepting
-	// connections; later requests could not be answered in time.
-	lastRequests = time.Second
+	// stopCheckInterval is the interval between checks for running generations.
+	stopCheckInterval = 50 * time.Millisecond
+	// stopAcceptingBefore is how long before the stop deadline a host stops
+	// accepting connections; later requests could not be answered in time.
+	stopAcceptingBefore = time.Second
 )
 
 // Ready reports whether this host accepts requests.
@@ -48,9 +48,9 @@
 	deadline := time.Now().Add(h.options.StopGrace - stopMargin)
 	h.gateway.Stop(deadline)
 	h.node.Load().Leave("")
-	_ = sleep.For(context.Background(), calledBack) // the context never ends
-	for h.gateway.Generations() > 0 && time.Until(deadline) > lastRequests {
-		_ = sleep.For(context.Background(), stopCheck) // the context never ends
+	_ = sleep.For(context.Background(), addressRefreshTime) // the context never ends
+	for h.gateway.Generations() > 0 && time.Until(deadline) > stopAcceptingBefore {
+		_ = sleep.For(context.Background(), stopCheckInterval) // the context never ends
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
--- a/gatewayhost/stop_test.go
+++ b/gatewayhost/stop_test.go
@@ -21,35 +21,35 @@
 // streaming answers every request with a stream of the given duration.
 type streaming struct {
 	servers
-	lasts time.Duration
+	duration time.Duration
 }
 
 func (s streaming) Send(context.Context, gateway.Call) (*gateway.Reply, error) {
 	reader, writer := io.Pipe()
 	go func() {
 		_, _ = writer.Write([]byte("id: 1\ndata: a\n\n")) // the caller may be gone
-		time.Sleep(s.lasts)
+		time.Sleep(s.duration)
 		_ = writer.Close()
 	}()
 	return &gateway.Reply{Status: http.StatusOK, Header: http.Header{}, Body: reader, Whole: true}, nil
 }
 
-// nobody discards a stream.
-type nobody struct{}
+// discardStream discards a stream.
+type discardStream struct{}
 
-func (nobody) Begin(int, http.Header) error { return nil }
-func (nobody) Event([]byte) error           { return nil }
+func (discardStream) Begin(int, http.Header) error { return nil }
+func (discardStream) Event([]byte) error           { return nil }
 
 // Guards against seconds in which no host accepts connections, when all hosts are
 // stopped in turn.
-func TestStoppingHostTakesCallsWhileItsLettersRun(t *testing.T) {
+func TestStoppingHostAcceptsRequestsWhileGenerationsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		fabric := network.New(network.Options{})
-		h := newHost("a", fabric.Host("10.0.0.1"), "10.0.0.1", store.NewMemory(), stays)
+		h := newHost("a", fabric.Host("10.0.0.1"), "10.0.0.1", store.NewMemory(), notLeaving)
 		h.gateway = gateway.New(gateway.Options{
-			Fleet: h.fleet, Backend: streaming{lasts: 5 * time.Second}, Allocator: h.allocation, Quarantine: h.quarantine, Logger: zap.NewNop(), Budget: &gateway.Budget{Window: time.Second, Hosts: h.liveHosts},
-			Confirm: h.confirm, Others: h.othersLive, Metrics: gateway.NewMetrics(prometheus.NewRegistry()),
+			Fleet: h.fleet, Backend: streaming{duration: 5 * time.Second}, Allocator: h.allocation, Quarantine: h.quarantine, Logger: zap.NewNop(), Budget: &gateway.Budget{Window: time.Second, Hosts: h.liveHosts},
+			Confirm: h.confirm, Others: h.hasLivePeers, Metrics: gateway.NewMetrics(prometheus.NewRegistry()),
 		})
 		route := &gateway.Route{Host: "h", PathPrefix: "/", Kind: gateway.Generation, Timeout: 39 * time.Second, Goal: time.Second, Attempts: 1, Targets: []gateway.Target{{Service: "s", Weight: 1}}}
 		h.gateway.SetConfiguration(gateway.NewConfiguration(1, []*gateway.Route{route}, []*gateway.Service{{Name: "s"}}, nil, gateway.ClientLimits{}))
@@ -59,7 +59,7 @@
 		is.NoErr(err)
 		server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})}
 		go func() { _ = server.Serve(listener) }()
-		go h.gateway.Serve(t.Context(), &gateway.Request{ID: "r1", Host: "h", Path: "/", Arrived: time.Now(), Deadline: time.Now().Add(39 * time.Second)}, nobody{})
+		go h.gateway.Serve(t.Context(), &gateway.Request{ID: "r1", Host: "h", Path: "/", Arrived: time.Now(), Deadline: time.Now().Add(39 * time.Second)}, discardStream{})
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(h.gateway.Generations(), 1)
 
