--- a/replica/follower.go
+++ b/replica/follower.go
@@ -17,7 +17,7 @@
 const (
 	msgStoreReached   = "platform store reached"
 	msgStoreLost      = "platform store lost"
-	msgNotPutInForce  = "stored configuration not put in force"
+	msgNotApplied     = "stored configuration not put in force"
 	activeCheckPeriod = 500 * time.Millisecond
 )
 
@@ -46,11 +46,11 @@
 
 	reached   atomic.Uint64 // revision reached by the newest list or watch of the store
 	reachable atomic.Bool
-	failed    moment.Moment // time of the last failed call to the store
+	failedAt  moment.Moment // time of the last failed call to the store
 
 	mu     sync.Mutex         // guards all below
 	cancel context.CancelFunc // cancels the pending watch; nil if there is none
-	doubt  bool               // list again before the next watch
+	relist bool               // list again before the next watch
 }
 
 // Relist cancels the pending watch and makes the follower list its objects again.
@@ -63,36 +63,36 @@
 func (f *Follower) Relist() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.doubt = true
+	f.relist = true
 	if f.cancel != nil {
 		f.cancel()
 	}
 }
 
-// doubted reports whether Relist was called since the last call of doubted.
-func (f *Follower) doubted() bool {
+// takeRelist reports whether Relist was called since the last call of takeRelist.
+func (f *Follower) takeRelist() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	doubt := f.doubt
-	f.doubt = false
-	return doubt
+	relist := f.relist
+	f.relist = false
+	return relist
 }
 
-// waiting sets the function that cancels the watch about to begin; nil means that
-// the watch has ended. A watch for which Relist was already called is cancelled
-// immediately.
-func (f *Follower) waiting(cancel context.CancelFunc) {
+// setWatchCancel sets the function that cancels the watch about to begin; nil
+// means that the watch has ended. A watch for which Relist was already called is
+// cancelled immediately.
+func (f *Follower) setWatchCancel(cancel context.CancelFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cancel = cancel
-	if f.doubt && cancel != nil {
+	if f.relist && cancel != nil {
 		cancel()
 	}
 }
 
 // Undisturbed returns the time since a store call by this follower last failed,
 // or moment.Never.
-func (f *Follower) Undisturbed() time.Duration { return f.failed.Age() }
+func (f *Follower) Undisturbed() time.Duration { return f.failedAt.Age() }
 
 // Reached returns the revision up to which this follower's own lists and watches
 // have delivered changes of the kind; updates from peers do not count.
@@ -117,29 +117,29 @@
 		if listed {
 			after, err = f.watch(ctx, after)
 		} else {
-			f.doubted()
+			f.takeRelist()
 			after, err = f.list(ctx)
 		}
 		compacted := errors.Is(err, store.ErrCompacted)
 		if compacted && f.OnCompacted != nil {
 			f.OnCompacted()
 		}
-		if listed && f.doubted() {
+		if listed && f.takeRelist() {
 			listed = false
 			continue
 		}
 		listed = listed && !compacted || !listed && err == nil
-		if err := f.settle(ctx, err); err != nil {
+		if err := f.handleResult(ctx, err); err != nil {
 			return err
 		}
 	}
 	return ctx.Err()
 }
 
-// settle records whether the store answered, and backs off if it did not. The
+// handleResult records whether the store answered, and backs off if it did not. The
 // backoff has jitter, so hosts that lost the store at the same time do not retry
 // at the same time.
-func (f *Follower) settle(ctx context.Context, err error) error {
+func (f *Follower) handleResult(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -150,7 +150,7 @@
 		}
 		return nil
 	}
-	f.failed.Mark(time.Now())
+	f.failedAt.Mark(time.Now())
 	if f.reachable.CompareAndSwap(true, false) {
 		f.logger().Warn(msgStoreLost, zap.Error(err))
 	}
@@ -170,7 +170,7 @@
 		return 0, err
 	}
 	_, findings := f.Table.AdoptList(f.Kind, objects, revision)
-	f.report(findings)
+	f.logFindings(findings)
 	f.reached.Store(uint64(revision))
 	return revision, nil
 }
@@ -178,22 +178,22 @@
 func (f *Follower) watch(ctx context.Context, after store.Version) (store.Version, error) {
 	watching, cancel := context.WithCancel(ctx)
 	defer cancel()
-	f.waiting(cancel)
+	f.setWatchCancel(cancel)
 	objects, revision, err := f.Store.Watch(watching, f.Kind, after)
-	f.waiting(nil)
+	f.setWatchCancel(nil)
 	if err != nil {
 		return after, err
 	}
 	_, findings := f.Table.Adopt(objects)
-	f.report(findings)
+	f.logFindings(findings)
 	after = max(after, revision)
 	f.reached.Store(uint64(after))
 	return after, sleep.For(ctx, f.Spacing)
 }
 
-func (f *Follower) report(findings []Finding) {
+func (f *Follower) logFindings(findings []Finding) {
 	for _, finding := range findings {
-		f.logger().Warn(msgNotPutInForce, zap.String("kind", finding.Kind), zap.String("name", finding.Name),
+		f.logger().Warn(msgNotApplied, zap.String("kind", finding.Kind), zap.String("name", finding.Name),
 			zap.Uint64("version", uint64(finding.Version)), zap.Error(finding.Err))
 	}
 }
--- a/replica/follower_test.go
+++ b/replica/follower_test.go
@@ -12,28 +12,28 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// deafStore is a store whose watches of one kind deliver no changes.
-type deafStore struct {
+// stalledWatchStore is a store whose watches of one kind deliver no changes.
+type stalledWatchStore struct {
 	*store.Memory
-	mu   sync.Mutex // guards deaf
-	deaf string
+	mu      sync.Mutex // guards stalled
+	stalled string
 }
 
-func (s *deafStore) Watch(ctx context.Context, kind string, after store.Version) ([]store.Object, store.Version, error) {
+func (s *stalledWatchStore) Watch(ctx context.Context, kind string, after store.Version) ([]store.Object, store.Version, error) {
 	s.mu.Lock()
-	deaf := s.deaf == kind
+	stalled := s.stalled == kind
 	s.mu.Unlock()
-	if deaf {
+	if stalled {
 		<-ctx.Done()
 		return nil, 0, ctx.Err()
 	}
 	return s.Memory.Watch(ctx, kind, after)
 }
 
-func (s *deafStore) set(kind string) {
+func (s *stalledWatchStore) stall(kind string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deaf = kind
+	s.stalled = kind
 }
 
 // Guards against a change that a watch missed before the history was compacted,
@@ -41,7 +41,7 @@
 func TestQuietKindIsListedAgainAfterACompaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, ctx := is.New(t), t.Context()
-		memory := &deafStore{Memory: store.NewMemory(), deaf: "configuration"}
+		memory := &stalledWatchStore{Memory: store.NewMemory(), stalled: "configuration"}
 		table := New(func(store.Object) error { return nil })
 		configuration := &Follower{Store: memory, Kind: "configuration", Table: table}
 		servers := &Follower{Store: memory, Kind: "servers", Table: table}
@@ -54,7 +54,7 @@
 		is.NoErr(err)
 		time.Sleep(time.Second)
 		is.True(table.Version() < version) // no watch delivered it
-		memory.set("")
+		memory.stall("")
 		servers.OnCompacted() // as when the servers' watch returns ErrCompacted
 		time.Sleep(time.Second)
 		is.Equal(table.Version(), version)
--- a/replica/table.go
+++ b/replica/table.go
@@ -101,8 +101,8 @@
 	ordered := slices.Clone(objects)
 	slices.SortStableFunc(ordered, byVersion)
 	for _, object := range ordered {
-		took, err := t.adopt(object)
-		if took {
+		newer, err := t.adopt(object)
+		if newer {
 			changed++
 		}
 		if err != nil {
@@ -129,14 +129,14 @@
 
 // adopt adopts one object and reports whether it was newer than the table's. The
 // error is that of apply. The caller holds mu.
-func (t *Table) adopt(object store.Object) (took bool, err error) {
+func (t *Table) adopt(object store.Object) (newer bool, err error) {
 	key := objectKey{object.Kind, object.Name}
-	had, known := t.objects[key]
-	if object.Version <= had.Version {
+	current, known := t.objects[key]
+	if object.Version <= current.Version {
 		// An older version can come from a peer that was partitioned, a delayed
 		// answer of the store, or a store restored from a backup. Adopting it
 		// would revert an accepted change.
-		if object.Version < had.Version {
+		if object.Version < current.Version {
 			refusedOlder.Inc()
 		}
 		return false, nil
@@ -147,8 +147,8 @@
 		// restore it; the tombstone deletes it at that peer instead.
 		object = store.Object{Kind: object.Kind, Name: object.Name, Version: listed, Deleted: true}
 	}
-	if known && !had.Deleted {
-		t.digest -= hashOf(had)
+	if known && !current.Deleted {
+		t.digest -= hashOf(current)
 	}
 	if object.Deleted {
 		object.Value = nil
@@ -170,8 +170,8 @@
 	}
 	all := slices.Clone(objects)
 	t.mu.Lock()
-	for key, had := range t.objects {
-		if key.kind == kind && !had.Deleted && !listed[key.name] && had.Version < revision {
+	for key, current := range t.objects {
+		if key.kind == kind && !current.Deleted && !listed[key.name] && current.Version < revision {
 			all = append(all, store.Object{Kind: kind, Name: key.name, Version: revision, Deleted: true})
 		}
 	}
