--- a/lease/lease.go
+++ b/lease/lease.go
@@ -50,21 +50,21 @@
 
 // Lease is a granted lease. Its methods may be called from any goroutine.
 type Lease struct {
-	name  string
-	fence uint64
-	quiet time.Time // earliest time at which the holder may begin an action
+	name       string
+	fence      uint64
+	quietUntil time.Time // earliest time at which the holder may begin an action
 
-	// writing serialises writes to the store: a sender acquires it, and receives
+	// writeLock serialises writes to the store: a sender acquires it, and receives
 	// to release it. It is acquired before mu. It is a channel because the store
 	// may be slow and the wait must end with its context.
-	writing chan struct{}
-	mu      sync.Mutex // guards all below
-	version store.Version
-	record  record
-	since   time.Time // send time of the write from which the term counts
-	lost    bool
-	writes  uint64               // number of attempted writes; the source of renewal numbers
-	unknown map[uint64]time.Time // send times of writes with unknown outcome, by renewal number
+	writeLock     chan struct{}
+	mu            sync.Mutex // guards all below
+	version       store.Version
+	record        record
+	since         time.Time // send time of the write from which the term counts
+	lost          bool
+	writeAttempts uint64               // number of attempted writes; the source of renewal numbers
+	unknownWrites map[uint64]time.Time // send times of writes with unknown outcome, by renewal number
 }
 
 // Fence returns the fencing number, which is higher than that of every earlier
@@ -76,7 +76,7 @@
 
 // Quiet returns how long the holder must still wait before its first action,
 // because an action that the previous holder began in time may still be running.
-func (l *Lease) Quiet() time.Duration { return max(0, time.Until(l.quiet)) }
+func (l *Lease) Quiet() time.Duration { return max(0, time.Until(l.quietUntil)) }
 
 // Remaining returns how long the holder may still begin actions; at zero or less
 // it must not begin any. It reaches zero well before others may take over the
@@ -96,7 +96,7 @@
 	now := time.Now()
 	passed := max(now.Sub(l.since), now.Round(0).Sub(l.since.Round(0)))
 	term := l.record.term()
-	return term - term/marginDivisor - passed
+	return term - term/safetyMarginDivisor - passed
 }
 
 // State returns the state that the duty passes from holder to holder; nil if
@@ -114,27 +114,27 @@
 	return l.version, l.record
 }
 
-// wrote records a write that took effect and was sent at since.
-func (l *Lease) wrote(version store.Version, r record, since time.Time) {
+// recordWrite records a write that took effect and was sent at since.
+func (l *Lease) recordWrite(version store.Version, r record, since time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.version, l.record, l.since = version, r, since
-	clear(l.unknown)
+	clear(l.unknownWrites)
 }
 
-// begin returns the number of the next write attempt.
-func (l *Lease) begin() uint64 {
+// nextWriteNumber returns the number of the next write attempt.
+func (l *Lease) nextWriteNumber() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.writes++
-	return l.writes
+	l.writeAttempts++
+	return l.writeAttempts
 }
 
-// doubt records the send time of a write whose outcome is unknown.
-func (l *Lease) doubt(renewal uint64, since time.Time) {
+// recordUnknown records the send time of a write whose outcome is unknown.
+func (l *Lease) recordUnknown(renewal uint64, since time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.unknown[renewal] = since
+	l.unknownWrites[renewal] = since
 }
 
 // sentAt returns the send time of a write found in the store, or the start of the
@@ -142,7 +142,7 @@
 func (l *Lease) sentAt(renewal uint64) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if at, ok := l.unknown[renewal]; ok {
+	if at, ok := l.unknownWrites[renewal]; ok {
 		return at
 	}
 	return l.since
@@ -154,7 +154,7 @@
 	return l.lost
 }
 
-func (l *Lease) lose() {
+func (l *Lease) markLost() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lost = true
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -110,7 +110,7 @@
 	})
 }
 
-func TestFenceRisesAfterDeletion(t *testing.T) {
+func TestFenceIncreasesAfterDeletion(t *testing.T) {
 	// Guards against engines refusing orders of the next holder as too old after an
 	// operator of the platform has deleted the lease's object.
 	is, ctx := is.New(t), t.Context()
@@ -126,7 +126,7 @@
 	is.True(second.Fence() > first.Fence())
 }
 
-func TestStoreAwayEndsTheLease(t *testing.T) {
+func TestLeaseExpiresDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, ctx := is.New(t), t.Context()
 		memory := store.NewMemory()
--- a/lease/record.go
+++ b/lease/record.go
@@ -20,15 +20,17 @@
 	// in between.
 	Fence      store.Version `json:"fence,omitempty"`
 	TermMillis int64         `json:"term_ms"`
-	// LongestMillis is how long an action that was begun in time may run.
-	LongestMillis int64           `json:"longest_ms"`
-	Released      bool            `json:"released,omitempty"`
-	State         json.RawMessage `json:"state,omitempty"`
+	// MaxActionMillis is how long an action that was begun in time may run.
+	MaxActionMillis int64           `json:"longest_ms"`
+	Released        bool            `json:"released,omitempty"`
+	State           json.RawMessage `json:"state,omitempty"`
 }
 
 func (r record) term() time.Duration { return time.Duration(r.TermMillis) * time.Millisecond }
 
-func (r record) longest() time.Duration { return time.Duration(r.LongestMillis) * time.Millisecond }
+func (r record) maxActionTime() time.Duration {
+	return time.Duration(r.MaxActionMillis) * time.Millisecond
+}
 
 func (r record) encode() ([]byte, error) {
 	value, err := json.Marshal(r)
--- a/lease/store_lessor.go
+++ b/lease/store_lessor.go
@@ -28,14 +28,14 @@
 )
 
 const (
-	defaultTerm    = 20 * time.Second
-	defaultLongest = 30 * time.Second
-	// marginDivisor is the safety margin: a holder begins no action in the last
-	// fifth of the term.
-	marginDivisor = 5
-	// driftDivisor allows for clock drift: other hosts wait a tenth longer than
-	// the term, as clocks run at different rates.
-	driftDivisor = 10
+	defaultTerm          = 20 * time.Second
+	defaultMaxActionTime = 30 * time.Second
+	// safetyMarginDivisor is the safety margin: a holder begins no action in the
+	// last fifth of the term.
+	safetyMarginDivisor = 5
+	// clockDriftDivisor allows for clock drift: other hosts wait a tenth longer
+	// than the term, as clocks run at different rates.
+	clockDriftDivisor = 10
 	// renewDivisor is how many times a holder renews in one term.
 	renewDivisor = 4
 )
@@ -56,11 +56,11 @@
 	options Options
 
 	mu   sync.Mutex // guards seen
-	seen map[string]sighting
+	seen map[string]observation
 }
 
-// sighting is a version of a stored lease and when it was first seen.
-type sighting struct {
+// observation is a version of a stored lease and when it was first seen.
+type observation struct {
 	version store.Version
 	at      time.Time
 }
@@ -71,9 +71,9 @@
 		options.Term = defaultTerm
 	}
 	if options.Longest <= 0 {
-		options.Longest = defaultLongest
+		options.Longest = defaultMaxActionTime
 	}
-	return &StoreLessor{store: store, host: host, options: options, seen: map[string]sighting{}}
+	return &StoreLessor{store: store, host: host, options: options, seen: map[string]observation{}}
 }
 
 // RenewEvery returns the interval at which a holder should renew.
@@ -85,16 +85,16 @@
 	if err != nil {
 		return nil, err
 	}
-	wait := s.lapsesIn(name, version, current)
+	wait := s.expiresIn(name, version, current)
 	if wait > 0 {
 		return nil, &HeldError{Holder: current.Holder, RetryAfter: wait}
 	}
 	next := record{
-		Holder:        s.host,
-		Acquisition:   uuid.NewString(),
-		TermMillis:    s.options.Term.Milliseconds(),
-		LongestMillis: s.options.Longest.Milliseconds(),
-		State:         current.State,
+		Holder:          s.host,
+		Acquisition:     uuid.NewString(),
+		TermMillis:      s.options.Term.Milliseconds(),
+		MaxActionMillis: s.options.Longest.Milliseconds(),
+		State:           current.State,
 	}
 	since := time.Now()
 	acquired, err := s.put(ctx, name, next, version)
@@ -106,16 +106,16 @@
 		return nil, err
 	}
 	events.WithLabelValues(eventAcquired).Inc()
-	lease := &Lease{name: name, fence: uint64(acquired), quiet: time.Now(), writing: make(chan struct{}, 1), unknown: map[uint64]time.Time{}}
+	lease := &Lease{name: name, fence: uint64(acquired), quietUntil: time.Now(), writeLock: make(chan struct{}, 1), unknownWrites: map[uint64]time.Time{}}
 	if version != 0 && !current.Released {
 		// Failure: an order that the previous holder sent just before its lease
 		// expired is still being executed by an engine that ignores fencing
 		// numbers, and reverts an order of this holder. Waiting for the longest
 		// action lets it end first.
-		lease.quiet = lease.quiet.Add(current.longest())
+		lease.quietUntil = lease.quietUntil.Add(current.maxActionTime())
 	}
 	next.Fence = acquired
-	lease.wrote(acquired, next, since)
+	lease.recordWrite(acquired, next, since)
 	return lease, nil
 }
 
@@ -144,8 +144,8 @@
 // update writes the lease's record after applying change to it.
 func (s *StoreLessor) update(ctx context.Context, lease *Lease, change func(*record)) error {
 	select {
-	case lease.writing <- struct{}{}:
-		defer func() { <-lease.writing }()
+	case lease.writeLock <- struct{}{}:
+		defer func() { <-lease.writeLock }()
 	case <-ctx.Done():
 		return errors.Mark(ctx.Err(), store.ErrUnavailable)
 	}
@@ -154,48 +154,48 @@
 		return ErrLost
 	}
 	next := current
-	next.Renewal = lease.begin()
+	next.Renewal = lease.nextWriteNumber()
 	change(&next)
 	since := time.Now()
 	written, err := s.put(ctx, lease.name, next, version)
 	var bad *store.VersionError
 	if errors.As(err, &bad) {
-		return s.recover(ctx, lease)
+		return s.resolveConflict(ctx, lease)
 	}
 	if errors.Is(err, store.ErrOutcomeUnknown) {
-		lease.doubt(next.Renewal, since)
+		lease.recordUnknown(next.Renewal, since)
 	}
 	if err != nil {
 		return err
 	}
-	lease.wrote(written, next, since)
+	lease.recordWrite(written, next, since)
 	return nil
 }
 
-// recover resolves a version conflict. The stored object is either another host's
-// write, and the lease is lost, or an earlier write of this holder whose answer
-// was lost, which happens repeatedly while the store is slow. Such a write is
-// adopted, with the term counting from when it was sent, and the outcome is
-// reported as unknown so that the caller writes again.
-func (s *StoreLessor) recover(ctx context.Context, lease *Lease) error {
+// resolveConflict resolves a version conflict. The stored object is either
+// another host's write, and the lease is lost, or an earlier write of this holder
+// whose answer was lost, which happens repeatedly while the store is slow. Such a
+// write is adopted, with the term counting from when it was sent, and the outcome
+// is reported as unknown so that the caller writes again.
+func (s *StoreLessor) resolveConflict(ctx context.Context, lease *Lease) error {
 	version, stored, err := s.read(ctx, lease.name)
 	if err != nil {
 		return err
 	}
 	_, current := lease.snapshot()
 	if version == 0 || stored.Acquisition != current.Acquisition {
-		lease.lose()
+		lease.markLost()
 		events.WithLabelValues(eventLost).Inc()
 		return ErrLost
 	}
 	stored.Fence = current.Fence
-	lease.wrote(version, stored, lease.sentAt(stored.Renewal))
+	lease.recordWrite(version, stored, lease.sentAt(stored.Renewal))
 	return errors.Wrap(store.ErrOutcomeUnknown, "lease: an earlier write took effect")
 }
 
-// lapsesIn returns how long other hosts must still wait before they may take over
+// expiresIn returns how long other hosts must still wait before they may take over
 // a stored lease.
-func (s *StoreLessor) lapsesIn(name string, version store.Version, current record) time.Duration {
+func (s *StoreLessor) expiresIn(name string, version store.Version, current record) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if version == 0 || current.Released {
@@ -203,10 +203,10 @@
 	}
 	now := time.Now()
 	if s.seen[name].version != version {
-		s.seen[name] = sighting{version: version, at: now}
+		s.seen[name] = observation{version: version, at: now}
 	}
 	term := current.term()
-	return s.seen[name].at.Add(term + term/driftDivisor).Sub(now)
+	return s.seen[name].at.Add(term + term/clockDriftDivisor).Sub(now)
 }
 
 // read returns the stored version and record of a lease; the version is zero if
