--- a/store/counted.go
+++ b/store/counted.go
@@ -18,12 +18,12 @@
 
 // Label values of the calls counter: operations and results.
 const (
-	opGet   = "get"
-	opPut   = "put"
-	opList  = "list"
-	opWatch = "watch"
-	opCheck = "check"
-	opStale = "list_stale"
+	opGet       = "get"
+	opPut       = "put"
+	opList      = "list"
+	opWatch     = "watch"
+	opCheck     = "check"
+	opListStale = "list_stale"
 
 	resultOK          = "ok"
 	resultNoObject    = "no_object"
@@ -54,28 +54,28 @@
 // Get implements Store.
 func (c *Counted) Get(ctx context.Context, kind, name string) (Object, error) {
 	object, err := c.store.Get(ctx, kind, name)
-	count(opGet, err)
+	countCall(opGet, err)
 	return object, err
 }
 
 // Put implements Store.
 func (c *Counted) Put(ctx context.Context, kind, name string, value []byte, expect Version) (Version, error) {
 	version, err := c.store.Put(ctx, kind, name, value, expect)
-	count(opPut, err)
+	countCall(opPut, err)
 	return version, err
 }
 
 // List implements Store.
 func (c *Counted) List(ctx context.Context, kind string) ([]Object, Version, error) {
 	objects, revision, err := c.store.List(ctx, kind)
-	count(opList, err)
+	countCall(opList, err)
 	return objects, revision, err
 }
 
 // Watch implements Store.
 func (c *Counted) Watch(ctx context.Context, kind string, after Version) ([]Object, Version, error) {
 	objects, revision, err := c.store.Watch(ctx, kind, after)
-	count(opWatch, err)
+	countCall(opWatch, err)
 	return objects, revision, err
 }
 
@@ -93,18 +93,18 @@
 // Check implements Checker.
 func (c *CountedChecker) Check(ctx context.Context) error {
 	err := c.checker.Check(ctx)
-	count(opCheck, err)
+	countCall(opCheck, err)
 	return err
 }
 
 // ListStale implements Checker.
 func (c *CountedChecker) ListStale(ctx context.Context, kind string) ([]Object, Version, error) {
 	objects, revision, err := c.checker.ListStale(ctx, kind)
-	count(opStale, err)
+	countCall(opListStale, err)
 	return objects, revision, err
 }
 
-func count(op string, err error) { calls.WithLabelValues(op, result(err)).Inc() }
+func countCall(op string, err error) { calls.WithLabelValues(op, result(err)).Inc() }
 
 func result(err error) string {
 	var bad *VersionError
--- a/store/counted_test.go
+++ b/store/counted_test.go
@@ -23,22 +23,22 @@
 	is.NoErr(err)
 	_, err = limited.Get(ctx, "k", "n")
 	is.True(err != nil)
-	is.NoErr(NewCountedChecker(sound{NewMemory()}).Check(ctx))
-	stale := read(opStale, resultOK)
-	_, _, err = NewCountedChecker(sound{NewMemory()}).ListStale(ctx, "k")
+	is.NoErr(NewCountedChecker(checkableMemory{NewMemory()}).Check(ctx))
+	stale := read(opListStale, resultOK)
+	_, _, err = NewCountedChecker(checkableMemory{NewMemory()}).ListStale(ctx, "k")
 	is.NoErr(err)
-	is.Equal(read(opStale, resultOK), stale+1)
+	is.Equal(read(opListStale, resultOK), stale+1)
 	is.Equal(read(opList, resultOK), ok+1)
 	is.Equal(read(opGet, resultNoObject), none+1)
 	is.Equal(read(opCheck, resultOK), checks+1)
 }
 
-// sound is a store that passes every check.
-type sound struct{ *Memory }
+// checkableMemory is a store that passes every check.
+type checkableMemory struct{ *Memory }
 
-func (sound) Check(context.Context) error { return nil }
+func (checkableMemory) Check(context.Context) error { return nil }
 
 // ListStale implements Checker.
-func (s sound) ListStale(ctx context.Context, kind string) ([]Object, Version, error) {
+func (s checkableMemory) ListStale(ctx context.Context, kind string) ([]Object, Version, error) {
 	return s.List(ctx, kind)
 }
--- a/store/limited.go
+++ b/store/limited.go
@@ -40,7 +40,7 @@
 
 // Get implements Store.
 func (l *Limited) Get(ctx context.Context, kind, name string) (Object, error) {
-	if err := l.take(ctx, opGet); err != nil {
+	if err := l.waitForBudget(ctx, opGet); err != nil {
 		return Object{}, err
 	}
 	return l.store.Get(ctx, kind, name)
@@ -48,7 +48,7 @@
 
 // Put implements Store.
 func (l *Limited) Put(ctx context.Context, kind, name string, value []byte, expect Version) (Version, error) {
-	if err := l.take(ctx, opPut); err != nil {
+	if err := l.waitForBudget(ctx, opPut); err != nil {
 		return 0, err
 	}
 	return l.store.Put(ctx, kind, name, value, expect)
@@ -56,7 +56,7 @@
 
 // List implements Store.
 func (l *Limited) List(ctx context.Context, kind string) ([]Object, Version, error) {
-	if err := l.take(ctx, opList); err != nil {
+	if err := l.waitForBudget(ctx, opList); err != nil {
 		return nil, 0, err
 	}
 	return l.store.List(ctx, kind)
@@ -64,16 +64,16 @@
 
 // Watch implements Store.
 func (l *Limited) Watch(ctx context.Context, kind string, after Version) ([]Object, Version, error) {
-	if err := l.take(ctx, opWatch); err != nil {
+	if err := l.waitForBudget(ctx, opWatch); err != nil {
 		return nil, 0, err
 	}
 	return l.store.Watch(ctx, kind, after)
 }
 
-// take waits until the budget allows a call. If ctx ends first, or would end
-// before then, nothing is sent, so the error is ErrUnavailable: a write did not
-// happen.
-func (l *Limited) take(ctx context.Context, op string) error {
+// waitForBudget waits until the budget allows a call. If ctx ends first, or would
+// end before then, nothing is sent, so the error is ErrUnavailable: a write did
+// not happen.
+func (l *Limited) waitForBudget(ctx context.Context, op string) error {
 	if err := l.limiter.Wait(ctx); err != nil {
 		calls.WithLabelValues(op, resultOverBudget).Inc()
 		return errors.Mark(errors.Wrap(err, "platform: waiting for the budget of calls"), ErrUnavailable)
--- a/store/memory.go
+++ b/store/memory.go
@@ -68,7 +68,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults = faults
-	m.wake()
+	m.wakeWatches()
 }
 
 // Faults returns the faults that are currently injected.
@@ -87,7 +87,7 @@
 
 // Get implements Store.
 func (m *Memory) Get(ctx context.Context, kind, name string) (Object, error) {
-	if err := m.arrive(ctx); err != nil {
+	if err := m.beginCall(ctx); err != nil {
 		return Object{}, err
 	}
 	m.mu.Lock()
@@ -129,7 +129,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.events, m.compacted = nil, m.revision
-	m.wake()
+	m.wakeWatches()
 }
 
 // Put implements Store. With Slow set, a write takes effect even if its caller has
@@ -138,7 +138,7 @@
 	if len(value) > MaxValueBytes {
 		return 0, errors.Newf("platform: value of %d bytes is over the limit of %d", len(value), MaxValueBytes)
 	}
-	slow := m.count()
+	slow := m.countCall()
 	if m.Faults().Silent {
 		<-ctx.Done()
 		return 0, errors.Mark(ctx.Err(), ErrOutcomeUnknown)
@@ -187,7 +187,7 @@
 // Delete removes an object if its version is expect, and leaves a watch event.
 // It is not part of Store, because only the platform's operators delete objects.
 func (m *Memory) Delete(ctx context.Context, kind, name string, expect Version) (Version, error) {
-	if err := m.arrive(ctx); err != nil {
+	if err := m.beginCall(ctx); err != nil {
 		return 0, err
 	}
 	m.mu.Lock()
@@ -197,7 +197,7 @@
 
 // List implements Store.
 func (m *Memory) List(ctx context.Context, kind string) ([]Object, Version, error) {
-	if err := m.arrive(ctx); err != nil {
+	if err := m.beginCall(ctx); err != nil {
 		return nil, 0, err
 	}
 	m.mu.Lock()
@@ -214,7 +214,7 @@
 
 // Watch implements Store.
 func (m *Memory) Watch(ctx context.Context, kind string, after Version) ([]Object, Version, error) {
-	if err := m.arrive(ctx); err != nil {
+	if err := m.beginCall(ctx); err != nil {
 		return nil, 0, err
 	}
 	limit := time.NewTimer(m.WatchLimit)
@@ -254,17 +254,17 @@
 	return objects, max(m.revision, after), m.changed, nil
 }
 
-// count counts a call and returns the injected delay.
-func (m *Memory) count() time.Duration {
+// countCall counts a call and returns the injected delay.
+func (m *Memory) countCall() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.calls++
 	return m.faults.Slow
 }
 
-// arrive counts a call and applies the faults Slow, Silent and Outage.
-func (m *Memory) arrive(ctx context.Context) error {
-	if err := sleep.For(ctx, m.count()); err != nil {
+// beginCall counts a call and applies the faults Slow, Silent and Outage.
+func (m *Memory) beginCall(ctx context.Context) error {
+	if err := sleep.For(ctx, m.countCall()); err != nil {
 		return errors.Mark(err, ErrUnavailable)
 	}
 	if m.Faults().Silent {
@@ -298,12 +298,13 @@
 		m.compacted = m.events[extra-1].Version
 		m.events = slices.Delete(m.events, 0, extra)
 	}
-	m.wake()
+	m.wakeWatches()
 	return object.Version, nil
 }
 
-// wake makes pending watches check for changes and faults. The caller holds mu.
-func (m *Memory) wake() {
+// wakeWatches makes pending watches check for changes and faults. The caller
+// holds mu.
+func (m *Memory) wakeWatches() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
--- a/store/settle_test.go
+++ b/store/settle_test.go
@@ -13,8 +13,8 @@
 )
 
 func TestPutSettled(t *testing.T) {
-	// Guards against a lease holder that mistakes its own renewal for another host's
-	// write when the store's answer is lost, with or without the write.
+	// Guards against a lease holder that mistakes its own renewal for another
+	// host's write when the store's answer is lost, with or without the write.
 	for _, faults := range []store.Faults{{}, {LoseAnswers: 1}, {LoseAnswers: 2}, {LoseRequests: 2}, {LoseRequests: 1, LoseAnswers: 1}} {
 		synctest.Test(t, func(t *testing.T) {
 			is, ctx := is.New(t), t.Context()
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestPutSettledStoreStaysAway(t *testing.T) {
+func TestPutSettledDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
--- a/store/store.go
+++ b/store/store.go
@@ -48,11 +48,13 @@
 var (
 	// ErrNoObject means that the object does not exist.
 	ErrNoObject = errors.New("platform: no such object")
-	// ErrUnavailable means that the store did not accept the request: nothing was written.
+	// ErrUnavailable means that the store did not accept the request: nothing was
+	// written.
 	ErrUnavailable = errors.New("platform: store unavailable")
 	// ErrOutcomeUnknown means that a write was sent but its answer was lost.
 	ErrOutcomeUnknown = errors.New("platform: outcome of write unknown")
-	// ErrCompacted means that a watch requested changes that the store no longer has.
+	// ErrCompacted means that a watch requested changes that the store no longer
+	// has.
 	ErrCompacted = errors.New("platform: revision compacted")
 )
 
