--- a/gatewayhost/evacuation_test.go
+++ b/gatewayhost/evacuation_test.go
@@ -11,9 +11,9 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-const evacuatedDomain = "d" // in which the test's servers are
+const evacuatedDomain = "d" // the failure domain of the test's servers
 
-// evacuate writes or removes the order, and returns its revision.
+// evacuate writes or removes the evacuation order.
 func evacuate(ctx context.Context, is *is.I, memory *store.Memory, order bool) {
 	if order {
 		_, err := memory.Put(ctx, kindOfEvacuations, evacuatedDomain, []byte("{}"), 0)
@@ -23,16 +23,17 @@
 	memory.Remove(kindOfEvacuations, evacuatedDomain)
 }
 
-// using returns how many hosts would send requests to the test's servers.
-func (f *largeFleet) using() int {
-	using := 0
+// usingCount returns how many hosts would send requests to the test's servers.
+func (f *largeFleet) usingCount() int {
+	usingCount := 0
 	for _, h := range f.hosts {
-		using += min(1, len(h.fleet.Candidates("s", "d")))
+		usingCount += min(1, len(h.fleet.Candidates("s", "d")))
 	}
-	return using
+	return usingCount
 }
 
-// Guards against hosts that do not watch the store and miss an evacuation or its end.
+// Guards against an evacuation, or its end, not reaching hosts that do not watch
+// the store.
 func TestEvacuationReachesAllHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -41,14 +42,14 @@
 		_, err := f.memory.Put(ctx, kindOfServers, "i-1", []byte("ready"), 0)
 		is.NoErr(err)
 		time.Sleep(5 * time.Second)
-		is.Equal(f.using(), 12)
-		for range 3 { // in series
+		is.Equal(f.usingCount(), 12)
+		for range 3 {
 			evacuate(ctx, is, f.memory, true)
 			time.Sleep(time.Second)
-			is.Equal(f.using(), 0)
+			is.Equal(f.usingCount(), 0)
 			evacuate(ctx, is, f.memory, false)
 			time.Sleep(time.Second)
-			is.Equal(f.using(), 12)
+			is.Equal(f.usingCount(), 12)
 		}
 		stop()
 		time.Sleep(time.Minute)
@@ -56,9 +57,9 @@
 	})
 }
 
-func TestHostThatStartsKnowsEvacuations(t *testing.T) {
-	// A host starts while a failure domain is evacuated, and meets no peer yet.
-	// It serves by what the store had a moment ago, and that has the order.
+func TestStartingHostAppliesEvacuations(t *testing.T) {
+	// Guards against a host that starts before it has joined any peer, and uses a
+	// domain whose evacuation order is in its stale read of the store.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(t.Context())
@@ -69,15 +70,16 @@
 		f := startFleet(ctx, 1, memory)
 		time.Sleep(50 * time.Millisecond)
 		is.Equal(len(f.hosts[0].fleet.Usable("s")), 1)
-		is.Equal(f.using(), 0)
+		is.Equal(f.usingCount(), 0)
 		stop()
 		time.Sleep(time.Minute)
 		synctest.Wait()
 	})
 }
 
-// Guards against an evacuation that is forgotten with the hosts that watched the store.
-func TestEvacuationOutlivesItsWatchers(t *testing.T) {
+// Guards against a host that starts during a store outage, after an evacuation,
+// and does not receive the order from its peers.
+func TestEvacuationReachesHostStartedDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(t.Context())
@@ -88,12 +90,12 @@
 		evacuate(ctx, is, f.memory, true)
 		time.Sleep(time.Second)
 		f.memory.SetFaults(store.Faults{Outage: true})
-		late := newHost("late", f.fabric.Host("10.0.1.1"), "10.0.1.1", f.memory, stays, "10.0.0.1"+peerPort)
+		late := newHost("late", f.fabric.Host("10.0.1.1"), "10.0.1.1", f.memory, notLeaving, "10.0.0.1"+peerPort)
 		for _, run := range []func(context.Context) error{late.runNode, late.boot, late.servers.Run, late.evacuations.Run} {
 			go func() { _ = run(ctx) }()
 		}
 		time.Sleep(2 * time.Second)
-		is.Equal(len(late.fleet.Usable("s")), 1) // it knows the server
+		is.Equal(len(late.fleet.Usable("s")), 1) // it has received the server's entry
 		is.Equal(len(late.fleet.Candidates("s", "d")), 0)
 		stop()
 		time.Sleep(time.Minute)
@@ -101,24 +103,25 @@
 	})
 }
 
-// deafStore has watches that miss all changes.
-type deafStore struct{ checkedStore }
+// stalledWatchStore is a store whose watches deliver no changes.
+type stalledWatchStore struct{ checkedStore }
 
-func (deafStore) Watch(ctx context.Context, _ string, _ store.Version) ([]store.Object, store.Version, error) {
+func (stalledWatchStore) Watch(ctx context.Context, _ string, _ store.Version) ([]store.Object, store.Version, error) {
 	<-ctx.Done()
 	return nil, 0, ctx.Err()
 }
 
-// Guards against an evacuation that is missed as the store drops its history.
-func TestEvacuationMissedWithTheHistory(t *testing.T) {
+// Guards against an evacuation missed by a watch before the store compacted its
+// history, which only the watch of another kind reports.
+func TestEvacuationMissedBeforeCompaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(t.Context())
-		h, memory := alone(stays)
-		h.evacuations.Store = deafStore{checkedStore{memory}}
+		h, memory := standaloneHost(notLeaving)
+		h.evacuations.Store = stalledWatchStore{checkedStore{memory}}
 		go func() { _ = h.evacuations.Run(ctx) }()
 		time.Sleep(time.Second)
-		h.table.Adopt(entry(1, false))
+		h.table.Adopt(serverEntry(1, false))
 		evacuate(ctx, is, memory, true)
 		time.Sleep(time.Second)
 		is.Equal(len(h.fleet.Candidates("s", "d")), 1)
@@ -130,30 +133,30 @@
 	})
 }
 
-func TestEvacuationWithoutReadableContentHolds(t *testing.T) {
-	// Another writer overwrites the order. Whatever it says now, it is there:
-	// sending into the domain would be the greater harm.
+func TestEvacuationWithUnreadableContentApplies(t *testing.T) {
+	// Guards against an evacuation that ends because another writer overwrites
+	// the order with invalid content; using the domain is the greater risk.
 	is := is.New(t)
-	h, _ := alone(stays)
-	h.table.Adopt(entry(5, false))
+	h, _ := standaloneHost(notLeaving)
+	h.table.Adopt(serverEntry(5, false))
 	for i, value := range [][]byte{nil, []byte("null"), []byte("{\"zone\":7}"), []byte("\xff")} {
 		_, findings := h.table.Adopt([]store.Object{{Kind: kindOfEvacuations, Name: evacuatedDomain, Version: store.Version(6 + i), Value: value}})
 		is.Equal(len(findings), 0)
 		is.Equal(len(h.fleet.Candidates("s", "d")), 0)
 	}
-	h.table.Adopt([]store.Object{{Kind: kindOfEvacuations, Name: evacuatedDomain, Version: 3, Deleted: true}}) // of an earlier one
+	h.table.Adopt([]store.Object{{Kind: kindOfEvacuations, Name: evacuatedDomain, Version: 3, Deleted: true}}) // removal of an earlier order
 	is.Equal(len(h.fleet.Candidates("s", "d")), 0)
 	h.table.Adopt([]store.Object{{Kind: kindOfEvacuations, Name: evacuatedDomain, Version: 20, Deleted: true}})
 	is.Equal(len(h.fleet.Candidates("s", "d")), 1)
 }
 
-func TestAllocatorTellsOfEvacuations(t *testing.T) {
-	// News of an order misses a host. Its allocator's next answer names a newer
-	// revision, and the host fetches it.
+func TestAllocatorReportsEvacuations(t *testing.T) {
+	// Guards against an evacuation order that gossip did not deliver to a host: the
+	// allocator's next answer has a newer revision, which the host then pulls.
 	is := is.New(t)
-	h, _ := alone(stays)
+	h, _ := standaloneHost(notLeaving)
 	h.table.Adopt([]store.Object{{Kind: kindOfEvacuations, Name: evacuatedDomain, Version: 9}})
 	is.Equal(h.allocator.Evacuated(), uint64(9))
 	h.catchUpEvacuations("b", 9)
-	is.True(!h.pulling.Load()) // it has that one
+	is.True(!h.pulling.Load()) // the host has that revision
 }
--- a/gatewayhost/host.go
+++ b/gatewayhost/host.go
@@ -1,7 +1,7 @@
-// Package gatewayhost is one entry host around a gateway: it follows the store
-// or its peers, knows how far it may trust what it has, and stops without
-// cutting callers off. How the store's objects, callers and backend servers
-// spell what they say is given to it.
+// Package gatewayhost runs an entry host around a gateway: it follows the store
+// or its peers, tracks how fresh its replica is, and stops gracefully. The
+// formats of stored objects and the protocols of callers and backend servers
+// are supplied by the caller of New.
 package gatewayhost
 
 import (
@@ -32,89 +32,94 @@
 )
 
 const (
-	// MsgStart is the log message of a process's start.
+	// MsgStart is the log message written when a process starts.
 	MsgStart   = "entry host starts"
 	msgStopped = "entry host stopped"
 
-	// configurationSpacing groups configurations that come together; one may
-	// be in force so much later, of the two seconds that operators allow.
+	// configurationSpacing batches configurations written in quick succession.
+	// It delays their activation by up to this much of the two seconds that the
+	// operator allows.
 	configurationSpacing = 100 * time.Millisecond
-	// serversSpacing does the same for servers that are replaced. The watchers
-	// of all failure domains do not wait at the same time and tell each other,
-	// and a server that leaves gives notice of 1.5 s at least.
+	// serversSpacing batches replacements of servers. The delay is acceptable
+	// because the watchers of the failure domains do not pause at the same time
+	// and notify each other, and a server announces that it is leaving at least
+	// 1.5 s ahead.
 	serversSpacing = 400 * time.Millisecond
-	// storeBackoff and storeBackoffMax space the tries while the store is
-	// away. A host that is cut off from all others tries too, and on some days
-	// a third of the fleet is.
+	// storeBackoff and storeBackoffMax are the initial and the longest interval
+	// between attempts while the store is unavailable. Hosts that are cut off
+	// from all others retry too, and these can be a third of the fleet.
 	storeBackoff    = 60 * time.Millisecond
 	storeBackoffMax = time.Second
 
-	// readHeaderTimeout and keptIdle are above the operator's limits for
-	// callers (3 s, 15 s): callers keep to those, and a connection that is
-	// closed early loses the request that crosses the close.
+	// readHeaderTimeout and idleTimeout are longer than the operator's limits for
+	// callers (3 s and 15 s), so that callers close connections first: a
+	// connection closed by the host loses a request sent at the same moment.
 	readHeaderTimeout = 10 * time.Second
-	keptIdle          = time.Minute
+	idleTimeout       = time.Minute
 	maxHeaderBytes    = 64 << 10
 )
 
-// Objects says which stored objects a host acts by, and how to read them.
+// Objects names the stored objects that a host uses, and decodes them.
 type Objects struct {
-	// Configuration and ConfigurationName are kind and name of the operator's
-	// configuration.
+	// Configuration and ConfigurationName are the kind and the name of the
+	// operator's configuration.
 	Configuration, ConfigurationName string
-	// Servers is the kind of the backend servers' entries, which are named by
-	// the servers' ids.
+	// Servers is the kind of the backend servers' entries. An entry's name is
+	// the server's id.
 	Servers string
-	// Evacuations is the kind of the operator's orders that no request goes to
-	// the servers of a failure domain, by which they are named. An order holds
-	// for as long as it is there, whatever its content.
+	// Evacuations is the kind of the operator's orders to evacuate a failure
+	// domain: no request is sent to its servers. An order's name is the failure
+	// domain. It applies as long as the object exists, whatever its content.
 	Evacuations string
-	// Quarantine is the kind of the one object that holds the quarantined
-	// requests; this system writes it.
+	// Quarantine is the kind of the single object that stores the quarantined
+	// requests; entry hosts write it.
 	Quarantine        string
 	ReadConfiguration func(data []byte) (*gateway.Configuration, error)
 	ReadServer        func(id string, data []byte) (fleet.Server, error)
 }
 
-// Backend speaks with backend servers.
+// Backend communicates with backend servers.
 type Backend interface {
 	gateway.Backend
-	// Ask asks a server what it says of itself. HealthPath is where its
-	// service's servers tell their health; "": nowhere.
+	// Ask queries the status that a server reports about itself. HealthPath is
+	// the path at which the servers of its service report health; empty if they
+	// do not.
 	Ask(ctx context.Context, server fleet.Server, healthPath string) (fleet.OwnWord, error)
-	// Held asks an engine which generations it has. It is an error if it does
-	// not say, or another life of the server answers.
+	// Held queries which generations an engine has. It returns an error if the
+	// engine does not report them, or if another incarnation of the server
+	// answers.
 	Held(ctx context.Context, server fleet.Server) (fleet.Held, error)
-	// OnBroken sets what is called when a connection to an address breaks, also
-	// an unused one; it must not block.
-	OnBroken(broke func(address string))
+	// OnBroken sets the callback for a broken connection, including an idle
+	// one, to an address. The callback must not block.
+	OnBroken(callback func(address string))
 }
 
-// Server is an HTTP server of the host, at an IP:port.
+// Server is an HTTP server of the host. Address is an IP:port.
 type Server struct {
 	Address string
 	Handler http.Handler
 }
 
-// Options set up a Host. All fields are required.
+// Options configure a Host. All fields are required.
 type Options struct {
 	Name           string
 	Domain         string // failure domain
-	Capacity       int    // of the processor, in thousandths of a core; zero: not known
+	Capacity       int    // CPU capacity in thousandths of a core; zero if unknown
 	PeerAddress    string
-	CallersAddress string // where callers are sent
+	CallersAddress string // address advertised to callers
 	Seeds          []string
 	Network        link.Network
 	Store          store.Checker
 	Objects        Objects
 	Backend        Backend
-	// Repeats bounds requests that are sent once more.
+	// RepeatRatio, RepeatAllowance and RepeatWindow are the retry budget; see
+	// [gateway.Budget].
 	RepeatRatio, RepeatAllowance float64
 	RepeatWindow                 time.Duration
-	// ListChangedSlack is how long after a disturbance the store's list of
-	// servers may lack some that live.
+	// ListChangedSlack is how long after a store failure the store's list of
+	// servers may lack live servers.
 	ListChangedSlack time.Duration
-	// StopGrace is the time from the wish to stop until the process is killed.
+	// StopGrace is the time from the stop signal until the process is killed.
 	StopGrace  time.Duration
 	Logger     *zap.Logger
 	Registerer prometheus.Registerer
@@ -122,82 +127,83 @@
 
 // Host is one entry host.
 type Host struct {
-	options       Options
-	logger        *zap.Logger
-	table         *replica.Table
-	configuration *replica.Follower
-	servers       *replica.Follower
-	evacuations   *replica.Follower
-	evacuated     atomic.Uint64 // newest revision of an evacuation
-	node          atomic.Pointer[peer.Node]
-	fleet         *fleet.Table
-	quarantine    *quarantine.Table
-	quarantined   chan struct{} // holds a token when a quarantined request is to be stored
-	askingCold    sync.Map      // addresses whose servers are being asked whether they are cold
-	allocator     *allocation.Allocator
-	allocation    *allocation.Client
-	sentinel      *allocation.Sentinel
-	gateway       *gateway.Gateway
-	confirmed     moment.Moment // when the store was asked for the configuration, and answered
-	relayed       moment.Moment // the same, asked by another host
-	stopping      atomic.Bool
-	pulling       atomic.Bool   // from an allocator that has a newer configuration
-	comparing     atomic.Bool   // what the store has with what the watches brought
-	booting       atomic.Bool   // has not met its peers yet
-	lives         atomic.Uint64 // how often the host has joined anew
-	watch         *domain.WatchDuty
+	options            Options
+	logger             *zap.Logger
+	table              *replica.Table
+	configuration      *replica.Follower
+	servers            *replica.Follower
+	evacuations        *replica.Follower
+	evacuationRevision atomic.Uint64 // newest revision of an evacuation order
+	node               atomic.Pointer[peer.Node]
+	fleet              *fleet.Table
+	quarantine         *quarantine.Table
+	quarantineDirty    chan struct{} // has a token while changes of the quarantine are to be stored
+	coldQueries        sync.Map      // addresses whose servers are being queried whether they are cold
+	allocator          *allocation.Allocator
+	allocation         *allocation.Client
+	sentinel           *allocation.Sentinel
+	gateway            *gateway.Gateway
+	verifiedAt         moment.Moment // start of the last successful read of the configuration from the store
+	relayedVerifiedAt  moment.Moment // same for a read by another host that found the same revision
+	stopping           atomic.Bool
+	pulling            atomic.Bool   // a pull from an allocator is in progress
+	checkingWatches    atomic.Bool   // a comparison of the watches with the store is in progress
+	booting            atomic.Bool   // has not joined its peers yet
+	rejoins            atomic.Uint64 // number of rejoins under a new incarnation
+	watch              *domain.WatchDuty
 }
 
-// New puts a host together; Run starts it.
+// New returns a host; Run starts it.
 func New(o Options) *Host {
-	h := &Host{options: o, logger: o.Logger, quarantined: make(chan struct{}, 1)}
+	h := &Host{options: o, logger: o.Logger, quarantineDirty: make(chan struct{}, 1)}
 	h.table = replica.New(h.apply)
 	h.watch = &domain.WatchDuty{
 		Host: o.Name, Fleet: h, Check: h.checkStore, Returned: h.relist, Active: func() bool { return !h.booting.Load() },
-		Interval: guardInterval, Timeout: guardTimeout,
+		Interval: storeCheckInterval, Timeout: storeCheckTimeout,
 	}
-	h.configuration = h.follower(o.Objects.Configuration, configurationSpacing)
-	h.servers = h.follower(o.Objects.Servers, serversSpacing)
-	h.evacuations = h.follower(o.Objects.Evacuations, 0)
+	h.configuration = h.newFollower(o.Objects.Configuration, configurationSpacing)
+	h.servers = h.newFollower(o.Objects.Servers, serversSpacing)
+	h.evacuations = h.newFollower(o.Objects.Evacuations, 0)
 	h.fleet = fleet.NewTable(o.Name, o.Logger)
 	h.allocator = allocation.NewAllocator(h.fleet, placement.DefaultLimits, rand.IntN, o.Logger)
 	h.allocator.Undisturbed = h.servers.Undisturbed
-	h.allocator.Revision, h.allocator.Verified, h.allocator.Relayed = h.surelyNewest, h.verified, h.relay
+	h.allocator.Revision, h.allocator.Verified, h.allocator.Relayed = h.verifiedRevision, h.verificationAge, h.recordRelayedVerification
 	h.quarantine = quarantine.NewTable(o.Logger, o.Registerer)
 	h.quarantine.Changed = func() { h.node.Load().Announce() }
-	h.quarantine.Kept = h.noteQuarantined
+	h.quarantine.Kept = h.scheduleQuarantineWrite
 	h.node.Store(h.newNode(0, o.Registerer))
 	h.table.Subscribe(func() { h.node.Load().Announce() })
-	o.Backend.OnBroken(h.connectionBroke)
+	o.Backend.OnBroken(h.handleBrokenConnection)
 	h.allocation = allocation.NewClient(o.Name, o.Domain, h, h.allocator, h.fleet, o.Logger)
-	h.allocator.Evacuated = h.evacuated.Load
+	h.allocator.Evacuated = h.evacuationRevision.Load
 	h.allocation.Told, h.allocation.ToldEvacuated = h.catchUp, h.catchUpEvacuations
 	h.sentinel = &allocation.Sentinel{
-		Host: o.Name, Client: h.allocation, Fleet: h.fleet, Check: o.Store.Check, Verify: h.verify, Verified: h.verified, Ask: h.ask,
+		Host: o.Name, Client: h.allocation, Fleet: h.fleet, Check: o.Store.Check, Verify: h.verify, Verified: h.verificationAge, Ask: h.queryStatus,
 		Logger: o.Logger,
 	}
 	h.gateway = gateway.New(gateway.Options{
 		Domain: o.Domain, Fleet: h.fleet, Backend: o.Backend, Allocator: h.allocation, Quarantine: h.quarantine, Logger: o.Logger,
 		Limits:  placement.DefaultLimits,
 		Budget:  &gateway.Budget{Ratio: o.RepeatRatio, Allowance: o.RepeatAllowance, Window: o.RepeatWindow, Hosts: h.liveHosts},
-		Confirm: h.confirm, Others: h.othersLive, Metrics: gateway.NewMetrics(o.Registerer),
+		Confirm: h.confirm, Others: h.hasLivePeers, Metrics: gateway.NewMetrics(o.Registerer),
 	})
 	return h
 }
 
-func (h *Host) follower(kind string, spacing time.Duration) *replica.Follower {
+// newFollower returns a follower of the objects of a kind.
+func (h *Host) newFollower(kind string, spacing time.Duration) *replica.Follower {
 	return &replica.Follower{
 		Store: h.options.Store, Kind: kind, Table: h.table, Logger: h.logger.With(zap.String("kind", kind)),
 		Active: h.watch.Watches, Spacing: spacing, Backoff: store.Backoff{Initial: storeBackoff, Max: storeBackoffMax},
-		OnCompacted: func() { h.relistBut(kind) },
+		OnCompacted: func() { h.relistExcept(kind) },
 	}
 }
 
-// Gateway returns the gateway, for what decodes callers' requests.
+// Gateway returns the gateway that serves decoded callers' requests.
 func (h *Host) Gateway() *gateway.Gateway { return h.gateway }
 
-// Run serves until ctx ends, then stops gracefully: callers' requests at one
-// server, side questions at the others.
+// Run serves until ctx ends, then stops gracefully. Callers' requests are served
+// at callers; other endpoints, which need no graceful stop, at others.
 func (h *Host) Run(ctx context.Context, callers Server, others ...Server) error {
 	h.logger.Info(MsgStart, zap.String("host", h.options.Name), zap.String("domain", h.options.Domain))
 	inner, cancel := context.WithCancel(context.Background())
@@ -205,7 +211,7 @@
 	group, inner := errgroup.WithContext(inner)
 	h.booting.Store(true)
 	for _, run := range h.background() {
-		group.Go(func() error { return ignoreEnd(run(inner)) })
+		group.Go(func() error { return ignoreCanceled(run(inner)) })
 	}
 	server := h.serve(inner, group, callers)
 	for _, other := range others {
@@ -225,25 +231,25 @@
 	return err
 }
 
-// background returns what runs beside the servers, each until its context ends.
+// background returns the background loops; each runs until its context ends.
 func (h *Host) background() []func(context.Context) error {
 	return []func(context.Context) error{
-		h.boot, h.configuration.Run, h.servers.Run, h.evacuations.Run, h.watch.Run, h.keepQuarantine, h.releaseLost,
+		h.boot, h.configuration.Run, h.servers.Run, h.evacuations.Run, h.watch.Run, h.syncQuarantine, h.releaseLostGenerations,
 		h.runNode, h.allocation.Run, h.allocation.Exchange, h.sentinel.Run,
 	}
 }
 
-func ignoreEnd(err error) error {
+func ignoreCanceled(err error) error {
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
 	return err
 }
 
-// serve runs a server until the context ends.
+// serve starts an HTTP server in the group; it runs until ctx ends.
 func (h *Host) serve(ctx context.Context, group *errgroup.Group, s Server) *http.Server {
 	server := &http.Server{
-		Handler: s.Handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: keptIdle, MaxHeaderBytes: maxHeaderBytes,
+		Handler: s.Handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: zap.NewStdLog(h.logger.Named("http")),
 	}
 	group.Go(func() error {
--- a/gatewayhost/host_test.go
+++ b/gatewayhost/host_test.go
@@ -31,7 +31,7 @@
 	peerPort            = ":9000"
 )
 
-// checkedStore is the store's twin in memory with a cheap check.
+// checkedStore adds a check and stale lists to the in-memory store.
 type checkedStore struct{ *store.Memory }
 
 func (s checkedStore) Check(ctx context.Context) error {
@@ -42,31 +42,31 @@
 	return err
 }
 
-// ListStale implements store.Checker; the twin is never behind.
+// ListStale implements store.Checker; its lists are current.
 func (s checkedStore) ListStale(ctx context.Context, kind string) ([]store.Object, store.Version, error) {
 	return s.List(ctx, kind)
 }
 
-// servers is a Backend of which only what hosts ask is used.
+// servers is a Backend that only answers a host's own queries.
 type servers struct {
 	gateway.Backend
-	departs func(id string) (bool, error)
-	held    fleet.Held
-	coldFor time.Duration
-	broke   *func(address string) // what the host is told of; nil: not kept
+	queryLeaving func(id string) (bool, error)
+	held         fleet.Held
+	coldFor      time.Duration
+	onBroken     *func(address string) // receives the host's OnBroken callback unless nil
 }
 
-func (s servers) OnBroken(broke func(string)) {
-	if s.broke != nil {
-		*s.broke = broke
+func (s servers) OnBroken(onBroken func(string)) {
+	if s.onBroken != nil {
+		*s.onBroken = onBroken
 	}
 }
 
 func (s servers) Held(context.Context, fleet.Server) (fleet.Held, error) { return s.held, nil }
 
 func (s servers) Ask(_ context.Context, server fleet.Server, _ string) (fleet.OwnWord, error) {
-	leaves, err := s.departs(server.ID)
-	return fleet.OwnWord{Leaves: leaves, ColdFor: s.coldFor}, err
+	leaving, err := s.queryLeaving(server.ID)
+	return fleet.OwnWord{Leaves: leaving, ColdFor: s.coldFor}, err
 }
 
 var errUnreadable = errors.New("unreadable")
@@ -89,8 +89,8 @@
 	}
 }
 
-func newHost(name string, through link.Network, address string, memory *store.Memory, departs func(string) (bool, error), seeds ...string) *Host {
-	return newHostWith(servers{departs: departs}, name, through, address, memory, seeds...)
+func newHost(name string, through link.Network, address string, memory *store.Memory, queryLeaving func(string) (bool, error), seeds ...string) *Host {
+	return newHostWith(servers{queryLeaving: queryLeaving}, name, through, address, memory, seeds...)
 }
 
 func newHostWith(backend Backend, name string, through link.Network, address string, memory *store.Memory, seeds ...string) *Host {
@@ -102,140 +102,143 @@
 	})
 }
 
-func stays(string) (bool, error) { return false, nil }
+func notLeaving(string) (bool, error) { return false, nil }
 
-// alone is a host without peers, and the store's twin.
-func alone(departs func(string) (bool, error)) (*Host, *store.Memory) {
+// standaloneHost returns a host without peers, and its store.
+func standaloneHost(queryLeaving func(string) (bool, error)) (*Host, *store.Memory) {
 	memory := store.NewMemory()
-	return newHost("a", network.New(network.Options{}).Host("10.0.0.1"), "10.0.0.1", memory, departs), memory
+	return newHost("a", network.New(network.Options{}).Host("10.0.0.1"), "10.0.0.1", memory, queryLeaving), memory
 }
 
-// disturb makes the store fail to answer the host once.
-func disturb(h *Host, memory *store.Memory) {
+// failStoreCall makes one store call of the host fail.
+func failStoreCall(h *Host, memory *store.Memory) {
 	memory.SetFaults(store.Faults{Outage: true})
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer stop()
-	_ = h.servers.Run(ctx) // it is to fail
+	_ = h.servers.Run(ctx) // fails as intended
 	memory.SetFaults(store.Faults{})
 }
 
-func entry(version store.Version, deleted bool) []store.Object {
+func serverEntry(version store.Version, deleted bool) []store.Object {
 	return []store.Object{{Kind: kindOfServers, Name: "i-1", Version: version, Value: []byte("ready"), Deleted: deleted}}
 }
 
-// Guards against a host that waits for itself for good when an entry goes during a disturbance.
-func TestRemovalsDuringADisturbanceDoNotStopTheHost(t *testing.T) {
+// Guards against a deadlock of the host when an entry is removed shortly after a
+// store failure.
+func TestRemovalAfterStoreFailureDoesNotDeadlock(t *testing.T) {
 	is := is.New(t)
-	h, memory := alone(stays)
-	disturb(h, memory)
+	h, memory := standaloneHost(notLeaving)
+	failStoreCall(h, memory)
 	done := make(chan struct{})
 	go func() {
-		h.table.Adopt(entry(5, false))
-		h.table.Adopt(entry(6, true))
+		h.table.Adopt(serverEntry(5, false))
+		h.table.Adopt(serverEntry(6, true))
 		h.Members()
 		close(done)
 	}()
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the host is stuck")
+		t.Fatal("host is deadlocked")
 	}
 	is.Equal(h.table.Version(), store.Version(6))
 }
 
-func TestLapsedEntriesAreNotRemovals(t *testing.T) {
-	// The store was away and all entries lapsed. The servers live, and are
-	// back in the list within two seconds: they must go on getting work.
+func TestExpiredEntriesAreNotRemovals(t *testing.T) {
+	// Guards against live servers being removed because their entries expired
+	// during a store outage; servers recreate their entries within two seconds.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h, memory := alone(stays)
-		h.table.Adopt(entry(5, false))
-		disturb(h, memory)
-		h.table.Adopt(entry(6, true))
+		h, memory := standaloneHost(notLeaving)
+		h.table.Adopt(serverEntry(5, false))
+		failStoreCall(h, memory)
+		h.table.Adopt(serverEntry(6, true))
 		time.Sleep(2 * time.Second)
 		is.Equal(len(h.fleet.Usable("s")), 1)
-		h.table.Adopt(entry(7, false))
+		h.table.Adopt(serverEntry(7, false))
 		time.Sleep(5 * time.Second)
 		is.Equal(len(h.fleet.Usable("s")), 1)
 	})
 }
 
-func TestUnreadableEntryGoesOutOfUse(t *testing.T) {
-	// Another writer overwrites a server's entry with bytes that nobody can
-	// read. The host went on sending requests by what the entry said before.
+func TestServerWithUnreadableEntryIsNotUsed(t *testing.T) {
+	// Guards against a server that stays in use by its previous entry after another
+	// writer has overwritten that entry with unreadable bytes.
 	is := is.New(t)
-	h, _ := alone(stays)
-	h.table.Adopt(entry(5, false))
-	spoiled := entry(6, false)
-	spoiled[0].Value = nil
-	_, findings := h.table.Adopt(spoiled)
+	h, _ := standaloneHost(notLeaving)
+	h.table.Adopt(serverEntry(5, false))
+	unreadable := serverEntry(6, false)
+	unreadable[0].Value = nil
+	_, findings := h.table.Adopt(unreadable)
 	is.Equal(len(findings), 1)
 	is.Equal(len(h.fleet.Usable("s")), 0)
-	h.table.Adopt(entry(7, false))
+	h.table.Adopt(serverEntry(7, false))
 	is.Equal(len(h.fleet.Usable("s")), 1)
 }
 
-func TestEntryThatStaysAwayIsARemoval(t *testing.T) {
+func TestEntryNotRecreatedIsARemoval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h, memory := alone(stays)
-		h.table.Adopt(entry(5, false))
-		disturb(h, memory)
-		h.table.Adopt(entry(6, true))
-		time.Sleep(lapsedReturn + departsInterval)
+		h, memory := standaloneHost(notLeaving)
+		h.table.Adopt(serverEntry(5, false))
+		failStoreCall(h, memory)
+		h.table.Adopt(serverEntry(6, true))
+		time.Sleep(entryRecoveryTime + leavingQueryInterval)
 		synctest.Wait()
 		is.Equal(len(h.fleet.Usable("s")), 0)
 	})
 }
 
-// Guards against waiting for the entry of an engine that says itself that it leaves.
-func TestServerThatSaysSoLeavesAtOnce(t *testing.T) {
+// Guards against waiting for the entry of a server that reports that it is leaving.
+func TestLeavingServerIsRemovedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		asked := 0
-		h, memory := alone(func(string) (bool, error) {
+		h, memory := standaloneHost(func(string) (bool, error) {
 			asked++
 			return asked > 1, nil
 		})
-		h.table.Adopt(entry(5, false))
-		disturb(h, memory)
-		h.table.Adopt(entry(6, true))
-		time.Sleep(departsInterval + time.Millisecond)
+		h.table.Adopt(serverEntry(5, false))
+		failStoreCall(h, memory)
+		h.table.Adopt(serverEntry(6, true))
+		time.Sleep(leavingQueryInterval + time.Millisecond)
 		synctest.Wait()
 		is.Equal(len(h.fleet.Usable("s")), 0)
 	})
 }
 
-// silentStore takes calls and, while it is silent, never answers those.
+// silentStore accepts calls; those that arrive while it is silent are never
+// answered.
 type silentStore struct {
 	checkedStore
 	silent atomic.Bool
 }
 
-func (s *silentStore) hush(ctx context.Context) error {
+func (s *silentStore) blockIfSilent(ctx context.Context) error {
 	if !s.silent.Load() {
 		return nil
 	}
-	<-ctx.Done() // also when the store is back
+	<-ctx.Done() // even after the store answers again
 	return ctx.Err()
 }
 
 func (s *silentStore) Check(ctx context.Context) error {
-	return errors.CombineErrors(s.hush(ctx), s.checkedStore.Check(ctx))
+	return errors.CombineErrors(s.blockIfSilent(ctx), s.checkedStore.Check(ctx))
 }
 
 func (s *silentStore) Watch(ctx context.Context, kind string, after store.Version) ([]store.Object, store.Version, error) {
-	if err := s.hush(ctx); err != nil {
+	if err := s.blockIfSilent(ctx); err != nil {
 		return nil, 0, err
 	}
 	return s.checkedStore.Watch(ctx, kind, after)
 }
 
-// Guards against a watch that began while the store was silent and is never answered.
-func TestWatchThatBeganInSilence(t *testing.T) {
+// Guards against a watch that began while the store was silent, and is therefore
+// never answered.
+func TestWatchBegunWhileStoreIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h, memory := alone(stays)
+		h, memory := standaloneHost(notLeaving)
 		silent := &silentStore{checkedStore: checkedStore{memory}}
 		h.options.Store, h.servers.Store, h.configuration.Store = silent, silent, silent
 		ctx, stop := context.WithCancel(t.Context())
@@ -256,9 +259,9 @@
 	})
 }
 
-func TestUnreadableConfigurationLeavesTheLastGoodOne(t *testing.T) {
+func TestUnreadableConfigurationKeepsLastValidOne(t *testing.T) {
 	is := is.New(t)
-	h, _ := alone(stays)
+	h, _ := standaloneHost(notLeaving)
 	offer := func(version store.Version, value []byte) int {
 		_, found := h.table.Adopt([]store.Object{{Kind: kindOfConfiguration, Name: "main", Version: version, Value: value}})
 		return len(found)
@@ -267,50 +270,51 @@
 	is.Equal(offer(5, []byte{7}), 0)
 	is.Equal(offer(6, nil), 1)
 	is.Equal(h.Gateway().Configuration().Version, uint64(7))
-	is.Equal(offer(4, []byte{9}), 0) // an older one, from a peer that was cut off
+	is.Equal(offer(4, []byte{9}), 0) // an older one, from a peer that was partitioned
 	is.Equal(h.Gateway().Configuration().Version, uint64(7))
 	is.True(h.Ready())
 }
 
-func TestConfirmAsksTheStore(t *testing.T) {
-	// A host does not know whether it is behind. Only the store's answer lets
-	// it call a route unknown.
+func TestConfirmReadsTheStore(t *testing.T) {
+	// Guards against a host that reports a route as unknown because its
+	// configuration is stale; only the store's answer proves it current.
 	is := is.New(t)
-	h, memory := alone(stays)
+	h, memory := standaloneHost(notLeaving)
 	_, err := memory.Put(context.Background(), kindOfConfiguration, "main", []byte{7}, 0)
 	is.NoErr(err)
 	memory.SetFaults(store.Faults{Outage: true})
 	is.True(!h.confirm(context.Background()))
 	memory.SetFaults(store.Faults{})
 	is.True(h.confirm(context.Background()))
-	is.Equal(h.Gateway().Configuration().Version, uint64(7)) // and it has what the store has
+	is.Equal(h.Gateway().Configuration().Version, uint64(7)) // the stored configuration has been applied
 }
 
-// Guards against a host that is taken for replaced as its clock was set back.
-func TestHostWhoseClockWasSetBackJoins(t *testing.T) {
+// Guards against a host that the fleet regards as superseded because its wall
+// clock was set back.
+func TestHostRejoinsAfterClockWasSetBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		fabric := network.New(network.Options{})
-		h := newHost("a", fabric.Host("10.0.0.1"), "10.0.0.1", store.NewMemory(), stays)
+		h := newHost("a", fabric.Host("10.0.0.1"), "10.0.0.1", store.NewMemory(), notLeaving)
 		ctx, stop := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() { ended <- h.runNode(ctx) }()
 		time.Sleep(100 * time.Millisecond)
 		ahead := uint64(time.Now().Add(time.Minute).UnixMilli())
-		tell(ctx, is, fabric.Host("10.0.0.2"), &peerpb.ProbeRequest{
+		sendProbe(ctx, is, fabric.Host("10.0.0.2"), &peerpb.ProbeRequest{
 			From: &peerpb.Member{Host: "b", Incarnation: 1, State: peerpb.MemberState_ALIVE, PeerAddress: "10.0.0.2" + peerPort},
 			News: []*peerpb.Member{{Host: "a", Incarnation: ahead, State: peerpb.MemberState_ALIVE, PeerAddress: "10.0.0.1" + peerPort}},
 		})
-		time.Sleep(20 * time.Second) // probes of b, which is not there, end first
+		time.Sleep(20 * time.Second) // probes of b, which does not exist, must fail first
 		is.Equal(len(ended), 0)
 		is.Equal(incarnationOf(h, "a"), ahead+1)
 		stop()
-		is.NoErr(ignoreEnd(<-ended))
+		is.NoErr(ignoreCanceled(<-ended))
 	})
 }
 
-// tell probes the host with news.
-func tell(ctx context.Context, is *is.I, from link.Network, news *peerpb.ProbeRequest) {
+// sendProbe sends the host a probe that carries membership updates.
+func sendProbe(ctx context.Context, is *is.I, from link.Network, news *peerpb.ProbeRequest) {
 	conn, err := grpc.NewClient("passthrough:10.0.0.1"+peerPort, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithContextDialer(func(ctx context.Context, address string) (net.Conn, error) { return from.Dial(ctx, address) }))
 	is.NoErr(err)
@@ -328,33 +332,33 @@
 	return 0
 }
 
-// follow has a host follow the store until ctx ends.
-func follow(ctx context.Context, h *Host) {
+// runFollowers runs the host's store followers until ctx ends.
+func runFollowers(ctx context.Context, h *Host) {
 	for _, run := range []func(context.Context) error{h.servers.Run, h.evacuations.Run, h.configuration.Run} {
 		go func() { _ = run(ctx) }()
 	}
 }
 
-// Guards against leaving engines missed by watches that hear nothing.
-func TestDeafWatchesAreNoticed(t *testing.T) {
+// Guards against missing a leaving engine because a watch delivers nothing.
+func TestStalledWatchIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h, memory := alone(stays)
-		h.servers.Store = deafStore{checkedStore{memory}}
+		h, memory := standaloneHost(notLeaving)
+		h.servers.Store = stalledWatchStore{checkedStore{memory}}
 		ctx, stop := context.WithCancel(t.Context())
-		follow(ctx, h)
+		runFollowers(ctx, h)
 		_, err := memory.Put(ctx, kindOfConfiguration, "main", []byte{7}, 0)
 		is.NoErr(err)
 		version, err := memory.Put(ctx, kindOfServers, "i-1", []byte("ready"), 0)
 		is.NoErr(err)
 		time.Sleep(time.Second)
 		is.NoErr(h.verify(ctx))
-		time.Sleep(missedAfter + time.Millisecond)
+		time.Sleep(watchLagLimit + time.Millisecond)
 		is.Equal(len(h.fleet.Usable("s")), 1)
 		_, err = memory.Put(ctx, kindOfServers, "i-1", []byte("leaving"), version)
 		is.NoErr(err)
 		is.NoErr(h.verify(ctx))
-		time.Sleep(missedAfter + time.Millisecond)
+		time.Sleep(watchLagLimit + time.Millisecond)
 		synctest.Wait()
 		is.Equal(len(h.fleet.Usable("s")), 0)
 		stop()
@@ -362,28 +366,29 @@
 	})
 }
 
-// Guards against changes that stay missed, as a later one was found by asking.
-func TestDeafWatchesAreNoticedBesideAConfiguration(t *testing.T) {
+// Guards against missed changes that stay hidden because verify found a later
+// configuration.
+func TestStalledWatchIsDetectedDespiteNewConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h, memory := alone(stays)
-		h.servers.Store, h.configuration.Store = deafStore{checkedStore{memory}}, deafStore{checkedStore{memory}}
+		h, memory := standaloneHost(notLeaving)
+		h.servers.Store, h.configuration.Store = stalledWatchStore{checkedStore{memory}}, stalledWatchStore{checkedStore{memory}}
 		ctx, stop := context.WithCancel(t.Context())
-		follow(ctx, h)
+		runFollowers(ctx, h)
 		configuration, err := memory.Put(ctx, kindOfConfiguration, "main", []byte{7}, 0)
 		is.NoErr(err)
 		server, err := memory.Put(ctx, kindOfServers, "i-1", []byte("ready"), 0)
 		is.NoErr(err)
 		time.Sleep(time.Second)
 		is.NoErr(h.verify(ctx))
-		time.Sleep(missedAfter + time.Millisecond)
+		time.Sleep(watchLagLimit + time.Millisecond)
 		is.Equal(len(h.fleet.Usable("s")), 1)
 		_, err = memory.Put(ctx, kindOfServers, "i-1", []byte("leaving"), server)
 		is.NoErr(err)
 		_, err = memory.Put(ctx, kindOfConfiguration, "main", []byte{8}, configuration)
 		is.NoErr(err)
 		is.NoErr(h.verify(ctx))
-		time.Sleep(missedAfter + time.Millisecond)
+		time.Sleep(watchLagLimit + time.Millisecond)
 		synctest.Wait()
 		is.Equal(len(h.fleet.Usable("s")), 0)
 		stop()
@@ -391,25 +396,25 @@
 	})
 }
 
-// Guards against lists made again and again for changes that nobody follows.
+// Guards against repeated lists because of changes of kinds that are not followed.
 func TestChangesOfOtherKindsAreListedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h, memory := alone(stays)
+		h, memory := standaloneHost(notLeaving)
 		ctx, stop := context.WithCancel(t.Context())
-		follow(ctx, h)
+		runFollowers(ctx, h)
 		_, err := memory.Put(ctx, kindOfConfiguration, "main", []byte{7}, 0)
 		is.NoErr(err)
 		time.Sleep(time.Second)
 		other, err := memory.Put(ctx, "other", "x", []byte{1}, 0)
 		is.NoErr(err)
 		is.NoErr(h.verify(ctx))
-		is.True(h.reached() < other)
-		time.Sleep(missedAfter + time.Millisecond)
+		is.True(h.reachedRevision() < other)
+		time.Sleep(watchLagLimit + time.Millisecond)
 		synctest.Wait()
-		is.Equal(h.reached(), other)
+		is.Equal(h.reachedRevision(), other)
 		is.NoErr(h.verify(ctx))
-		is.True(!h.comparing.Load())
+		is.True(!h.checkingWatches.Load())
 		stop()
 		synctest.Wait()
 	})
--- a/gatewayhost/quarantine.go
+++ b/gatewayhost/quarantine.go
@@ -18,22 +18,24 @@
 
 const (
 	msgQuarantineStored     = "quarantined requests stored"
-	msgQuarantineNotStored  = "quarantined requests not stored; tried again"
+	msgQuarantineNotStored  = "storing quarantined requests failed; retrying"
 	msgQuarantineUnreadable = "stored quarantined requests cannot be read"
 
-	// nameOfQuarantine is the one object of its kind.
-	nameOfQuarantine   = "requests"
-	sourceOfQuarantine = "store"
-	// mostStored bounds the object; those that end last are kept.
-	mostStored = 512
-	// staleness is how much later a host that has started reads the object
-	// again: what it read at first may be some seconds old.
-	staleness = 4 * time.Second
-	// quarantineTimeout bounds one try to read or write the object.
+	// quarantineName is the name of the single object of its kind.
+	quarantineName   = "requests"
+	quarantineSource = "store"
+	// maxStoredRequests bounds the number of requests in the object; those whose
+	// quarantine ends last are kept.
+	maxStoredRequests = 512
+	// quarantineRereadDelay is the delay after which a started host reads the
+	// object again: the first read may have returned data that is some seconds
+	// old.
+	quarantineRereadDelay = 4 * time.Second
+	// quarantineTimeout bounds one attempt to write the object.
 	quarantineTimeout = 2 * time.Second
 )
 
-// storedQuarantine is the object's content.
+// storedQuarantine is the content of the quarantine object.
 type storedQuarantine struct {
 	Requests []storedRequest `json:"requests"`
 }
@@ -47,7 +49,7 @@
 
 func encodeQuarantine(records []quarantine.Record, now time.Time) ([]byte, error) {
 	slices.SortFunc(records, func(a, b quarantine.Record) int { return cmp.Compare(b.Left, a.Left) })
-	records = records[:min(len(records), mostStored)]
+	records = records[:min(len(records), maxStoredRequests)]
 	content := storedQuarantine{Requests: make([]storedRequest, 0, len(records))}
 	for _, r := range records {
 		content.Requests = append(content.Requests, storedRequest{
@@ -75,12 +77,13 @@
 	return records, nil
 }
 
-// keepQuarantine reads what the store has, twice, and writes what this host
-// quarantines, until ctx ends. Other hosts hear of it from their peers; the
-// store is for hosts that start while no peer lives.
-func (h *Host) keepQuarantine(ctx context.Context) error {
+// syncQuarantine synchronises the quarantine with the store until ctx ends: it
+// reads the stored object twice, at startup and after quarantineRereadDelay, and
+// writes it when this host's quarantine changes. Running hosts learn of changes
+// by gossip; the stored object is for hosts that start while no peer is alive.
+func (h *Host) syncQuarantine(ctx context.Context) error {
 	h.readQuarantine(ctx)
-	reread := time.NewTimer(staleness)
+	reread := time.NewTimer(quarantineRereadDelay)
 	defer reread.Stop()
 	backoff := store.Backoff{Initial: storeBackoff, Max: storeBackoffMax}
 	for {
@@ -90,10 +93,10 @@
 			return ctx.Err()
 		case <-reread.C:
 			if !h.readQuarantine(ctx) {
-				reread.Reset(staleness)
+				reread.Reset(quarantineRereadDelay)
 			}
 			continue
-		case <-h.quarantined:
+		case <-h.quarantineDirty:
 			err = h.storeQuarantine(ctx)
 		}
 		if err == nil {
@@ -101,59 +104,60 @@
 			continue
 		}
 		h.logger.Warn(msgQuarantineNotStored, zap.Error(err))
-		h.noteQuarantined()
+		h.scheduleQuarantineWrite()
 		if err := sleep.For(ctx, backoff.Next()); err != nil {
 			return err
 		}
 	}
 }
 
-// noteQuarantined has what is quarantined written to the store soon.
-func (h *Host) noteQuarantined() {
+// scheduleQuarantineWrite schedules a write of the quarantine to the store.
+func (h *Host) scheduleQuarantineWrite() {
 	select {
-	case h.quarantined <- struct{}{}:
+	case h.quarantineDirty <- struct{}{}:
 	default:
 	}
 }
 
-// readQuarantine takes in what the store has, which may be some seconds old,
-// and reports whether the store answered.
+// readQuarantine merges the stored quarantine, from a read that may be some
+// seconds old, and reports whether the store answered.
 func (h *Host) readQuarantine(ctx context.Context) bool {
 	objects, _, answered := h.listStale(ctx, h.options.Objects.Quarantine)
 	for _, object := range objects {
-		h.adoptQuarantine(object)
+		h.mergeQuarantine(object)
 	}
 	return answered
 }
 
-// adoptQuarantine takes in a stored object. One that cannot be read says
-// nothing: anybody may have written it.
-func (h *Host) adoptQuarantine(object store.Object) {
+// mergeQuarantine merges a stored object. One that cannot be decoded is ignored,
+// as another writer may have overwritten it.
+func (h *Host) mergeQuarantine(object store.Object) {
 	records, err := decodeQuarantine(object.Value, time.Now())
 	if err != nil {
 		h.logger.Warn(msgQuarantineUnreadable, zap.Uint64("revision", uint64(object.Version)), zap.Error(err))
 		return
 	}
-	h.quarantine.Merge(records, sourceOfQuarantine)
+	h.quarantine.Merge(records, quarantineSource)
 }
 
-// storeQuarantine adds to the stored object what this host knows.
+// storeQuarantine merges the stored object with this host's quarantine and
+// writes the result.
 func (h *Host) storeQuarantine(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, quarantineTimeout)
 	defer cancel()
 	kind := h.options.Objects.Quarantine
-	object, err := h.options.Store.Get(ctx, kind, nameOfQuarantine)
+	object, err := h.options.Store.Get(ctx, kind, quarantineName)
 	if err != nil && !errors.Is(err, store.ErrNoObject) {
 		return err
 	}
 	if err == nil {
-		h.adoptQuarantine(object)
+		h.mergeQuarantine(object)
 	}
 	value, err := encodeQuarantine(h.quarantine.All(), time.Now())
 	if err != nil {
 		return err
 	}
-	revision, err := h.options.Store.Put(ctx, kind, nameOfQuarantine, value, object.Version)
+	revision, err := h.options.Store.Put(ctx, kind, quarantineName, value, object.Version)
 	if err != nil {
 		return err
 	}
--- a/replica/follower.go
+++ b/replica/follower.go
@@ -17,86 +17,91 @@
 const (
 	msgStoreReached   = "platform store reached"
 	msgStoreLost      = "platform store lost"
-	msgNotPutInForce  = "stored configuration not put in force"
+	msgNotApplied     = "stored configuration not put in force"
 	activeCheckPeriod = 500 * time.Millisecond
 )
 
-// Follower keeps a Table up to date from the store: a list, then long-poll
-// watches. A few hosts watch; the others learn from their peers.
+// Follower keeps a Table up to date with the objects of a kind in the store: it
+// lists them once, then follows changes with long-poll watches. Only a few hosts
+// watch; the others receive changes from their peers.
 type Follower struct {
 	Store store.Store
 	Kind  string // of the objects followed
 	Table *Table
-	// Active says whether this host watches now; nil: always. A host that is
-	// not active has no call waiting in the store.
+	// Active reports whether this host should watch now; nil means always. An
+	// inactive follower makes no calls, but a watch already pending is not
+	// cancelled.
 	Active func() bool
-	// Spacing is the least time between two calls that found changes; zero:
-	// none. Changes come in groups, and each call has its price.
+	// Spacing is the pause after a watch, before the next one; zero means none.
+	// Changes come in bursts and each call has a cost, so a pause batches them.
 	Spacing time.Duration
-	// Backoff spaces the tries while the store is away; its zero value has
-	// defaults.
+	// Backoff separates attempts while the store is unavailable; its zero value
+	// has defaults.
 	Backoff store.Backoff
-	Logger  *zap.Logger // nil: no log
+	Logger  *zap.Logger // nil disables logging
 
-	// OnCompacted is called when the store has dropped changes that this
-	// follower waited for; nil: nothing is. It must not block.
+	// OnCompacted is called when the store has compacted changes that this
+	// follower's watch still needed; it may be nil. It must not block.
 	OnCompacted func()
 
-	reached   atomic.Uint64 // revision of the newest list or change that the store gave
+	reached   atomic.Uint64 // revision reached by the newest list or watch of the store
 	reachable atomic.Bool
-	failed    moment.Moment // when the store last did not answer
+	failedAt  moment.Moment // time of the last failed call to the store
 
 	mu     sync.Mutex         // guards all below
-	cancel context.CancelFunc // of the waiting watch; nil: none waits
-	doubt  bool               // list again
+	cancel context.CancelFunc // cancels the pending watch; nil if there is none
+	relist bool               // list again before the next watch
 }
 
-// Relist makes the follower list its objects again instead of waiting on.
+// Relist cancels the pending watch and makes the follower list its objects again.
 //
-// Failure: the store drops its history while changes are made. A follower of
-// a kind that goes on changing is told so; one whose kind is quiet waits on a
-// watch that has missed a change, and hears of it with the next one only. The
-// history is that of all kinds, so that whoever is told so tells the others.
+// Failure: the store compacts its history while objects change. The follower of
+// a kind that keeps changing receives ErrCompacted, but the watch of a kind with
+// few changes may have missed one and stays pending until the next. All kinds
+// share one history, so a follower that receives ErrCompacted makes the others
+// relist through OnCompacted.
 func (f *Follower) Relist() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.doubt = true
+	f.relist = true
 	if f.cancel != nil {
 		f.cancel()
 	}
 }
 
-// doubted reports whether Relist was called since it was asked last.
-func (f *Follower) doubted() bool {
+// takeRelist reports whether Relist was called since the last call of takeRelist.
+func (f *Follower) takeRelist() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	doubt := f.doubt
-	f.doubt = false
-	return doubt
+	relist := f.relist
+	f.relist = false
+	return relist
 }
 
-// waiting notes what ends the watch that begins or, if nil, that it has ended.
-func (f *Follower) waiting(cancel context.CancelFunc) {
+// setWatchCancel sets the function that cancels the watch about to begin; nil
+// means that the watch has ended. A watch for which Relist was already called is
+// cancelled immediately.
+func (f *Follower) setWatchCancel(cancel context.CancelFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cancel = cancel
-	if f.doubt && cancel != nil {
+	if f.relist && cancel != nil {
 		cancel()
 	}
 }
 
-// Undisturbed returns how long ago the store last failed to answer this
-// follower, or moment.Never.
-func (f *Follower) Undisturbed() time.Duration { return f.failed.Age() }
+// Undisturbed returns the time since a store call by this follower last failed,
+// or moment.Never.
+func (f *Follower) Undisturbed() time.Duration { return f.failedAt.Age() }
 
-// Reached returns the revision up to which the store's own lists and watches
-// brought changes of the kind; what peers told does not count.
+// Reached returns the revision up to which this follower's own lists and watches
+// have delivered changes of the kind; updates from peers do not count.
 func (f *Follower) Reached() store.Version { return store.Version(f.reached.Load()) }
 
 // Reachable reports whether the last call to the store succeeded.
 func (f *Follower) Reachable() bool { return f.reachable.Load() }
 
-// Run follows the store until ctx ends, whose error it returns.
+// Run follows the store until ctx ends, and returns the error of ctx.
 func (f *Follower) Run(ctx context.Context) error {
 	var after store.Version
 	listed := false
@@ -112,28 +117,29 @@
 		if listed {
 			after, err = f.watch(ctx, after)
 		} else {
-			f.doubted()
+			f.takeRelist()
 			after, err = f.list(ctx)
 		}
 		compacted := errors.Is(err, store.ErrCompacted)
 		if compacted && f.OnCompacted != nil {
 			f.OnCompacted()
 		}
-		if listed && f.doubted() {
+		if listed && f.takeRelist() {
 			listed = false
 			continue
 		}
 		listed = listed && !compacted || !listed && err == nil
-		if err := f.settle(ctx, err); err != nil {
+		if err := f.handleResult(ctx, err); err != nil {
 			return err
 		}
 	}
 	return ctx.Err()
 }
 
-// settle notes whether the store answered, and waits before the next try when
-// it did not: hosts that lost it together must not come back together.
-func (f *Follower) settle(ctx context.Context, err error) error {
+// handleResult records whether the store answered, and backs off if it did not. The
+// backoff has jitter, so hosts that lost the store at the same time do not retry
+// at the same time.
+func (f *Follower) handleResult(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -144,15 +150,15 @@
 		}
 		return nil
 	}
-	f.failed.Mark(time.Now())
+	f.failedAt.Mark(time.Now())
 	if f.reachable.CompareAndSwap(true, false) {
 		f.logger().Warn(msgStoreLost, zap.Error(err))
 	}
 	return f.Backoff.Wait(ctx)
 }
 
-// Refresh brings the table up to date with the store once. Errors: those of
-// store.Store.List.
+// Refresh lists the objects once and adopts them into the table. Errors: those
+// of store.Store.List.
 func (f *Follower) Refresh(ctx context.Context) error {
 	_, err := f.list(ctx)
 	return err
@@ -164,7 +170,7 @@
 		return 0, err
 	}
 	_, findings := f.Table.AdoptList(f.Kind, objects, revision)
-	f.report(findings)
+	f.logFindings(findings)
 	f.reached.Store(uint64(revision))
 	return revision, nil
 }
@@ -172,22 +178,22 @@
 func (f *Follower) watch(ctx context.Context, after store.Version) (store.Version, error) {
 	watching, cancel := context.WithCancel(ctx)
 	defer cancel()
-	f.waiting(cancel)
+	f.setWatchCancel(cancel)
 	objects, revision, err := f.Store.Watch(watching, f.Kind, after)
-	f.waiting(nil)
+	f.setWatchCancel(nil)
 	if err != nil {
 		return after, err
 	}
 	_, findings := f.Table.Adopt(objects)
-	f.report(findings)
+	f.logFindings(findings)
 	after = max(after, revision)
 	f.reached.Store(uint64(after))
 	return after, sleep.For(ctx, f.Spacing)
 }
 
-func (f *Follower) report(findings []Finding) {
+func (f *Follower) logFindings(findings []Finding) {
 	for _, finding := range findings {
-		f.logger().Warn(msgNotPutInForce, zap.String("kind", finding.Kind), zap.String("name", finding.Name),
+		f.logger().Warn(msgNotApplied, zap.String("kind", finding.Kind), zap.String("name", finding.Name),
 			zap.Uint64("version", uint64(finding.Version)), zap.Error(finding.Err))
 	}
 }
--- a/store/counted.go
+++ b/store/counted.go
@@ -11,19 +11,19 @@
 	Namespace: "papayasail",
 	Subsystem: "platform",
 	Name:      "calls_total",
-	Help:      "Calls to the platform's store by operation and result; a waiting watch counts as one. Result over_budget was not sent.",
+	Help:      "Calls to the platform's store by operation and result; a long-poll watch counts as one. Calls with result over_budget were not sent.",
 }, []string{"op", "result"})
 
 func init() { prometheus.MustRegister(calls) }
 
-// Operations and results, the labels of the counter of calls.
+// Label values of the calls counter: operations and results.
 const (
-	opGet   = "get"
-	opPut   = "put"
-	opList  = "list"
-	opWatch = "watch"
-	opCheck = "check"
-	opStale = "list_stale"
+	opGet       = "get"
+	opPut       = "put"
+	opList      = "list"
+	opWatch     = "watch"
+	opCheck     = "check"
+	opListStale = "list_stale"
 
 	resultOK          = "ok"
 	resultNoObject    = "no_object"
@@ -36,56 +36,56 @@
 	resultOther       = "error"
 )
 
-// Checker is a store with calls that cost a fraction of the others.
+// Checker is a store with additional calls that cost a fraction of the others.
 type Checker interface {
 	Store
-	// Check only shows whether the store answers.
+	// Check returns an error if the store does not answer.
 	Check(ctx context.Context) error
-	// ListStale is List as of a moment that may be seconds ago.
+	// ListStale is like List, but its result may be seconds old.
 	ListStale(ctx context.Context, kind string) ([]Object, Version, error)
 }
 
-// Counted counts the calls to a store.
+// Counted is a Store that counts the calls to another store.
 type Counted struct{ store Store }
 
-// NewCounted counts the calls to store.
+// NewCounted returns a Counted that wraps store.
 func NewCounted(store Store) *Counted { return &Counted{store: store} }
 
 // Get implements Store.
 func (c *Counted) Get(ctx context.Context, kind, name string) (Object, error) {
 	object, err := c.store.Get(ctx, kind, name)
-	count(opGet, err)
+	countCall(opGet, err)
 	return object, err
 }
 
 // Put implements Store.
 func (c *Counted) Put(ctx context.Context, kind, name string, value []byte, expect Version) (Version, error) {
 	version, err := c.store.Put(ctx, kind, name, value, expect)
-	count(opPut, err)
+	countCall(opPut, err)
 	return version, err
 }
 
 // List implements Store.
 func (c *Counted) List(ctx context.Context, kind string) ([]Object, Version, error) {
 	objects, revision, err := c.store.List(ctx, kind)
-	count(opList, err)
+	countCall(opList, err)
 	return objects, revision, err
 }
 
 // Watch implements Store.
 func (c *Counted) Watch(ctx context.Context, kind string, after Version) ([]Object, Version, error) {
 	objects, revision, err := c.store.Watch(ctx, kind, after)
-	count(opWatch, err)
+	countCall(opWatch, err)
 	return objects, revision, err
 }
 
-// CountedChecker counts the calls to a store that can be checked.
+// CountedChecker is a Checker that counts the calls to another Checker.
 type CountedChecker struct {
 	*Counted
 	checker Checker
 }
 
-// NewCountedChecker counts the calls to store.
+// NewCountedChecker returns a CountedChecker that wraps store.
 func NewCountedChecker(store Checker) *CountedChecker {
 	return &CountedChecker{Counted: NewCounted(store), checker: store}
 }
@@ -93,18 +93,18 @@
 // Check implements Checker.
 func (c *CountedChecker) Check(ctx context.Context) error {
 	err := c.checker.Check(ctx)
-	count(opCheck, err)
+	countCall(opCheck, err)
 	return err
 }
 
 // ListStale implements Checker.
 func (c *CountedChecker) ListStale(ctx context.Context, kind string) ([]Object, Version, error) {
 	objects, revision, err := c.checker.ListStale(ctx, kind)
-	count(opStale, err)
+	countCall(opListStale, err)
 	return objects, revision, err
 }
 
-func count(op string, err error) { calls.WithLabelValues(op, result(err)).Inc() }
+func countCall(op string, err error) { calls.WithLabelValues(op, result(err)).Inc() }
 
 func result(err error) string {
 	var bad *VersionError
--- a/store/limited.go
+++ b/store/limited.go
@@ -7,12 +7,13 @@
 	"golang.org/x/time/rate"
 )
 
-// Budget bounds the calls of one host.
+// Budget limits the rate of one host's calls.
 type Budget struct {
-	// Rate is in calls per second. Hosts times Rate has to stay under what the
-	// store takes: 390 hosts at the default of 4 make 1,560 of 2,000.
+	// Rate is in calls per second; default 4. The number of hosts times Rate must
+	// stay below the store's capacity: 390 hosts at the default make 1,560 of
+	// 2,000 calls per second.
 	Rate  float64
-	Burst int // calls; default 8
+	Burst int // in calls; default 8
 }
 
 const (
@@ -20,13 +21,13 @@
 	defaultBurst = 8
 )
 
-// Limited is a Store that counts each call and holds its host to a Budget.
+// Limited is a Store that counts each call and limits its host's calls to a Budget.
 type Limited struct {
 	store   Store
 	limiter *rate.Limiter
 }
 
-// NewLimited puts a budget before store.
+// NewLimited returns a Limited that wraps store.
 func NewLimited(store Store, budget Budget) *Limited {
 	if budget.Rate <= 0 {
 		budget.Rate = defaultRate
@@ -39,7 +40,7 @@
 
 // Get implements Store.
 func (l *Limited) Get(ctx context.Context, kind, name string) (Object, error) {
-	if err := l.take(ctx, opGet); err != nil {
+	if err := l.waitForBudget(ctx, opGet); err != nil {
 		return Object{}, err
 	}
 	return l.store.Get(ctx, kind, name)
@@ -47,7 +48,7 @@
 
 // Put implements Store.
 func (l *Limited) Put(ctx context.Context, kind, name string, value []byte, expect Version) (Version, error) {
-	if err := l.take(ctx, opPut); err != nil {
+	if err := l.waitForBudget(ctx, opPut); err != nil {
 		return 0, err
 	}
 	return l.store.Put(ctx, kind, name, value, expect)
@@ -55,7 +56,7 @@
 
 // List implements Store.
 func (l *Limited) List(ctx context.Context, kind string) ([]Object, Version, error) {
-	if err := l.take(ctx, opList); err != nil {
+	if err := l.waitForBudget(ctx, opList); err != nil {
 		return nil, 0, err
 	}
 	return l.store.List(ctx, kind)
@@ -63,15 +64,16 @@
 
 // Watch implements Store.
 func (l *Limited) Watch(ctx context.Context, kind string, after Version) ([]Object, Version, error) {
-	if err := l.take(ctx, opWatch); err != nil {
+	if err := l.waitForBudget(ctx, opWatch); err != nil {
 		return nil, 0, err
 	}
 	return l.store.Watch(ctx, kind, after)
 }
 
-// take waits for the budget. When ctx ends before the budget allows the call,
-// nothing is sent, so the error is ErrUnavailable: a write did not happen.
-func (l *Limited) take(ctx context.Context, op string) error {
+// waitForBudget waits until the budget allows a call. If ctx ends first, or would
+// end before then, nothing is sent, so the error is ErrUnavailable: a write did
+// not happen.
+func (l *Limited) waitForBudget(ctx context.Context, op string) error {
 	if err := l.limiter.Wait(ctx); err != nil {
 		calls.WithLabelValues(op, resultOverBudget).Inc()
 		return errors.Mark(errors.Wrap(err, "platform: waiting for the budget of calls"), ErrUnavailable)
