--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -15,7 +15,7 @@
 	"github.com/papayasail/papayasail/routing"
 )
 
-// evidenceOf returns what an error says about whether a request ran.
+// evidenceOf returns the evidence in an error on whether a request ran.
 func evidenceOf(err error) backend.Evidence {
 	var call *backend.CallError
 	if errors.As(err, &call) {
@@ -25,7 +25,7 @@
 }
 
 // ranNothing reports whether an error proves that the backend server ran no
-// part of the request: no byte reached it, or its answer says so by contract.
+// part of the request: no byte reached it, or its response states so by contract.
 func ranNothing(err error) bool { return evidenceOf(err).NotRun() }
 
 var stages = map[backend.Evidence]retry.Stage{
@@ -38,7 +38,7 @@
 	backend.Mismatch:      retry.StageAnswered,
 }
 
-// retryEvidence translates an error for the retry package.
+// retryEvidence converts an error to the evidence type of the retry package.
 func retryEvidence(err error) retry.Evidence {
 	var call *backend.CallError
 	if !errors.As(err, &call) {
@@ -54,13 +54,14 @@
 	return evidence
 }
 
-// evaluators holds the retry budgets of each service.
+// evaluators maps each service to the evaluator of its retry policy and budgets.
 type evaluators struct {
 	mu        sync.Mutex // guards byService
 	byService map[string]*retry.Evaluator
 }
 
-// of returns the evaluator of a service, under the policy in force.
+// of returns the evaluator of a service, set to the current retry policy. It
+// creates the evaluator on first use.
 func (e *evaluators) of(document *contract.Document) *retry.Evaluator {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -76,19 +77,21 @@
 	return evaluator
 }
 
-// attempts bounds and spaces the tries of one request.
+// attempts limits the number of attempts of one request and the time between
+// them.
 type attempts struct {
 	evaluator *retry.Evaluator
 	subject   retry.Subject
 	state     retry.Attempts
 	servers   int      // backend servers of the service
-	exclude   []string // those that failed this request
+	exclude   []string // servers on which this request failed
 	crashes   *crashes
-	// mayHaveRun is set as soon as one try may have run, in part or whole.
+	// mayHaveRun is set once an attempt may have run, partly or completely.
 	mayHaveRun bool
 }
 
-// attempts begins the tries of one request.
+// attempts returns the attempt state of a new request and counts the request
+// in the retry budget.
 func (r *Relay) attempts(document *contract.Document, request *peerpb.ForwardRequest, idempotent bool) *attempts {
 	evaluator := r.evaluators.of(document)
 	evaluator.Request(request.GetOrganisation())
@@ -98,13 +101,13 @@
 	}
 }
 
-// again decides whether a request that failed on a server may be tried on
-// another one, and waits for its turn.
+// again reports whether a request that failed on a server may be retried. It
+// waits for the backoff first and returns false if ctx ends during the wait.
 func (a *attempts) again(ctx context.Context, server string, err error) bool {
 	a.mayHaveRun = a.mayHaveRun || !ranNothing(err)
 	evidence := retryEvidence(err)
 	if len(a.exclude)+1 < a.servers {
-		evidence.RetryAfter = 0 // that server's own time; there are others
+		evidence.RetryAfter = 0 // applies to that server only; others are left
 	}
 	decision := a.evaluator.Decide(evidence, a.subject, &a.state)
 	if !decision.Retry {
@@ -112,17 +115,19 @@
 	}
 	a.exclude = append(a.exclude, server)
 	if len(a.exclude) >= a.servers {
-		a.exclude = nil // all have failed once: any may be tried again
+		a.exclude = nil // all servers failed once: any may be retried
 	}
 	return sleep.For(ctx, decision.After) == nil
 }
 
-// acquire asks routing for a server that has not failed this request, and for
-// any where there is no other. A request that crashes servers gets none.
+// acquire requests a grant for a server on which this request has not failed.
+// If there is none, it requests a grant for any server. A quarantined request
+// is refused.
 //
-// Guards against a refusal too early: all servers but one are leaving, and that
-// one refuses a burst for the moment. It shows as "no backend server" within
-// milliseconds although the request could wait for seconds.
+// The second request guards against an early refusal: all servers but one are
+// leaving, and the remaining one refuses a burst for a short time. With that
+// server excluded, the request would be refused with "no backend server" within
+// milliseconds although it could wait for seconds.
 func (r *Relay) acquire(ctx context.Context, tries *attempts, request routing.Request) (routing.Grant, error) {
 	if refusal := tries.crashes.refusal(); refusal != nil {
 		return nil, refusal
@@ -136,14 +141,15 @@
 	return r.Scheduler.Acquire(ctx, request)
 }
 
-// refusal says what became of a request whose tries are used up.
+// refusal returns the refusal of a request that is not retried after err.
 func (a *attempts) refusal(err error) *contract.Refusal { return a.settle(lastRefusal(err)) }
 
-// settle turns the refusal of the last try into that of the request.
+// settle derives the refusal of the request from the refusal of its last
+// attempt.
 //
-// Guards against a false "not run": a reading is sent, its connection breaks
-// after the server has run it, and the next try finds no server. Nothing of
-// that last try ran, but something of the request may have.
+// Guards against a false "not run": the connection of the first attempt breaks
+// after the server ran the request, and the next attempt finds no server. The
+// last attempt did not run, but the request may have, so its outcome is unknown.
 func (a *attempts) settle(refusal *contract.Refusal) *contract.Refusal {
 	if !a.mayHaveRun || refusal.Outcome != contract.OutcomeNotRun {
 		return refusal
@@ -153,7 +159,7 @@
 	return &settled
 }
 
-// lastRefusal says what became of one try.
+// lastRefusal converts the error of one attempt to a refusal.
 func lastRefusal(err error) *contract.Refusal {
 	var call *backend.CallError
 	if !errors.As(err, &call) {
--- a/relay/call.go
+++ b/relay/call.go
@@ -16,7 +16,8 @@
 	"github.com/papayasail/papayasail/routing"
 )
 
-// droppedHeaders are hop-by-hop (RFC 9110, 7.6.1), or ours, and not passed on.
+// droppedHeaders are not forwarded: hop-by-hop headers (RFC 9110, 7.6.1) and
+// headers that the entry host consumes or sets itself.
 var droppedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Authorization", "Content-Length", HeaderKey, backend.HeaderRequestID, backend.HeaderNotRun,
@@ -35,7 +36,7 @@
 		w.Header()[name] = values
 	}
 	w.WriteHeader(answer.Status)
-	_, _ = w.Write(answer.Body) // the caller is gone if this fails
+	_, _ = w.Write(answer.Body) // fails only if the caller disconnected
 }
 
 func (r *Relay) call(w http.ResponseWriter, req *http.Request, service, path string) record.Answer {
@@ -85,7 +86,8 @@
 	return request
 }
 
-// fingerprintOf identifies what a request asks for; headers do not count.
+// fingerprintOf returns a hash of a request's organisation, service, method,
+// path and body. Headers are not part of it.
 func fingerprintOf(request *peerpb.ForwardRequest) record.Fingerprint {
 	hash := sha256.New()
 	for _, field := range []string{request.GetOrganisation(), request.GetService(), request.GetMethod(), request.GetPath()} {
@@ -96,7 +98,8 @@
 	return record.Fingerprint(hash.Sum(nil))
 }
 
-// tryCall runs a call on a backend server, on another one while that is safe.
+// tryCall runs a call on a backend server and retries it on other servers as
+// long as a retry is safe.
 func (r *Relay) tryCall(ctx context.Context, document *contract.Document, request *peerpb.ForwardRequest, idempotent bool) record.Answer {
 	ctx, stop := context.WithTimeout(ctx, document.Deadlines.Queue+document.Deadlines.Total)
 	defer stop()
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -13,15 +13,16 @@
 	"github.com/papayasail/papayasail/quarantine"
 )
 
-// crashes follows whether backend servers crash under one request.
+// crashes reports to the quarantine table whether backend servers crash while
+// they run one request.
 //
-// Failure: a request crashes each server that runs it. Tries of this host and
-// repeats of its caller take one server after the other.
+// Guards against a request that crashes every server that runs it: retries by
+// this host and by the caller would take down one server after another.
 type crashes struct {
-	table       *quarantine.Table // nil: nothing is followed
+	table       *quarantine.Table // nil: crashes are not tracked
 	backend     *backend.Client
 	fingerprint uint64
-	sent        quarantine.Mark // what was known when it was sent last
+	sent        quarantine.Mark // state of the table when the request was last sent
 }
 
 func (r *Relay) crashesOf(request *peerpb.ForwardRequest) *crashes {
@@ -29,8 +30,8 @@
 	return &crashes{table: r.Quarantine, backend: r.Backend, fingerprint: binary.BigEndian.Uint64(hash[:])}
 }
 
-// refusal is the answer while the request is quarantined, else nil. It is to be
-// asked before each send.
+// refusal returns a refusal if the request is quarantined, else nil. It must be
+// called before each send.
 func (c *crashes) refusal() *contract.Refusal {
 	if c.table == nil {
 		return nil
@@ -42,8 +43,8 @@
 	return nil
 }
 
-// broke takes in that the connection to a server broke before the end of the
-// answer; early says that nothing of the answer had come.
+// broke reports that the connection to a server broke before the end of the
+// response; early is set if no part of the response had arrived.
 func (c *crashes) broke(address string, early bool) {
 	if c.table == nil {
 		return
@@ -52,21 +53,22 @@
 	c.table.Broken(run, func(ctx context.Context) bool { return c.backend.Ended(ctx, address) })
 }
 
-// failed takes in that a send ended without an answer.
+// failed reports that a send ended without a response.
 func (c *crashes) failed(ctx context.Context, address string, err error) {
 	if evidenceOf(err) == backend.Broken && ctx.Err() == nil {
 		c.broke(address, true)
 	}
 }
 
-// completed takes in that the request ran to its end.
+// completed reports that the request ran to completion.
 func (c *crashes) completed() {
 	if c.table != nil {
 		c.table.Completed(c.fingerprint)
 	}
 }
 
-// ended takes in how the reading of a generation ended.
+// ended reports how a generation's stream ended: err is io.EOF after the last
+// chunk, any other error counts as a broken connection.
 func (c *crashes) ended(s *stream, err error) {
 	if errors.Is(err, io.EOF) {
 		c.completed()
--- a/relay/delivery.go
+++ b/relay/delivery.go
@@ -11,16 +11,17 @@
 	"github.com/papayasail/papayasail/contract"
 )
 
-const chunkBuffer = 64 // chunks read ahead of a slow caller
+const chunkBuffer = 64 // maximum number of chunks read ahead of a slow caller
 
-// next is a chunk or the error that ended a stream.
+// next is a chunk, or the error that ended a stream.
 type next struct {
 	chunk backend.CompletionChunk
 	err   error
 }
 
-// read reads a stream into a bounded buffer, so that a slow caller slows the
-// engine's connection and does not fill this host's memory.
+// read reads a stream into a bounded channel until an error or the end of ctx.
+// The bound passes the backpressure of a slow caller on to the engine's
+// connection, so that its chunks do not fill this host's memory.
 func (s *stream) read(ctx context.Context) <-chan next {
 	chunks := make(chan next, chunkBuffer)
 	go func() {
@@ -40,19 +41,19 @@
 	return chunks
 }
 
-// deliver writes a stream's tokens to the caller until its end. The stream's
-// connections live as long as ctx, which stop ends.
+// deliver writes a stream's tokens to the caller until the stream ends. The
+// stream's connections are bound to ctx; stop cancels ctx.
 func (r *Relay) deliver(ctx context.Context, stop context.CancelFunc, source *stream, out *eventWriter, started *running) *contract.Refusal {
 	if err := out.start(); err != nil {
 		stop()
 		source.Close()
 		return callerGone(err)
 	}
-	firstToken := source.firstToken() // before the reader owns the stream
+	firstToken := source.firstToken() // read before the reader goroutine owns the stream
 	chunks := source.read(ctx)
 	defer func() {
 		stop()
-		for range chunks { // the reader has ended when the channel is closed
+		for range chunks { // the reader goroutine closes the channel when it ends
 		}
 		source.Close()
 	}()
@@ -82,15 +83,15 @@
 	}
 }
 
-// errNoToken is the evidence of an engine that took a generation and then said
-// nothing: it may be frozen, and may run the generation when it wakes.
+// errNoToken is reported for an engine that accepted a generation and then sent
+// no token: it may be frozen, and may run the generation when it resumes.
 var errNoToken = &backend.CallError{Evidence: backend.Silent, Err: errors.New("no token within the deadline")}
 
 func callerGone(err error) *contract.Refusal {
 	return contract.Unknown(contract.ReasonCallerGone, 0, "the caller went away").WithCause(err)
 }
 
-// streamRefusal says why a stream ended early.
+// streamRefusal converts the error that ended a stream early to a refusal.
 func streamRefusal(err error) *contract.Refusal {
 	if refusal := asRefusal(err); refusal.Reason != contract.ReasonBackendFailed {
 		return refusal
@@ -98,7 +99,7 @@
 	return contract.Unknown(contract.ReasonBackendFailed, defaultRetryAfter, "the generation cannot be read from its backend server").WithCause(err)
 }
 
-// delivery is the state of one stream towards one caller.
+// delivery is the state of sending one stream to one caller.
 type delivery struct {
 	relay   *Relay
 	out     *eventWriter
@@ -108,7 +109,7 @@
 	pace    pace     // when started is nil
 }
 
-// take writes one item and whatever else is ready, in one flush.
+// take writes one item and all further items that are ready, in one flush.
 func (d *delivery) take(item next, chunks <-chan next) (done bool, refusal *contract.Refusal) {
 	for ready := true; ready && !done; {
 		if done, refusal = d.add(item); !done {
@@ -121,7 +122,7 @@
 	return done || refusal != nil, refusal
 }
 
-// poll returns the next item if it is there already.
+// poll returns the next item if one is ready, without waiting.
 func poll(chunks <-chan next) (next, bool) {
 	select {
 	case item, ok := <-chunks:
@@ -131,7 +132,8 @@
 	}
 }
 
-// add puts one chunk into the buffer.
+// add encodes one chunk as an event into the write buffer. done is set when the
+// stream has ended.
 func (d *delivery) add(item next) (done bool, refusal *contract.Refusal) {
 	if item.err == io.EOF {
 		return true, nil
@@ -143,7 +145,7 @@
 		return false, nil
 	}
 	d.relay.Metrics.token(d.service, d.observe(item.chunk))
-	// Encoding cannot fail: a TokenEvent is strings and numbers.
+	// Encoding cannot fail: a TokenEvent has only strings and numbers.
 	if reason := finishReason(item.chunk); reason != "" {
 		total := item.chunk.Index
 		if item.chunk.Usage != nil {
@@ -157,7 +159,8 @@
 	return false, nil
 }
 
-// observe returns the gap in front of a chunk, and tells routing of it.
+// observe returns the time since the previous chunk. For a generation that this
+// host started it also reports the progress to routing.
 func (d *delivery) observe(chunk backend.CompletionChunk) time.Duration {
 	if d.started != nil {
 		return d.started.take(chunk)
--- a/relay/eventid.go
+++ b/relay/eventid.go
@@ -1,5 +1,6 @@
-// Package relay carries requests from callers to backend servers and answers
-// back: token streams that can be taken up at any entry host, and exact calls.
+// Package relay forwards requests from callers to backend servers and returns
+// the responses: token streams that can be resumed at any entry host, and exact
+// calls with one complete response.
 package relay
 
 import (
@@ -14,7 +15,7 @@
 
 const (
 	eventIDVersion  = "1"
-	eventIDFields   = 4 // version, place, offset, code
+	eventIDFields   = 4 // version, location, offset, MAC
 	placeFields     = 4 // organisation, service, server, generation
 	codeBytes       = 16
 	maxEventIDBytes = 1024
@@ -25,7 +26,8 @@
 // ErrEventID means that an event id is malformed or not authentic.
 var ErrEventID = errors.New("relay: event id is malformed or not authentic")
 
-// Place says where a generation runs and whose it is.
+// Place identifies a generation, its organisation, and the backend server that
+// runs it.
 type Place struct {
 	Organisation string
 	Service      string
@@ -34,24 +36,24 @@
 }
 
 // EventID is a position in a stream: Next is the offset of the first token
-// that the holder has not received. Any entry host can take up the stream
-// from it without shared state, because the id names the generation itself.
+// that the caller has not received. Any entry host can resume the stream from
+// it without shared state, because the id includes the generation's location.
 type EventID struct {
 	Place
 	Next int
 }
 
-// Signer makes and checks event ids, by an HMAC-SHA256 under keys that all
-// entry hosts have in their settings. The first key signs, all verify, so
-// that a key can be replaced host by host.
+// Signer creates and verifies event ids with an HMAC-SHA256. All entry hosts
+// have the keys in their settings. The first key signs and all keys verify, so
+// that a key can be replaced on one host after another.
 type Signer struct {
 	keys [][]byte
 }
 
-// NewSigner returns a signer; there must be at least one key.
+// NewSigner returns a signer with the given keys; at least one is required.
 func NewSigner(keys ...[]byte) *Signer { return &Signer{keys: keys} }
 
-// PlaceSigner makes the event ids of one stream.
+// PlaceSigner creates the event ids of one stream.
 type PlaceSigner struct {
 	key    []byte
 	prefix string
@@ -64,7 +66,8 @@
 	return &PlaceSigner{key: s.keys[0], prefix: prefix}
 }
 
-// At returns the event id behind which the token at offset next follows.
+// At returns the event id from which the stream resumes with the token at
+// offset next.
 func (p *PlaceSigner) At(next int) string {
 	signed := p.prefix + strconv.FormatInt(int64(next), offsetBase)
 	return signed + "." + code(p.key, signed)
@@ -76,7 +79,8 @@
 	return base64.RawURLEncoding.EncodeToString(mac.Sum(nil)[:codeBytes])
 }
 
-// Parse reads and checks an event id.
+// Parse decodes and verifies an event id. It returns ErrEventID if the id is
+// malformed or not authentic.
 func (s *Signer) Parse(id string) (EventID, error) {
 	if len(id) > maxEventIDBytes {
 		return EventID{}, ErrEventID
--- a/relay/eventid_test.go
+++ b/relay/eventid_test.go
@@ -9,9 +9,8 @@
 
 var testPlace = Place{Organisation: "dsi", Service: "outlook", Server: "10.0.1.1:8000", Generation: "g"}
 
-// A caller changes one character of an event id, or makes one up. Taking the
-// stream up from it would show another organisation's narrative, or skip
-// tokens, so whatever this fleet did not sign must be refused.
+// Guards against a changed or forged event id: to resume from it would reveal
+// another organisation's generation or skip tokens.
 func FuzzParseEventID(f *testing.F) {
 	signer := NewSigner([]byte("key"), []byte("old key"))
 	valid := signer.Place(testPlace).At(7)
@@ -34,7 +33,7 @@
 	is := is.New(t)
 	for _, next := range []int{0, 1, 35, 36, 1 << 20} {
 		id, err := NewSigner([]byte("new"), []byte("key")).Parse(NewSigner([]byte("key")).Place(testPlace).At(next))
-		is.NoErr(err) // signed by a host that has not the new key yet
+		is.NoErr(err) // signed by a host that does not have the new key yet
 		is.Equal(id, EventID{Place: testPlace, Next: next})
 	}
 }
--- a/relay/events.go
+++ b/relay/events.go
@@ -13,13 +13,13 @@
 // Names of the server-sent events of a generation.
 const (
 	EventToken = "token" // data: TokenEvent
-	EventEnd   = "end"   // data: TokenEvent with finish reason and count
-	EventError = "error" // data: Problem; no end follows
+	EventEnd   = "end"   // data: TokenEvent with finish reason and token count
+	EventError = "error" // data: Problem; no end event follows
 )
 
 // TokenEvent is the data of a token or end event.
 type TokenEvent struct {
-	Index        int    `json:"index"` // offset of the token; in the end event the token count
+	Index        int    `json:"index"` // offset of the token; token count in the end event
 	Text         string `json:"text"`
 	FinishReason string `json:"finish_reason,omitempty"`
 	Tokens       int    `json:"tokens,omitempty"`
@@ -28,9 +28,9 @@
 // eventWriter writes server-sent events to a caller.
 //
 // Guards against a caller that stops reading: without a deadline the write
-// blocks for good and the stream's buffers and the engine's memory stay
-// taken. Each flush has to finish within timeout, so the stream ends instead;
-// the caller can take it up again by its last event id.
+// blocks forever, and the stream's buffers and the engine's memory are never
+// freed. Each flush must finish within timeout, otherwise the stream ends; the
+// caller can resume it with its last event id.
 type eventWriter struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
@@ -43,7 +43,7 @@
 	return &eventWriter{w: w, control: http.NewResponseController(w), timeout: timeout}
 }
 
-// start sends the response header.
+// start sends the response header; it has no effect after the first call.
 func (e *eventWriter) start() error {
 	if e.started {
 		return nil
@@ -73,15 +73,15 @@
 	return nil
 }
 
-// keepAlive sends a comment, by which the caller tells a quiet generation
-// from a dead connection.
+// keepAlive sends a comment, so that the caller can distinguish a generation
+// without new tokens from a dead connection.
 func (e *eventWriter) keepAlive() error {
 	e.buffer.WriteString(": keep-alive\n\n")
 	return e.flush()
 }
 
-// fail ends the stream with a problem: as the response itself if nothing was
-// sent yet, else as an error event.
+// fail ends the stream with a problem document: as the response itself if
+// nothing was sent yet, otherwise as an error event.
 func (e *eventWriter) fail(refusal *contract.Refusal) error {
 	if !e.started {
 		e.started = true
@@ -96,8 +96,8 @@
 }
 
 func (e *eventWriter) flush() error {
-	// Not every ResponseWriter has deadlines (test recorders do not); the
-	// server's own do.
+	// The error is ignored: the server's ResponseWriter supports deadlines, but
+	// others, such as test recorders, do not.
 	_ = e.control.SetWriteDeadline(time.Now().Add(e.timeout))
 	if _, err := e.w.Write(e.buffer.Bytes()); err != nil {
 		return err
--- a/relay/generate.go
+++ b/relay/generate.go
@@ -13,7 +13,7 @@
 type GenerateRequest struct {
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
-	// StopAfter is passed to stand-in engines; see docs/ENGINE.md.
+	// StopAfter is passed on to stand-in engines; see docs/ENGINE.md.
 	StopAfter int `json:"x_stop_after,omitempty"`
 }
 
@@ -23,7 +23,7 @@
 	refusal := r.generate(w, req, service, out)
 	r.Metrics.ended(service, refusal)
 	if refusal != nil {
-		_ = out.fail(refusal) // the caller is gone if this fails
+		_ = out.fail(refusal) // fails only if the caller disconnected
 	}
 }
 
@@ -36,7 +36,7 @@
 		return contract.NotRun(contract.ReasonBadRequest, 0, "not a model service").WithStatus(http.StatusBadRequest)
 	}
 	if last := req.Header.Get(HeaderLastEventID); last != "" {
-		if !r.Accepting() { // it would be cut off when the host ends
+		if !r.Accepting() { // the stream would be cut off when the host stops
 			return leaving()
 		}
 		return r.resume(req.Context(), organisation, document, last, out)
@@ -58,7 +58,8 @@
 	return r.generateIdempotent(req.Context(), document, generation(organisation, document, body), request, out)
 }
 
-// generation is a generation as it is passed between entry hosts.
+// generation returns a generation request in the form in which entry hosts
+// forward it.
 func generation(organisation string, document *contract.Document, body []byte) *peerpb.ForwardRequest {
 	return &peerpb.ForwardRequest{Organisation: organisation, Service: document.Service, Method: http.MethodPost, Body: body}
 }
@@ -77,7 +78,7 @@
 	return &request, nil
 }
 
-// resume takes up a generation behind the last event that the caller has.
+// resume delivers a generation from the event after the caller's last one.
 func (r *Relay) resume(ctx context.Context, organisation string, document *contract.Document, last string, out *eventWriter) *contract.Refusal {
 	id, err := r.Signer.Parse(last)
 	if err != nil || id.Organisation != organisation || id.Service != document.Service {
@@ -86,7 +87,8 @@
 	return r.attach(ctx, document, id, out)
 }
 
-// attach delivers a running or finished generation from an offset on.
+// attach delivers a running or finished generation, starting at the offset of
+// an event id.
 func (r *Relay) attach(ctx context.Context, document *contract.Document, id EventID, out *eventWriter) *contract.Refusal {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -97,8 +99,8 @@
 	return r.deliver(ctx, stop, source, out, nil)
 }
 
-// generateOnce runs a generation that is not idempotent at its home, and
-// delivers it from there: only the home starts it, any host can read it.
+// generateOnce runs a non-idempotent generation at the home of its idempotency
+// key and delivers it. Only the home may start it; any host can read it.
 func (r *Relay) generateOnce(req *http.Request, organisation string, document *contract.Document, body []byte, out *eventWriter) *contract.Refusal {
 	parsed, refusal := key(req)
 	if refusal != nil {
@@ -122,8 +124,8 @@
 	return r.attach(req.Context(), document, id, out)
 }
 
-// generateIdempotent starts a generation and delivers it. As long as no token
-// of it was delivered, it may be started again elsewhere.
+// generateIdempotent starts a generation and delivers it. It may start the
+// generation again on another server until a token has been delivered.
 func (r *Relay) generateIdempotent(ctx context.Context, document *contract.Document, sent *peerpb.ForwardRequest, request *GenerateRequest, out *eventWriter) *contract.Refusal {
 	tries := r.attempts(document, sent, true)
 	for {
@@ -137,8 +139,9 @@
 	}
 }
 
-// generateOn starts one generation, delivers it, and returns the server it
-// was on ("" if it was not started) and how many tokens were delivered.
+// generateOn starts a generation on one server and delivers it. It returns the
+// server's name ("" if the generation was not started) and the offset of the
+// next token, which is the number of tokens read.
 func (r *Relay) generateOn(ctx context.Context, organisation string, document *contract.Document, request *GenerateRequest, tries *attempts, out *eventWriter) (string, int, *contract.Refusal) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
--- a/relay/metrics.go
+++ b/relay/metrics.go
@@ -8,20 +8,21 @@
 	"github.com/papayasail/papayasail/contract"
 )
 
-// stallThreshold is the gap between tokens from which on it counts as a stall.
+// stallThreshold is the shortest gap between two tokens that counts as a stall.
 const stallThreshold = 500 * time.Millisecond
 
-// Metrics are the relay's counters.
+// Metrics are the relay's metrics.
 type Metrics struct {
-	requests *prometheus.CounterVec // by service, outcome and reason
-	tokens   *prometheus.CounterVec // delivered, by service
-	stalls   *prometheus.CounterVec // gaps of stallThreshold and more, by service
-	stalled  *prometheus.CounterVec // seconds beyond stallThreshold, by service
-	retries  *prometheus.CounterVec // by service
-	gaps     *prometheus.HistogramVec
+	requests *prometheus.CounterVec   // by service, outcome and reason
+	tokens   *prometheus.CounterVec   // delivered, by service
+	stalls   *prometheus.CounterVec   // gaps of stallThreshold and more, by service
+	stalled  *prometheus.CounterVec   // seconds beyond stallThreshold, by service
+	retries  *prometheus.CounterVec   // by service
+	gaps     *prometheus.HistogramVec // gaps between tokens in seconds, by service
 }
 
-// NewMetrics registers the relay's counters.
+// NewMetrics creates the relay's metrics and registers them. It panics if they
+// are registered already.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
 		c := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "papayasail", Name: name, Help: help}, labels)
@@ -32,10 +33,10 @@
 		requests: counter("requests_total", "Requests by service, outcome and reason.", "service", "outcome", "reason"),
 		tokens:   counter("tokens_total", "Tokens delivered to callers.", "service"),
 		stalls:   counter("stalls_total", "Gaps between tokens of 0.5 s and more.", "service"),
-		stalled:  counter("stall_seconds_total", "Time that streams stood still beyond 0.5 s a gap.", "service"),
-		retries:  counter("retries_total", "Requests tried again on another backend server.", "service"),
+		stalled:  counter("stall_seconds_total", "Time in gaps between tokens beyond the first 0.5 s of each gap.", "service"),
+		retries:  counter("retries_total", "Retries of requests to backend servers.", "service"),
 		gaps: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Namespace: "papayasail", Name: "token_gap_seconds", Help: "Gap between tokens as delivered.",
+			Namespace: "papayasail", Name: "token_gap_seconds", Help: "Gap between tokens as delivered to callers.",
 			Buckets: []float64{.005, .01, .02, .035, .05, .069, .1, .2, .5, 1, 2, 5, 10},
 		}, []string{"service"}),
 	}
@@ -43,8 +44,8 @@
 	return m
 }
 
-// ended counts a request. Requests for services that do not exist share one
-// label, or callers could make labels without bound.
+// ended counts a finished request. Requests for unknown services share an empty
+// service label; otherwise callers could create an unbounded number of labels.
 func (m *Metrics) ended(service string, refusal *contract.Refusal) {
 	if refusal == nil {
 		m.requests.WithLabelValues(service, string(contract.OutcomeDone), "").Inc()
--- a/relay/once.go
+++ b/relay/once.go
@@ -9,16 +9,17 @@
 	"github.com/papayasail/papayasail/record"
 )
 
-// RunOnce runs a non-idempotent request at its home, which is here, and
-// returns what became of it. Repeats of the key get the same answer.
+// RunOnce runs a non-idempotent request at its home, which must be this host,
+// and returns the recorded answer. Repeats with the same key get the same
+// answer.
 func (r *Relay) RunOnce(ctx context.Context, key record.Key, request *peerpb.ForwardRequest) record.Answer {
 	entry, first, refusal := r.Ledger.Begin(request.GetOrganisation(), key, fingerprintOf(request))
 	if refusal != nil {
 		return record.Answer{Refusal: refusal}
 	}
 	if first {
-		// The run outlives the connection that asked for it: it must end in a
-		// record, whoever is still waiting.
+		// The run is independent of the caller's connection: its outcome must be
+		// recorded even if nobody waits for it.
 		go r.runAndRecord(context.WithoutCancel(ctx), entry, request)
 	}
 	answer, err := entry.Wait(ctx)
@@ -40,9 +41,9 @@
 	}
 }
 
-// recorded is an answer as repeats of its key will hear it. An outcome that
-// is unknown stays so: to come back with the same key is of no use, and a
-// caller that was told when to would do it for nothing.
+// recorded returns an answer in the form in which it is stored for repeats of
+// its key. A stored unknown outcome does not change later, so it has no
+// retry-after: a retry with the same key would be in vain.
 func recorded(answer record.Answer) record.Answer {
 	if answer.Refusal != nil && answer.Refusal.Outcome == contract.OutcomeUnknown {
 		final := *answer.Refusal
@@ -52,8 +53,8 @@
 	return answer
 }
 
-// runGeneration starts a generation, records where it runs, and reads it to
-// its end on behalf of routing, whoever else reads it.
+// runGeneration starts a generation, records its location, and reads it to its
+// end to report the progress to routing, independently of other readers.
 func (r *Relay) runGeneration(ctx context.Context, entry *record.Entry, document *contract.Document, request *peerpb.ForwardRequest) {
 	parsed, refusal := parseGenerate(request.GetBody(), document)
 	if refusal != nil {
--- a/relay/problem.go
+++ b/relay/problem.go
@@ -12,7 +12,7 @@
 
 // Problem is the RFC 9457 problem document of a refusal.
 type Problem struct {
-	Name         string `json:"name"` // error class of the interface's design
+	Name         string `json:"name"` // error class defined by the API design
 	Type         string `json:"type"`
 	Title        string `json:"title"`
 	Status       int    `json:"status"`
@@ -24,7 +24,8 @@
 
 const problemTypePrefix = "urn:papayasail:"
 
-// ProblemOf renders a refusal. Its cause stays in the logs.
+// ProblemOf converts a refusal to a problem document. The refusal's cause is
+// left out; it appears in logs only.
 func ProblemOf(r *contract.Refusal) Problem {
 	return Problem{
 		Name: nameOf(r), Type: problemTypePrefix + string(r.Reason), Title: string(r.Reason), Status: r.Status, Detail: r.Detail,
@@ -32,7 +33,7 @@
 	}
 }
 
-// Error classes of the callers' interface.
+// Error classes of the caller API.
 const (
 	nameRefused      = "refused"
 	nameUnauthorized = "unauthorized"
@@ -45,8 +46,8 @@
 	return nameRefused
 }
 
-// WriteRefusal answers a request with a problem document, and when to come
-// back as Retry-After in whole seconds, rounded up.
+// WriteRefusal writes a refusal as a problem document. Retry-After is set to
+// whole seconds, rounded up, if the refusal has a retry time.
 func WriteRefusal(w http.ResponseWriter, refusal *contract.Refusal) {
 	header := w.Header()
 	header.Set("Content-Type", backend.ProblemJSON)
@@ -57,5 +58,5 @@
 		header.Set("WWW-Authenticate", "Bearer")
 	}
 	w.WriteHeader(refusal.Status)
-	_ = json.NewEncoder(w).Encode(ProblemOf(refusal)) // the caller is gone if this fails
+	_ = json.NewEncoder(w).Encode(ProblemOf(refusal)) // fails only if the caller disconnected
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -32,26 +32,27 @@
 	DefaultStallLimit   = 60 * time.Second
 )
 
-// Configuration gives the service documents in force.
+// Configuration returns the service documents in force and the version of the
+// configuration (0: none received yet).
 type Configuration interface {
 	Document(service string) (*contract.Document, store.Version, bool)
 	Version() store.Version
 }
 
-// Organisations knows callers by their bearer tokens.
+// Organisations authenticates callers by their bearer tokens.
 type Organisations interface {
-	// Authenticate returns the organisation that a token belongs to ("" if
-	// none) and whether it may use a service.
+	// Authenticate returns the organisation of a token ("" if there is none)
+	// and whether that organisation may use a service.
 	Authenticate(token, service string) (organisation string, allowed bool)
 }
 
-// Homes runs a non-idempotent request at its home, here or at another entry
-// host, and returns what became of it.
+// Homes runs a non-idempotent request at its home, which is this or another
+// entry host, and returns the answer.
 type Homes interface {
 	Run(ctx context.Context, key record.Key, request *peerpb.ForwardRequest) record.Answer
 }
 
-// Options of a Relay. Zero values mean the defaults.
+// Options configure a Relay. Zero values select the defaults.
 type Options struct {
 	Configuration Configuration
 	Scheduler     routing.Scheduler
@@ -63,35 +64,36 @@
 	Metrics       *Metrics
 	MaxBodyBytes  int64         // of a caller's request
 	WriteTimeout  time.Duration // for one write to a caller
-	KeepAlive     time.Duration // silence after which a stream gets a comment
-	StallLimit    time.Duration // silence of a generation after which it is given up
-	// Accepting reports whether this entry host takes new work; a stopping
-	// one does not.
+	KeepAlive     time.Duration // interval of keep-alive comments in a stream
+	StallLimit    time.Duration // time without a chunk after which a generation is abandoned
+	// Accepting reports whether this entry host accepts new work; a stopping
+	// host does not.
 	Accepting func() bool
-	// Closing reports whether this entry host has handed over its records: it
-	// cannot even tell any more what became of a request.
+	// Closing reports whether this entry host has handed over its records. It
+	// can then no longer determine the outcome of an earlier request.
 	Closing func() bool
-	// OnLoad is told of load reports that came with a stream.
+	// OnLoad is called with each load report received in a stream.
 	OnLoad func(address string, report backend.LoadReport)
-	// OnBackend is told how each exchange with a backend server went; err is
+	// OnBackend is called after each exchange with a backend server; err is
 	// nil after a success.
 	OnBackend func(address string, err error)
-	// Starting reports whether this entry host has not had all of the
-	// configuration yet.
+	// Starting reports whether this entry host has not yet received the
+	// complete configuration.
 	//
-	// Guards against a host that answers while it still pulls: a token or
-	// service that it does not know yet would be refused for good (401, 404).
+	// Guards against wrong permanent refusals (401, 404) while the host still
+	// pulls its configuration: a valid token or service may be missing from it.
 	Starting func() bool
 }
 
-// Relay serves the two data routes of the caller API.
+// Relay serves the two data routes of the caller API: generations and exact
+// calls.
 type Relay struct {
 	Options
 	homes      Homes
 	evaluators evaluators
 }
 
-// New returns a relay. SetHomes has to be called before it serves.
+// New returns a relay. SetHomes must be called before it serves requests.
 func New(options Options) *Relay {
 	if options.MaxBodyBytes <= 0 {
 		options.MaxBodyBytes = DefaultMaxBodyBytes
@@ -123,10 +125,11 @@
 	return &Relay{Options: options}
 }
 
-// SetHomes says who runs non-idempotent requests.
+// SetHomes sets the runner of non-idempotent requests.
 func (r *Relay) SetHomes(homes Homes) { r.homes = homes }
 
-// caller authenticates a request and finds its service's document.
+// caller authenticates a request and returns its organisation and the document
+// of its service.
 func (r *Relay) caller(req *http.Request, service string) (string, *contract.Document, *contract.Refusal) {
 	token := BearerToken(req)
 	name, allowed := r.Organisations.Authenticate(token, service)
@@ -138,8 +141,8 @@
 	}
 	document, refusal := r.document(service)
 	if refusal == nil && !allowed {
-		// The same answer as for a service that does not exist: an
-		// organisation learns nothing of services that are not its own.
+		// Same refusal as for a service that does not exist: an organisation
+		// must not learn of services that it may not use.
 		return "", nil, unknownService()
 	}
 	if refusal != nil {
@@ -148,12 +151,13 @@
 	return name, document, refusal
 }
 
-// withoutDocument refuses a request for a service that this host does not
-// know (yet, or any more).
+// withoutDocument returns the refusal of a request whose service document is
+// not available on this host, because it has not arrived yet or was removed.
 //
-// Guards against a false "not run": a desk repeats a letter at a host that has
-// just started and has no configuration. This send did not run, but the letter
-// may have, at its home. Only the home, where there is no record, can tell.
+// Guards against a false "not run": a caller repeats a request at a host that
+// has just started and has no configuration. This attempt did not run, but an
+// earlier one may have run at the key's home. The outcome stays "not run" only if
+// this host is the home and can rule out an earlier run.
 func (r *Relay) withoutDocument(req *http.Request, organisation string, refusal *contract.Refusal) *contract.Refusal {
 	if req.Header.Get(HeaderKey) == "" {
 		return refusal
@@ -198,18 +202,18 @@
 	return strings.TrimSpace(token)
 }
 
-// leaving refuses new work at a stopping host.
+// leaving returns the refusal of new work by a stopping host.
 func leaving() *contract.Refusal {
 	return contract.NotRun(contract.ReasonHostLeaving, time.Second, "the entry host is stopping; ask for addresses")
 }
 
-// closing answers requests that may have run before, at a host that has
-// handed over its records.
+// closing returns the refusal by a host that has handed over its records. The
+// outcome is unknown because the request may have run earlier.
 func closing() *contract.Refusal {
 	return contract.Unknown(contract.ReasonHostLeaving, time.Second, "the entry host is stopping; repeat with the same key at another address")
 }
 
-// readBody reads a request's body up to the bound.
+// readBody reads a request's body of at most MaxBodyBytes.
 func (r *Relay) readBody(w http.ResponseWriter, req *http.Request) ([]byte, *contract.Refusal) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, r.MaxBodyBytes))
 	if err == nil {
@@ -222,7 +226,7 @@
 	return nil, contract.NotRun(contract.ReasonBadRequest, 0, "the body could not be read").WithStatus(http.StatusBadRequest).WithCause(err)
 }
 
-// key reads the key of a request that may run at most once.
+// key parses the idempotency key of a request that may run at most once.
 func key(req *http.Request) (record.Key, *contract.Refusal) {
 	value := req.Header.Get(HeaderKey)
 	if value == "" {
@@ -236,7 +240,8 @@
 	return parsed, nil
 }
 
-// asRefusal turns any error into the refusal that ends a request.
+// asRefusal returns the refusal in err's chain. Any other error becomes a
+// refusal with an unknown outcome.
 func asRefusal(err error) *contract.Refusal {
 	var refusal *contract.Refusal
 	if errors.As(err, &refusal) {
--- a/relay/relay_bench_test.go
+++ b/relay/relay_bench_test.go
@@ -21,11 +21,9 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// BenchmarkRelayToken measures the relay's cost of one token over loopback
-// TCP. The engine writes burst tokens a flush: 1 is one token a flush in both
-// directions, as with engines at their usual pace; 32 shows what batching
-// saves. With streams above 1 so many callers share the tokens. The figure
-// includes the engine's and the caller's side.
+// BenchmarkRelayToken measures the cost of one token over loopback TCP,
+// including the engine's and the caller's side; b.N is split over the streams.
+// The engine writes burst tokens per flush: 1 as at its usual pace, 32 batched.
 func BenchmarkRelayToken(b *testing.B) {
 	for _, c := range []struct{ streams, burst int }{{1, 1}, {1, 32}, {300, 1}} {
 		b.Run(fmt.Sprintf("streams=%d/burst=%d", c.streams, c.burst), func(b *testing.B) {
@@ -45,7 +43,8 @@
 	}
 }
 
-// readTokens generates and reads a stream of so many tokens.
+// readTokens starts a generation and reads its stream, which must have want
+// tokens.
 func readTokens(url string, want int) error {
 	response, err := http.Post(url, "application/json", strings.NewReader(`{"prompt":"x"}`))
 	if err != nil {
@@ -59,7 +58,7 @@
 		}
 	}
 	if tokens != want {
-		return fmt.Errorf("%d tokens of %d", tokens, want)
+		return fmt.Errorf("got %d tokens, want %d", tokens, want)
 	}
 	return nil
 }
@@ -70,12 +69,13 @@
 		b.Fatal(err)
 	}
 	server := &http.Server{Handler: handler}
-	go func() { _ = server.Serve(listener) }() // ends with Close
+	go func() { _ = server.Serve(listener) }() // returns after Close
 	b.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String()
 }
 
-// engineWriting answers any generation with n tokens as fast as it can.
+// engineWriting returns a handler that answers any generation with n tokens
+// without pause, flushing after each burst.
 func engineWriting(n, burst int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", backend.ContentTypeSSE)
--- a/relay/running.go
+++ b/relay/running.go
@@ -13,19 +13,19 @@
 
 const (
 	cancelTimeout = 2 * time.Second
-	finishStop    = "stop" // finish reason of a generation that ended by itself
+	finishStop    = "stop" // finish reason of a generation that completed
 )
 
-// running is a generation that this host started, with what routing granted.
+// running is a generation that this host started, with its grant from routing.
 type running struct {
 	stream    *stream
 	grant     routing.Grant
-	whole     bool // it ended by itself
-	preempted int
+	whole     bool // it ended with finishStop
+	preempted int  // highest count of preemptions reported by the engine
 	pace      pace
 }
 
-// take tells routing of a chunk and returns the gap since the one before.
+// take reports a chunk to routing and returns the time since the previous one.
 func (g *running) take(chunk backend.CompletionChunk) time.Duration {
 	g.preempted = max(g.preempted, chunk.Preempted)
 	if reason := finishReason(chunk); reason != "" {
@@ -44,12 +44,12 @@
 	})
 }
 
-// pace measures the gaps between tokens.
+// pace measures the time between tokens.
 type pace struct {
 	last time.Time
 }
 
-// gap returns the time since the last call, zero for the first.
+// gap returns the time since the previous call, zero on the first call.
 func (p *pace) gap() time.Duration {
 	now := time.Now()
 	defer func() { p.last = now }()
@@ -59,8 +59,9 @@
 	return now.Sub(p.last)
 }
 
-// start places a generation and starts it on an engine, elsewhere again while
-// that is safe. Errors are refusals.
+// start acquires a backend server for a generation and starts it there. It
+// retries on other servers as long as that is safe. The returned error is a
+// *contract.Refusal.
 func (r *Relay) start(ctx context.Context, organisation string, document *contract.Document, request *GenerateRequest, tries *attempts) (*running, error) {
 	limit := document.LimitOf(organisation)
 	for {
@@ -87,7 +88,7 @@
 		grant.Done(routing.Result{Failed: true, NotRun: ranNothing(err)})
 		tries.crashes.failed(ctx, place.Server, err)
 		if !ranNothing(err) {
-			r.cancel(place) // it may be running unread
+			r.cancel(place) // the generation may run without a reader
 		}
 		if !tries.again(ctx, grant.Server(), err) {
 			return nil, tries.refusal(err)
@@ -96,11 +97,12 @@
 	}
 }
 
-// cancel frees an engine's memory from a generation that nobody will read.
+// cancel asks the engine, in the background, to cancel a generation that nobody
+// will read, so that its memory is freed.
 func (r *Relay) cancel(place Place) {
 	go func() {
 		ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 		defer stop()
-		_ = r.Backend.Cancel(ctx, place.Server, place.Generation) // the engine's grace ends it otherwise
+		_ = r.Backend.Cancel(ctx, place.Server, place.Generation) // on failure the engine's grace period ends the generation
 	}()
 }
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -11,45 +11,44 @@
 )
 
 const (
-	// maxReconnects bounds the connections tried in a row without a token.
+	// maxReconnects bounds the consecutive reconnections without a token.
 	maxReconnects    = 4
-	firstReconnect   = 50 * time.Millisecond
-	reconnectDoubles = 3
+	firstReconnect   = 50 * time.Millisecond // delay before the first reconnection
+	reconnectDoubles = 3                     // how often the delay doubles at most
 )
 
-// stream reads one generation from its backend server, over as many
-// connections as it takes.
+// stream reads one generation from its backend server and reconnects as needed.
 //
-// Guards against a link that went silent or broke while the engine goes on:
-// the generation is read again from the next offset over a fresh connection,
-// before the server behind it is blamed. It never starts another generation,
-// so tokens of two generations cannot be mixed.
+// Guards against a connection that stalls or breaks while the engine continues:
+// the generation is resumed from the next offset over a new connection before
+// the server is considered failed. A stream never starts another generation, so
+// tokens of two generations cannot be mixed.
 type stream struct {
 	backend *backend.Client
 	place   Place
-	next    int // offset of the next token
-	current *backend.Stream
-	failed  int           // connections in a row that failed
-	heard   time.Time     // when a chunk last arrived
-	limit   time.Duration // silence after which the generation is given up
-	gap     time.Duration // silence after which the connection is suspect
-	first   time.Duration // how long a stream from offset 0 may take to its first token
-	ended   bool          // the chunk with the finish reason was returned
+	next    int             // offset of the next token
+	current *backend.Stream // nil while not connected
+	failed  int             // consecutive failed connections
+	heard   time.Time       // when the last chunk arrived, initially the creation time
+	limit   time.Duration   // time without a chunk after which the generation is abandoned
+	gap     time.Duration   // time without an event or comment after which the connection is abandoned
+	first   time.Duration   // limit for the first token of a stream from offset 0
+	ended   bool            // the chunk with the finish reason has been returned
 	onLoad  func(address string, report backend.LoadReport)
 }
 
-// newStream returns a stream of a generation from an offset on, which is not
-// connected yet.
+// newStream returns an unconnected stream of a generation that starts at an
+// offset.
 func (r *Relay) newStream(document *contract.Document, place Place, next int) *stream {
 	return &stream{backend: r.Backend, place: place, next: next, heard: time.Now(), limit: r.StallLimit, gap: document.Deadlines.Gap, first: document.Deadlines.FirstToken, onLoad: r.OnLoad}
 }
 
-// firstToken fires when the first token is overdue. A stream that is taken up
-// later has no such bound (nil).
+// firstToken returns a channel that fires when the first token is overdue. It
+// is nil for a stream resumed at a later offset, which has no such limit.
 //
-// Guards against an engine that froze before the first token: it accepts
-// connections, so only silence shows it, and a narrative that could run
-// elsewhere would wait for the longest stall allowed.
+// Guards against an engine that froze before the first token: it still accepts
+// connections, so only the missing token reveals the fault. Without this limit,
+// a generation that could run on another server would wait for StallLimit.
 func (s *stream) firstToken() <-chan time.Time {
 	if s.next > 0 || s.first <= 0 {
 		return nil
@@ -57,7 +56,7 @@
 	return time.After(s.first)
 }
 
-// Next returns the next chunk. io.EOF follows the last one.
+// Next returns the next chunk, and io.EOF after the last one.
 func (s *stream) Next(ctx context.Context) (backend.CompletionChunk, error) {
 	for !s.ended {
 		if err := s.connect(ctx); err != nil {
@@ -75,7 +74,7 @@
 	return backend.CompletionChunk{}, io.EOF
 }
 
-// take notes what a chunk says of the stream's progress.
+// take updates the stream's progress from a chunk and passes on its load report.
 func (s *stream) take(chunk backend.CompletionChunk) {
 	s.heard = time.Now()
 	s.failed = 0
@@ -87,12 +86,13 @@
 		return
 	}
 	s.ended = true
-	// Reads the marker that ends the answer, so that the connection can be
-	// used again. The generation is whole with or without it.
+	// Reads the end marker of the response, so that the connection can be
+	// reused. The generation is complete with or without it.
 	_, _ = s.current.Next()
 }
 
-// finishReason returns why a generation ended, or "" if more follows.
+// finishReason returns the reason why a generation ended, or "" if more chunks
+// follow.
 func finishReason(chunk backend.CompletionChunk) string {
 	if len(chunk.Choices) == 0 {
 		return ""
@@ -100,7 +100,8 @@
 	return chunk.Choices[0].FinishReason
 }
 
-// connect makes sure that there is a connection.
+// connect opens a connection at the next offset unless there is one. It retries
+// while reconnects allows it.
 func (s *stream) connect(ctx context.Context) error {
 	for s.current == nil {
 		current, err := s.backend.Resume(ctx, s.place.Server, s.place.Generation, s.next)
@@ -125,7 +126,8 @@
 	s.current = current
 }
 
-// reconnects decides whether another connection is worth a try.
+// reconnects closes the connection and reports whether to open another one. It
+// waits for the backoff before it returns true.
 func (s *stream) reconnects(ctx context.Context, err error) bool {
 	s.Close()
 	if ctx.Err() != nil {
@@ -139,8 +141,8 @@
 	if time.Since(s.heard) > s.limit {
 		return false
 	}
-	// A connection that was opened and then fell silent counts too, but the
-	// count starts anew with every token.
+	// A connection that opened and then stalled counts as failed too, but it does
+	// not end the stream here; every chunk resets the count.
 	if s.failed >= maxReconnects && evidenceOf(err) != backend.Silent {
 		return false
 	}
@@ -149,8 +151,9 @@
 	return sleep.For(ctx, wait) == nil
 }
 
-// Close closes the connection; the generation goes on at the engine until its
-// grace for unread generations has passed. Not while Next runs.
+// Close closes the connection. The generation continues at the engine until its
+// grace period for unread generations has passed. Close must not be called while
+// Next runs.
 func (s *stream) Close() {
 	if s.current != nil {
 		s.current.Close()
