--- a/record/handover.go
+++ b/record/handover.go
@@ -10,13 +10,14 @@
 	"github.com/papayasail/papayasail/peer/peerpb"
 )
 
-// pageBytes bounds one page of a hand-over, below the limit of a gRPC message.
+// pageBytes bounds one page of a hand-over. It is below the size limit of a gRPC
+// message.
 const pageBytes = 1 << 20
 
-// Pages returns what a stopping host hands over: for its own life and each
-// life that it had adopted, by Home.Life, the records in pages. Call it after
-// Close; what still runs is handed over as not finished, which the successor answers
-// with "unknown".
+// Pages returns the records that a stopping host hands over, in pages. The map
+// is keyed by Home.Life and has an element for the host's own incarnation and
+// for each adopted one. Call it after Close. Requests that still run are handed
+// over as not finished; the successor answers them with "unknown".
 func (l *Ledger) Pages() map[string][]*peerpb.HandOverRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,15 +65,16 @@
 	return record
 }
 
-// ErrClosed means that this ledger is itself being handed over.
+// ErrClosed means that the ledger is closed and hands over its own records.
 var ErrClosed = errors.New("record: ledger closed")
 
-// Adopt takes over a page of records of a stopped host. Keys of that life are
-// answered from then on, and never run here.
+// Adopt adds a page of records from a stopped host. From then on the ledger
+// answers for keys of that incarnation, but never runs them. It returns ErrKey
+// for a malformed home and ErrClosed if the ledger is closed.
 //
-// Guards against two hosts that stop at once: records taken in after this
-// host's own pages were made would end with it. A closed ledger refuses, and
-// the other host goes on to its next successor.
+// Guards against two hosts that stop at the same time: records adopted after
+// this host built its own pages would be lost when it ends. A closed ledger
+// refuses, and the other host tries its next successor.
 func (l *Ledger) Adopt(page *peerpb.HandOverRequest) error {
 	home, err := ParseHome(page.GetHome())
 	if err != nil {
@@ -96,13 +98,13 @@
 	return nil
 }
 
-// adoptRecord files one record. Callers hold mu.
+// adoptRecord adds one handed-over record. Callers hold mu.
 func (l *Ledger) adoptRecord(adopted *adoption, record *peerpb.Record) {
 	key, err := ParseKey(record.GetKey())
 	organisation, fingerprint, ok := splitFingerprint(record.GetFingerprint())
 	if err != nil || !ok || !key.Home.SameLife(adopted.home) {
-		// A record that cannot be read might be any key: from now on an unseen
-		// key of this life is "unknown" and not "not run".
+		// A record that cannot be decoded may belong to any key: from now on a key
+		// of this incarnation without a record is "unknown" and not "not run".
 		adopted.home.Epoch = ^uint64(0)
 		return
 	}
@@ -118,7 +120,7 @@
 		entry.bytes = entry.answer.size()
 	}
 	if old := l.entries[entry.id]; old != nil {
-		return // a page that was sent twice
+		return // the page was sent twice
 	}
 	l.entries[entry.id] = entry
 	l.bytes += entry.bytes
@@ -134,7 +136,8 @@
 	return string(raw[:cut]), fingerprint, true
 }
 
-// ToProto renders an answer for another entry host.
+// ToProto encodes an answer for another entry host. A refusal's cause is not
+// transmitted.
 func (a *Answer) ToProto() *peerpb.ForwardResponse {
 	if r := a.Refusal; r != nil {
 		return &peerpb.ForwardResponse{
@@ -149,7 +152,7 @@
 	return response
 }
 
-// AnswerFromProto reads what ToProto rendered.
+// AnswerFromProto decodes an answer that ToProto encoded.
 func AnswerFromProto(response *peerpb.ForwardResponse) Answer {
 	if response.GetOutcome() != "" {
 		return Answer{Refusal: &contract.Refusal{
--- a/record/home.go
+++ b/record/home.go
@@ -1,6 +1,6 @@
-// Package record keeps, in memory, what became of each non-idempotent request,
-// so that a request runs at most once however often it is sent and to
-// whichever entry host.
+// Package record keeps in memory the outcome of each non-idempotent request, so
+// that a request runs at most once, regardless of how often it is sent and to
+// which entry hosts.
 package record
 
 import (
@@ -17,33 +17,37 @@
 	base        = 36
 )
 
-// ErrKey means that a request key is malformed.
+// ErrKey means that an idempotency key or a home is malformed.
 var ErrKey = errors.New("record: malformed key, want HOME.UNIQUE with HOME from the addresses answer")
 
-// Home names the only place where a key may run: one life of one entry host,
-// during one epoch of that life. Epochs bound how long records are kept.
+// Home identifies the only process in which a key may run, one incarnation of an
+// entry host, and the epoch in which the key was issued. Epochs bound how long
+// records are kept.
 type Home struct {
 	Host        string
 	Incarnation uint64
 	Epoch       uint64
 }
 
-// String renders the home as HOST.INCARNATION.EPOCH, numbers in base 36.
+// String formats the home as HOST.INCARNATION.EPOCH, with numbers in base 36.
 func (h Home) String() string {
 	return h.Life() + "." + strconv.FormatUint(h.Epoch, base)
 }
 
-// Life renders the host and its incarnation, without the epoch.
+// Life formats the host and its incarnation as HOST.INCARNATION, without the
+// epoch.
 func (h Home) Life() string {
 	return h.Host + "." + strconv.FormatUint(h.Incarnation, base)
 }
 
-// SameLife reports whether two homes are of the same life of the same host.
+// SameLife reports whether two homes belong to the same incarnation of the same
+// host.
 func (h Home) SameLife(o Home) bool {
 	return h.Host == o.Host && h.Incarnation == o.Incarnation
 }
 
-// ParseHome reads a home as String renders it.
+// ParseHome parses a home in the format of String. It returns ErrKey if s is
+// malformed.
 func ParseHome(s string) (Home, error) {
 	parts := strings.Split(s, ".")
 	if len(parts) != homeFields || parts[0] == "" {
@@ -58,24 +62,25 @@
 		return Home{}, ErrKey
 	}
 	home := Home{Host: parts[0], Incarnation: incarnation, Epoch: epoch}
-	if home.String() != s { // one spelling only, or one key could have two records
+	if home.String() != s { // accepts one spelling only; otherwise one key could have two records
 		return Home{}, ErrKey
 	}
 	return home, nil
 }
 
-// Key names one request of a caller: the home that may run it, and a part
-// that the caller makes unique.
+// Key is an idempotency key. It identifies one request of a caller by the home
+// that may run it and a unique part chosen by the caller.
 type Key struct {
 	Home   Home
 	Unique string
 }
 
-// String renders the key as HOME.UNIQUE.
+// String formats the key as HOME.UNIQUE.
 func (k Key) String() string { return k.Home.String() + "." + k.Unique }
 
-// ParseKey reads the value of an Idempotency-Key header. The unique part is
-// 1 or more of A-Z a-z 0-9 - _.
+// ParseKey parses the value of an Idempotency-Key header of at most 200 bytes.
+// The unique part has one or more of A-Z a-z 0-9 - _. It returns ErrKey if s is
+// malformed.
 func ParseKey(s string) (Key, error) {
 	if len(s) > maxKeyBytes {
 		return Key{}, ErrKey
--- a/record/ledger.go
+++ b/record/ledger.go
@@ -8,7 +8,7 @@
 	"github.com/papayasail/papayasail/contract"
 )
 
-const entryOverheadBytes = 400 // map cell, entry and key, rounded up
+const entryOverheadBytes = 400 // map slot, entry and key, rounded up
 
 // Defaults of Options.
 const (
@@ -17,45 +17,46 @@
 	DefaultMaxBytes     = 16 << 20
 )
 
-// Fingerprint identifies the content of a request, so that a key that is
-// reused for another request is noticed.
+// Fingerprint identifies the content of a request. It serves to detect a key that
+// is reused for another request.
 type Fingerprint [32]byte
 
-// Options of a Ledger. Zero values mean the defaults.
+// Options configure a Ledger. Zero values select the defaults.
 type Options struct {
 	Host        string
 	Incarnation uint64
-	// Epoch is how long a home in an address answer stays current. A key may
-	// start a request during the epoch of its home and the one after.
+	// Epoch is the length of an epoch, during which a home returned with the
+	// addresses stays current. A key may start a request during the epoch of its
+	// home and the following one.
 	Epoch time.Duration
-	// RetainEpochs is how many epochs a record outlives the last moment at
-	// which its key could have started.
+	// RetainEpochs is the number of epochs for which a record is kept after the
+	// last moment at which its key could start a request.
 	RetainEpochs uint64
-	// MaxBytes bounds the memory of all records, MaxRecords their number
-	// (zero: by MaxBytes alone).
+	// MaxBytes bounds the memory of all records, in bytes. MaxRecords bounds
+	// their number; zero means that only MaxBytes applies.
 	MaxBytes   int
 	MaxRecords int
 }
 
-// Ledger holds the records of one life of one entry host, and those that
-// stopping hosts handed over to it.
+// Ledger holds the records of one incarnation of an entry host, and the records
+// that stopping hosts handed over to it. It is safe for concurrent use.
 //
-// Guards against the double run: a key runs only where its home is, that is
-// in this process's memory, and only while its record cannot have been
-// dropped. A key whose epoch has passed is never started, so dropping its
-// record afterwards cannot lead to a second run; the caller is told "unknown".
+// Guards against running a request twice: a key runs only in the process that is
+// its home, and only while its record cannot have been evicted. A key older than
+// the previous epoch is never started, so the eviction of its record cannot lead
+// to a second run; its outcome is then "unknown".
 type Ledger struct {
 	options Options
 	start   time.Time // monotonic
 
 	mu      sync.Mutex           // guards all below
 	entries map[recordKey]*Entry // own and adopted
-	lives   map[string]*adoption // by Home.Life, of hosts that handed over to us
+	lives   map[string]*adoption // hand-overs received from other hosts, by Home.Life
 	bytes   int                  // sum of Entry.bytes
-	closed  bool                 // set by Close: nothing new starts
+	closed  bool                 // set by Close: no new request starts
 	running int                  // entries begun and not finished
-	idle    chan struct{}        // closed when closed and running is zero
-	epochs  map[uint64][]*Entry  // own entries by epoch of their key, for eviction
+	idle    chan struct{}        // closed once closed is set and running is zero
+	epochs  map[uint64][]*Entry  // own entries by the epoch of their key, for eviction
 	oldest  uint64               // lowest epoch that may still be in epochs
 }
 
@@ -64,11 +65,11 @@
 	key          string
 }
 
-// adoption is what a stopped host handed over.
+// adoption is the hand-over of one incarnation of a stopped host.
 type adoption struct {
-	home     Home // epoch: the current one when the host closed its ledger
-	complete bool // the last page arrived
-	until    time.Time
+	home     Home      // its epoch was the current one when the host built the pages
+	complete bool      // the last page has arrived
+	until    time.Time // when the entries are evicted
 	entries  []*Entry
 }
 
@@ -79,7 +80,7 @@
 	key         Key
 	fingerprint Fingerprint
 	done        chan struct{} // closed once answer is set
-	answer      Answer        // read only after done
+	answer      Answer        // valid only after done is closed
 	bytes       int           // guarded by Ledger.mu
 }
 
@@ -106,26 +107,27 @@
 	}
 }
 
-// Home returns the current home, to be handed out with addresses.
+// Home returns this ledger's home in the current epoch. New keys use it.
 func (l *Ledger) Home() Home {
 	return Home{Host: l.options.Host, Incarnation: l.options.Incarnation, Epoch: l.epoch()}
 }
 
-// Epoch returns how long an epoch lasts.
+// Epoch returns the length of an epoch.
 func (l *Ledger) Epoch() time.Duration { return l.options.Epoch }
 
-// epoch returns the current epoch. It starts from the wall clock, so that
-// other entry hosts can tell it, and goes on by the monotonic clock: a clock
-// that is set back must not bring back an epoch whose records were dropped.
+// epoch returns the current epoch. It starts from the wall clock, so that other
+// entry hosts can compute it, and advances by the monotonic clock: a wall clock
+// that is set back must not return to an epoch whose records were evicted.
 func (l *Ledger) epoch() uint64 { return EpochAt(l.start.Add(time.Since(l.start)), l.options.Epoch) }
 
-// EpochAt returns the epoch at a moment, for hosts with a right clock.
+// EpochAt returns the number of the epoch at now for epochs of the given length.
+// It relies on a correct wall clock.
 func EpochAt(now time.Time, length time.Duration) uint64 {
 	return uint64(now.UnixNano() / int64(length))
 }
 
-// Holds reports whether this ledger answers for keys of the home: its own
-// life, or one that was handed over.
+// Holds reports whether this ledger answers for keys of the home: keys of its own
+// incarnation or of an adopted one.
 func (l *Ledger) Holds(home Home) bool {
 	if home.SameLife(l.Home()) {
 		return true
@@ -135,8 +137,9 @@
 	return l.lives[home.Life()] != nil
 }
 
-// NeverRan reports whether this ledger can tell that the request of a key did
-// not run: the key's home is here and no record of it can have been dropped.
+// NeverRan reports whether it is certain that the request of a key did not run:
+// this ledger answers for the key's home, has no record of the key, and cannot
+// have evicted one.
 func (l *Ledger) NeverRan(organisation string, key Key) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,9 +150,10 @@
 	return refusal == nil || refusal.Outcome == contract.OutcomeNotRun
 }
 
-// Begin looks up a key. It returns the entry and whether the caller has to
-// run the request and Finish the entry; otherwise the entry's answer is, or
-// will be, the answer. A refusal means that nothing was begun.
+// Begin looks up a key and creates an entry if there is none. It returns the
+// entry and whether it is new. The caller must run the request of a new entry and
+// call Finish; for an existing entry, Wait returns the answer. A refusal means
+// that no entry was created.
 func (l *Ledger) Begin(organisation string, key Key, fingerprint Fingerprint) (*Entry, bool, *contract.Refusal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -175,17 +179,18 @@
 	return entry, true, nil
 }
 
-// mayStart decides about a key without a record. Callers hold mu.
+// mayStart returns nil if a key without a record may start a request, else the
+// refusal. Callers hold mu.
 func (l *Ledger) mayStart(key Key) *contract.Refusal {
 	if !key.Home.SameLife(l.Home()) {
 		return l.unseenAdopted(key)
 	}
 	now := l.epoch()
 	switch {
-	case key.Home.Epoch > now+1: // one ahead may come from a host whose clock is ahead
+	case key.Home.Epoch > now+1: // the next epoch may come from a host whose clock is ahead
 		return contract.NotRun(contract.ReasonKeyInvalid, 0, "the key's home was never handed out").WithStatus(400)
 	case key.Home.Epoch+1 < now:
-		// The record of this key may have been dropped, so it may have run.
+		// The record of this key may have been evicted, so it may have run.
 		return contract.Unknown(contract.ReasonHomeGone, 0, "the key is too old to tell whether it ran").WithStatus(410)
 	case l.closed:
 		return contract.NotRun(contract.ReasonHostLeaving, time.Second, "the entry host is stopping; ask for addresses and use a new key")
@@ -193,15 +198,16 @@
 	return nil
 }
 
-// unseenAdopted decides about a key of another life that has no record here.
-// Callers hold mu.
+// unseenAdopted returns the refusal of a key of another incarnation that has no
+// record here. Callers hold mu.
 func (l *Ledger) unseenAdopted(key Key) *contract.Refusal {
 	adopted := l.lives[key.Home.Life()]
 	if adopted == nil || !adopted.complete || key.Home.Epoch+1 < adopted.home.Epoch {
 		return contract.Unknown(contract.ReasonHomeGone, 0, "the entry host that could tell is gone").WithStatus(410)
 	}
-	// The host closed its ledger before it handed over, and a key of its last
-	// two epochs would still be in what it handed over: it did not run.
+	// The host closed its ledger before the hand-over, and the hand-over includes
+	// the records of its last two epochs. A key of these without a record did not
+	// run.
 	return contract.NotRun(contract.ReasonHostLeaving, time.Second, "the key's entry host has stopped and had not run it; ask for addresses and use a new key")
 }
 
@@ -210,8 +216,9 @@
 	return l.options.Epoch - time.Duration(now.UnixNano()%int64(l.options.Epoch))
 }
 
-// evict drops finished records of epochs that are past retention; under
-// memory pressure also those whose keys can no longer start. Callers hold mu.
+// evict drops the records of epochs past retention and of expired hand-overs. If
+// the ledger is full, it also drops records within retention whose keys can no
+// longer start a request, oldest epoch first. Callers hold mu.
 func (l *Ledger) evict(now uint64) {
 	for ; l.oldest+1 < now; l.oldest++ {
 		kept := l.oldest+1+l.options.RetainEpochs >= now
@@ -233,7 +240,7 @@
 	}
 }
 
-// full reports whether one more record would break a bound. Callers hold mu.
+// full reports whether one more record would exceed a bound. Callers hold mu.
 func (l *Ledger) full() bool {
 	return l.bytes+entryOverheadBytes > l.options.MaxBytes ||
 		(l.options.MaxRecords > 0 && len(l.entries) >= l.options.MaxRecords)
@@ -247,8 +254,9 @@
 	l.bytes -= entry.bytes
 }
 
-// Finish sets the answer. An answer "not run" is given to whoever waits and
-// then forgotten, so that the same key may be tried again.
+// Finish sets the answer and returns it to all callers of Wait. An entry whose
+// answer is "not run" is then removed, so that the same key may start the request
+// again.
 func (e *Entry) Finish(answer Answer) {
 	l := e.ledger
 	l.mu.Lock()
@@ -264,9 +272,9 @@
 	l.signalIdle()
 }
 
-// keep accounts for the answer's memory. An answer that would break the bound
-// is not kept: the entry stays, so the request still cannot run twice, but a
-// repeat hears "unknown". Callers hold Ledger.mu.
+// keep accounts for the answer's memory. An answer that would exceed the bound is
+// not kept. Its entry stays, so the request still cannot run twice, but a repeat
+// is answered with "unknown". Callers hold Ledger.mu.
 func (e *Entry) keep() {
 	l := e.ledger
 	size := e.answer.size()
@@ -278,7 +286,8 @@
 	e.bytes = size
 }
 
-// Wait returns the answer once there is one.
+// Wait waits for the answer and returns it, or the error of ctx if that ends
+// first.
 func (e *Entry) Wait(ctx context.Context) (Answer, error) {
 	select {
 	case <-e.done:
@@ -290,7 +299,7 @@
 	}
 }
 
-// Close stops the ledger from starting anything new. What runs goes on.
+// Close stops the ledger from starting new requests. Running requests continue.
 func (l *Ledger) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -298,7 +307,8 @@
 	l.signalIdle()
 }
 
-// Idle is closed once the ledger is closed and nothing runs.
+// Idle returns a channel that is closed once the ledger is closed and no request
+// runs.
 func (l *Ledger) Idle() <-chan struct{} { return l.idle }
 
 func (l *Ledger) signalIdle() {
--- a/record/ledger_test.go
+++ b/record/ledger_test.go
@@ -23,7 +23,8 @@
 	return l.Begin("akarsu", parsed, Fingerprint{body})
 }
 
-// Guards against a second run when a call is repeated, and against one key for two calls.
+// Guards against a second run when a caller repeats a call, and against one key
+// used for two different calls.
 func TestRepeatGetsTheFirstAnswer(t *testing.T) {
 	is := is.New(t)
 	l := newTestLedger("h1")
@@ -43,8 +44,8 @@
 	is.Equal(refusal.Outcome, contract.OutcomeNotRun)
 }
 
-// A request that did not run may be tried again with the same key: the first
-// try found no backend server, the caller was told "not run" and repeats.
+// Guards against a stored "not run" blocking the retry: the first attempt found
+// no backend server, and the caller repeats the request with the same key.
 func TestNotRunIsForgotten(t *testing.T) {
 	is := is.New(t)
 	l := newTestLedger("h1")
@@ -55,8 +56,8 @@
 	is.True(first && refusal == nil)
 }
 
-// A desk repeats a letter hours later. Its record was dropped to bound memory,
-// so nobody knows whether it ran: it must not run, and the desk hears "unknown".
+// Guards against a second run of a request that is repeated after its record was
+// evicted: it must not run, and its outcome is "unknown".
 func TestOldKeyNeverRunsAfterItsRecordWasDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -81,14 +82,15 @@
 	})
 }
 
-// Guards against a second run at the successor of a host that stops.
+// Guards against a second run when a request is repeated at the successor of a
+// stopped host.
 func TestSuccessorAnswersAndNeverRuns(t *testing.T) {
 	is := is.New(t)
 	l, successor := newTestLedger("h1"), newTestLedger("h2")
 	home := l.Home().String()
 	entry, _, _ := begin(l, home+".ack-1", 1)
 	entry.Finish(Answer{Status: 200, Body: []byte("acknowledged")})
-	_, _, _ = begin(l, home+".ack-2", 1) // still running when the host gives up waiting
+	_, _, _ = begin(l, home+".ack-2", 1) // still running when the host stops waiting
 	l.Close()
 	_, _, refusal := begin(l, home+".ack-3", 1)
 	is.Equal(refusal.Reason, contract.ReasonHostLeaving)
@@ -112,8 +114,8 @@
 	is.Equal(refusal.Outcome, contract.OutcomeNotRun)
 }
 
-// Records arrive at the successor in pages and the host dies in between. A
-// key without a record may be on a page that never came: "unknown".
+// Guards against a false "not run" after an incomplete hand-over: the host crashes
+// between two pages, and the record of a key may be on a page that never arrived.
 func TestIncompleteHandOverIsUnknown(t *testing.T) {
 	is := is.New(t)
 	l, successor := newTestLedger("h1"), newTestLedger("h2")
@@ -125,8 +127,8 @@
 	is.Equal(refusal.Outcome, contract.OutcomeUnknown)
 }
 
-// A flood of keys must not fill the host's memory, and must not push out a
-// record whose key could still run.
+// Guards against a flood of keys that fills the host's memory or evicts records
+// whose keys may still start.
 func TestFullLedgerRefusesAndForgetsNothing(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(Options{Host: "h1", Incarnation: 7, MaxBytes: 3 * entryOverheadBytes})
@@ -142,7 +144,8 @@
 	is.True(!first && refusal == nil)
 }
 
-// Guards against records handed to a host that stops itself.
+// Guards against loss of records that are handed over to a host that is itself
+// stopping.
 func TestClosedLedgerRefusesHandOver(t *testing.T) {
 	is := is.New(t)
 	l, successor := newTestLedger("h1"), newTestLedger("h2")
@@ -158,12 +161,13 @@
 	f.Fuzz(func(t *testing.T, s string) {
 		key, err := ParseKey(s)
 		if err == nil && key.String() != s {
-			t.Fatalf("%q reads as %q: one request could have two records", s, key.String())
+			t.Fatalf("%q parses to %q: one request could have two records", s, key.String())
 		}
 	})
 }
 
-// Guards against "not run" for a call that ran before its service was removed.
+// Guards against a false "not run" for a call that ran before its service was
+// removed.
 func TestKeyMayHaveRunUnlessItsLifeHasNoRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -178,7 +182,7 @@
 		is.True(!l.NeverRan("akarsu", ran))
 		is.True(l.NeverRan("akarsu", fresh))
 		is.True(!l.NeverRan("akarsu", other))
-		time.Sleep(2 * time.Minute) // its record could have been dropped by now
+		time.Sleep(2 * time.Minute) // a record of the key could have been evicted by now
 		is.True(!l.NeverRan("akarsu", fresh))
 	})
 }
