--- a/caller/addressbook.go
+++ b/caller/addressbook.go
@@ -19,16 +19,17 @@
 	"github.com/papayasail/papayasail/contract"
 )
 
-// Address is an entry host that may be used.
+// Address is the address of an entry host that accepts requests.
 type Address struct {
 	URL           string `json:"url"`
 	Host          string `json:"host"`
 	FailureDomain string `json:"failure_domain"`
-	// Home begins the idempotency keys that this entry host answers for.
+	// Home is the prefix of the idempotency keys that this entry host answers for.
 	Home string `json:"home"`
 }
 
-// mintKey returns a new idempotency key of the entry host.
+// mintKey returns a new idempotency key whose home is this entry host, or "" if
+// the home is unknown.
 func (a Address) mintKey() string {
 	if a.Home == "" {
 		return ""
@@ -36,25 +37,25 @@
 	return a.Home + "." + uuid.NewString()
 }
 
-// Addresses is the answer to which entry hosts to use.
+// Addresses lists the entry hosts to use.
 type Addresses struct {
-	Addresses   []Address `json:"addresses"` // best first
-	KeepSeconds int       `json:"keep_seconds"`
+	Addresses   []Address `json:"addresses"`    // best first
+	KeepSeconds int       `json:"keep_seconds"` // how long the list may be cached
 }
 
-// maxAnswerBytes bounds answers that the client holds in memory.
+// maxAnswerBytes bounds a response body that the client reads into memory.
 const maxAnswerBytes = 64 << 20
 
-// addressBook keeps the address answer and asks again when it has run out.
+// addressBook caches the address list and fetches it again after it has expired.
 type addressBook struct {
 	fetch func(ctx context.Context, base string) (Addresses, error)
 	seeds []string
-	// asking lets requests that find the answer expired share one question;
-	// otherwise a busy client would ask once for each of them.
+	// asking combines concurrent fetches into one. Otherwise every request of a
+	// busy client that finds the list expired would fetch it.
 	asking singleflight.Group
 
 	mu      sync.Mutex // guards the fields below
-	list    []Address  // best first, failed ones last
+	list    []Address  // best first, failed addresses last
 	expires time.Time
 }
 
@@ -73,7 +74,8 @@
 	return "http://" + seed
 }
 
-// first returns the address to try first.
+// first returns the first address of the list. It fetches the list if it has
+// expired or is empty.
 func (b *addressBook) first(ctx context.Context) (Address, error) {
 	b.mu.Lock()
 	list, fresh := b.list, time.Now().Before(b.expires)
@@ -87,13 +89,13 @@
 	if len(b.list) == 0 {
 		return Address{}, err
 	}
-	// A failed refresh leaves the old answer in use: entry hosts that were
-	// there a minute ago are a better guess than none.
+	// A failed refresh leaves the expired list in use: entry hosts that were
+	// available a minute ago are better than none.
 	return b.list[0], nil
 }
 
-// refresh asks for addresses, together with all others that ask now. The
-// question goes on when the one who began it gives up.
+// refresh fetches the address list, shared with all concurrent callers. The fetch
+// continues if the caller that started it gives up.
 func (b *addressBook) refresh(ctx context.Context) error {
 	result := b.asking.DoChan("addresses", func() (any, error) {
 		return nil, b.ask(context.WithoutCancel(ctx))
@@ -106,7 +108,8 @@
 	}
 }
 
-// ask asks the known addresses, then the seeds, until one answers.
+// ask fetches the address list from the cached addresses and then the seeds,
+// until one returns addresses or refuses the token.
 func (b *addressBook) ask(ctx context.Context) error {
 	err := errors.New("caller: no entry host to ask")
 	for _, base := range b.bases() {
@@ -148,8 +151,8 @@
 	b.expires = time.Now().Add(time.Duration(answer.KeepSeconds) * time.Second)
 }
 
-// failed moves an address behind the others. When all of them have failed
-// since the last answer, the next request asks for addresses again.
+// failed moves an address to the end of the list. If it is the only one, the list
+// expires.
 func (b *addressBook) failed(address Address) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -168,14 +171,15 @@
 	}
 }
 
-// expire makes the next request ask for addresses again.
+// expire makes the next request fetch the address list again.
 func (b *addressBook) expire() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expires = time.Time{}
 }
 
-// Addresses asks the entry hosts which of them to use, and returns the answer.
+// Addresses fetches the list of entry hosts to use and returns it. It sends a
+// request even if a cached list is still valid.
 func (c *Client) Addresses(ctx context.Context) (Addresses, error) {
 	if err := c.book.refresh(ctx); err != nil {
 		return Addresses{}, err
--- a/caller/attempts.go
+++ b/caller/attempts.go
@@ -16,25 +16,25 @@
 	maxBackoff   = 2 * time.Second
 )
 
-// attempts decides whether one request is tried again, where, and with which
-// idempotency key.
+// attempts decides whether one request is retried, at which entry host, and with
+// which idempotency key.
 //
-// It guards against a request that runs twice: after an attempt whose outcome
-// is unknown the key is never changed, so that the key's home answers with
-// what happened instead of running the request again. Only while every
-// attempt so far was promised not to have run may a new key be minted.
+// It guards against running a request twice: after an attempt with an unknown
+// outcome the key never changes, so that the key's home returns the recorded
+// outcome instead of running the request again. A new key is used only while
+// every attempt so far is known not to have run.
 type attempts struct {
 	client  *Client
 	address Address
 	key     string
 	unknown bool // an attempt may have run
-	told    bool // the backend server's failure was told once for this key
-	failed  int  // attempts in a row that brought nothing new
+	told    bool // a failure of the backend server was reported before for this key
+	failed  int  // consecutive attempts without progress
 }
 
-// begin chooses the first or next address and, where allowed, a new key. It
-// asks again while nobody can name an address, as when all entry hosts are
-// being replaced.
+// begin chooses the address of the next attempt and, where allowed, a new key. It
+// repeats the address lookup while no entry host returns an address, for example
+// while all entry hosts are being replaced.
 func (a *attempts) begin(ctx context.Context) error {
 	for {
 		address, err := a.client.book.first(ctx)
@@ -60,7 +60,8 @@
 	}
 }
 
-// waitForAddresses returns how long to wait until asking again; zero: not.
+// waitForAddresses returns the wait before the next address lookup after err;
+// zero means that the lookup is not repeated.
 func (a *attempts) waitForAddresses(err error) time.Duration {
 	var refusal *contract.Refusal
 	if errors.As(err, &refusal) {
@@ -69,12 +70,12 @@
 	return backoff(a.failed)
 }
 
-// progress notes that the attempt brought something new.
+// progress resets the count of attempts without progress.
 func (a *attempts) progress() { a.failed = 0 }
 
-// next takes the reason why the attempt ended. It returns nil when another
-// attempt may be made, after the wait that the reason asks for, and otherwise
-// the error for the caller.
+// next prepares the attempt that follows one ended by cause. It waits for the
+// retry time of cause and chooses an address. It returns nil if another attempt
+// may be made, and otherwise the error for the caller.
 func (a *attempts) next(ctx context.Context, cause error) error {
 	refusal := asRefusal(cause)
 	a.unknown = a.unknown || refusal.Outcome == contract.OutcomeUnknown
@@ -95,10 +96,10 @@
 	return a.begin(ctx)
 }
 
-// recorded reports whether the refusal is the home's record of a run that
-// failed on its backend server: told twice for one key, it will not change.
-// Without this check the caller would wait through all its attempts for the
-// answer it already has.
+// recorded reports whether the refusal is the home's record of a run that failed
+// on its backend server. A refusal that is returned twice for one key is such a
+// record and does not change. Without this check the caller would use up all its
+// attempts to get the same refusal.
 func (a *attempts) recorded(refusal *contract.Refusal) bool {
 	if refusal.Outcome != contract.OutcomeUnknown || refusal.Reason != contract.ReasonBackendFailed {
 		return false
@@ -108,8 +109,8 @@
 	return again
 }
 
-// final returns the error for the caller: once an attempt may have run, no
-// later refusal can turn the outcome back into "not run".
+// final returns the error for the caller. Once an attempt may have run, the
+// outcome is "unknown" even if a later attempt was refused as "not run".
 func (a *attempts) final(cause error) error {
 	refusal := *asRefusal(cause)
 	if a.unknown {
@@ -118,8 +119,8 @@
 	return &refusal
 }
 
-// broken is the refusal for an attempt whose connection failed. The wait
-// before the next attempt rises with the failures so far.
+// broken returns the refusal of an attempt whose connection failed. Its retry time
+// grows with the number of consecutive failures.
 func (a *attempts) broken(sent bool, err error) *contract.Refusal {
 	var refusal *contract.Refusal
 	if errors.As(err, &refusal) {
@@ -132,8 +133,9 @@
 	return contract.Unknown(contract.ReasonHomeUnreachable, wait, "connection to the entry host broke").WithCause(err)
 }
 
-// backoff is short at first, since another entry host is usually fine, and
-// has jitter so that the callers of a dead one do not return in step.
+// backoff returns the wait after a number of consecutive failures. It starts
+// short, because another entry host is usually available, and has jitter, so that
+// the callers of a dead entry host do not retry at the same time.
 func backoff(failed int) time.Duration {
 	wait := min(firstBackoff<<min(failed, 10), maxBackoff)
 	return wait/2 + rand.N(wait/2+1)
--- a/caller/call.go
+++ b/caller/call.go
@@ -13,18 +13,18 @@
 	"github.com/papayasail/papayasail/contract"
 )
 
-// Answer is the whole answer of a plain service.
+// Answer is the complete response of a plain service.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	Host   string // entry host that gave it
+	Host   string // entry host that returned it
 }
 
-// Call makes an exact call to a plain service. path begins with / and may
-// carry a query. The error is a *contract.Refusal. The call is repeated with
-// the same key after an unknown outcome, so that it runs at most once even
-// where it is not idempotent.
+// Call makes an exact call to a plain service. path begins with / and may have a
+// query. The error is a *contract.Refusal. After an unknown outcome the call is
+// retried with the same key, so that it runs at most once even if it is not
+// idempotent.
 func (c *Client) Call(ctx context.Context, service, method, path string, body []byte, header http.Header) (*Answer, error) {
 	a := &attempts{client: c}
 	if err := a.begin(ctx); err != nil {
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -27,18 +27,18 @@
 	tokens = 6
 )
 
-// site is two entry hosts of which the test scripts the answers.
+// site is a pair of entry hosts whose responses are scripted by the test.
 type site struct {
 	t      *testing.T
 	fabric *network.Fabric
 	client *Client
 
-	mu       sync.Mutex // guards the fields below
-	keys     []string   // Idempotency-Key of each request, in order
-	resumed  []string   // Last-Event-ID of each resumption
-	asked    int        // questions for addresses
-	dark     bool       // no addresses are given
-	travel   time.Duration
+	mu       sync.Mutex    // guards the fields below
+	keys     []string      // Idempotency-Key of each request, in order
+	resumed  []string      // Last-Event-ID of each resumption
+	asked    int           // number of address requests
+	dark     bool          // address requests are refused
+	travel   time.Duration // delay of the response to an address request
 	generate func(w http.ResponseWriter, host string, from int)
 	call     func(w http.ResponseWriter, host string)
 }
@@ -120,7 +120,8 @@
 	_ = json.NewEncoder(w).Encode(problem{Outcome: outcome, Reason: reason, RetryAfterMS: retry.Milliseconds()})
 }
 
-// whole reads a stream and checks that each token came once and in order.
+// whole reads a stream to its end and checks that each token arrived once and in
+// order.
 func whole(t *testing.T, s *Stream) {
 	t.Helper()
 	is := is.New(t)
@@ -136,8 +137,8 @@
 	}
 }
 
-// An engineer reads a narrative, and half way the entry host dies. The screen
-// must go on with the very next token, from the other entry host.
+// Guards against lost or repeated tokens when the entry host crashes in the middle
+// of a stream: the stream continues with the next token from the other entry host.
 func TestStreamResumesAtAnotherHostAfterDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -160,7 +161,7 @@
 	})
 }
 
-// Guards against streams that stay frozen on a silent connection.
+// Guards against streams that stay frozen on a stalled connection.
 func TestStreamLeavesSilentConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -179,12 +180,12 @@
 		is.NoErr(err)
 		whole(t, stream)
 		is.Equal(stream.Resumes(), 1)
-		time.Sleep(2 * time.Hour) // lets the stuck handler end
+		time.Sleep(2 * time.Hour) // lets the sleeping handler end
 	})
 }
 
-// A long prompt keeps the engine busy without a token for a minute. The
-// keep-alive comments show that the connection lives, so it must stay.
+// Guards against a reconnection while a long prompt delays the first token by a
+// minute: keep-alive comments show that the connection is alive.
 func TestStreamStaysWhileKeepAlivesCome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -206,8 +207,7 @@
 	})
 }
 
-// Whatever goes wrong on the way, a reader must never take a wrong or partial
-// answer for its whole own one.
+// Guards against wrong or partial streams that the caller takes for complete ones.
 func TestStreamNeverPassesWrongAnswer(t *testing.T) {
 	cases := map[string]struct {
 		send   func(w http.ResponseWriter)
@@ -241,7 +241,7 @@
 
 const lostEvent = "event: error\ndata: {\"outcome\":\"unknown\",\"reason\":\"generation_lost\"}\n\n"
 
-// Guards against a second run when the answer of a call is lost.
+// Guards against a second run when the response to a call is lost.
 func TestCallRepeatsWithSameKeyAfterLostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -265,8 +265,8 @@
 	})
 }
 
-// The first entry host is full and promises that nothing ran. The desk comes
-// back when it was told to, and may use a new home then.
+// Guards against a retry before the time that an overloaded entry host requested.
+// The call did not run, so the retry may use a key of another home.
 func TestCallHonoursRetryAfterAndMintsNewKeyWhenNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -286,7 +286,8 @@
 	})
 }
 
-// Guards against callers that repeat for minutes what stays unknown.
+// Guards against callers that retry for minutes although the recorded outcome
+// stays unknown.
 func TestCallEndsWhenTheRecordSaysUnknownAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -303,8 +304,8 @@
 	})
 }
 
-// The first attempt may have run, and a later one is refused as not run. Told
-// "not run", the desk would send the acknowledgement again by hand.
+// Guards against a false "not run": the first attempt may have run, a later one is
+// refused as not run, and the user would send the call again with a new key.
 func TestUnknownOutcomeNeverTurnsIntoNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -323,8 +324,8 @@
 	})
 }
 
-// A desk asks for a path that is none. No try can mend that, so it must hear
-// so at once, and that nothing ran.
+// Guards against retries of a call with an invalid path, which always fails. It
+// must fail at once with the outcome "not run".
 func TestCallThatCannotBeBuiltEndsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -339,8 +340,8 @@
 	})
 }
 
-// All entry hosts are being replaced, and for some seconds none may be used. A
-// desk that asks in that time is served a little later, not turned away.
+// Guards against failed calls while all entry hosts are being replaced and no
+// address is available for some seconds: the call must wait.
 func TestCallWaitsWhileNoAddressIsGiven(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -357,8 +358,8 @@
 	})
 }
 
-// A busy desk's answer for addresses runs out. All its requests ask at that
-// moment; one question has to do for all.
+// Guards against one address request per call when the address list of a busy
+// client expires: concurrent calls must share one.
 func TestRequestsShareOneQuestionForAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -377,8 +378,8 @@
 	})
 }
 
-// A backend server's own error answer belongs to the caller as it is; it must
-// not be mistaken for a refusal of the entry host, nor repeated.
+// Guards against a backend server's own error response being treated as a refusal
+// by the entry host, or retried: it must be returned unchanged.
 func TestCallPassesBackendProblemThrough(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/caller/client.go
+++ b/caller/client.go
@@ -1,6 +1,6 @@
-// Package caller is the client library of papayasail's callers. It chooses
-// among the entry hosts, takes broken streams up again at another one, and
-// repeats a request only where that cannot run it twice.
+// Package caller is the client library of papayasail. It chooses among the entry
+// hosts, resumes broken streams at another entry host, and retries a request only
+// if that cannot run it twice.
 package caller
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/papayasail/papayasail/link"
 )
 
-// Values of Config fields that are left zero.
+// Defaults of Config.
 const (
 	DefaultSilence     = 5 * time.Second
 	DefaultAttempt     = 15 * time.Second
@@ -24,25 +24,26 @@
 
 const dialTimeout = 2 * time.Second
 
-// Config tells a Client where to begin.
+// Config configures a Client. Seeds is required; other zero values select the
+// defaults.
 type Config struct {
-	// Seeds are entry hosts to ask for addresses first, as IP:port or URL.
+	// Seeds are the entry hosts for the first address lookup, as IP:port or URL.
 	Seeds []string
 	// Token is the bearer token of the organisation.
 	Token string
-	// FailureDomain is the one nearest to the caller; empty: unknown.
+	// FailureDomain is the failure domain nearest to the caller; empty: unknown.
 	FailureDomain string
 	// Network opens connections; nil: TCP.
 	Network link.Network
-	// TLS is used for https addresses; nil: the system's roots.
+	// TLS is used for https addresses; nil: the system's root certificates.
 	TLS *tls.Config
-	// Silence is how long a stream may bring nothing, not even a keep-alive,
-	// until its connection counts as dead.
+	// Silence is the time without any data on a stream, keep-alives included,
+	// after which its connection counts as dead.
 	Silence time.Duration
-	// Attempt bounds one attempt of an exact call, and the time until a
-	// stream begins.
+	// Attempt is the timeout of one attempt of an exact call, of one address
+	// lookup, and of the response header of a stream.
 	Attempt time.Duration
-	// MaxAttempts bounds attempts in a row that bring nothing new.
+	// MaxAttempts bounds consecutive attempts without progress.
 	MaxAttempts int
 }
 
@@ -53,7 +54,8 @@
 	book   *addressBook
 }
 
-// New returns a client. It connects on first use.
+// New returns a client, which connects on first use. It returns an error if
+// config has no seeds.
 func New(config Config) (*Client, error) {
 	if len(config.Seeds) == 0 {
 		return nil, errors.New("caller: no entry host to begin with")
@@ -87,8 +89,8 @@
 	const idlePerHost = 64
 	return &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-			// A host that has vanished answers no connection attempt at
-			// all; without a bound the request would wait for good.
+			// A host that has disappeared does not answer connection attempts
+			// at all; without a timeout the request would wait forever.
 			ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 			defer cancel()
 			return config.Network.Dial(ctx, address)
@@ -97,8 +99,8 @@
 		IdleConnTimeout:       time.Minute,
 		ResponseHeaderTimeout: config.Attempt,
 		DisableCompression:    true,
-		// HTTP/1.1 only: over HTTP/2 all streams of a host would share one
-		// connection, and one that goes silent would freeze all of them.
+		// HTTP/1.1 only: over HTTP/2 all streams to a host would share one
+		// connection, and a stalled connection would freeze all of them.
 		TLSClientConfig: config.TLS,
 	}
 }
--- a/caller/events.go
+++ b/caller/events.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxEventLine bounds one line of a stream, bytes.
+// maxEventLine bounds one line of a stream, in bytes.
 const maxEventLine = 1 << 20
 
 // Names of server-sent events.
@@ -25,8 +25,8 @@
 	data []byte
 }
 
-// eventReader reads server-sent events. alive is called for every line, also
-// for keep-alive comments.
+// eventReader reads server-sent events. It calls alive for every line, including
+// keep-alive comments.
 type eventReader struct {
 	lines *bufio.Reader
 	alive func()
@@ -36,8 +36,8 @@
 	return &eventReader{lines: bufio.NewReaderSize(stream, 4096), alive: alive}
 }
 
-// next returns the next event. An event that the stream's end cuts short is
-// an error, never half an event.
+// next returns the next event. An event cut off by the end of the stream is an
+// error; a partial event is never returned.
 func (r *eventReader) next() (event, error) {
 	var e event
 	for {
--- a/caller/problem.go
+++ b/caller/problem.go
@@ -11,7 +11,7 @@
 	"github.com/papayasail/papayasail/contract"
 )
 
-// problem is the RFC 9457 document that entry hosts refuse with.
+// problem is the RFC 9457 document of a refusal by an entry host.
 type problem struct {
 	Status       int              `json:"status"`
 	Title        string           `json:"title"`
@@ -35,8 +35,8 @@
 	}
 }
 
-// parseProblem reads a problem document of an entry host. Problem documents
-// of backend servers, which lack outcome or reason, are not ours.
+// parseProblem parses a problem document of an entry host. It returns false for
+// problem documents of backend servers, which have no outcome or no reason.
 func parseProblem(data []byte) (*contract.Refusal, bool) {
 	var p problem
 	if json.Unmarshal(data, &p) != nil || p.Reason == "" {
@@ -48,15 +48,15 @@
 	return p.refusal(), true
 }
 
-// isProblem reports whether the answer is declared to be a problem document.
+// isProblem reports whether the response has the media type of problem documents.
 func isProblem(response *http.Response) bool {
 	media, _, err := mime.ParseMediaType(response.Header.Get("Content-Type"))
 	return err == nil && media == backend.ProblemJSON
 }
 
-// refusalOf turns an answer that is not a success into a refusal. An answer
-// that does not say what became of the request counts as unknown: "not run"
-// is believed only when an entry host says it.
+// refusalOf converts an unsuccessful response to a refusal. Without a problem
+// document of an entry host the outcome is "unknown", because only an entry host
+// can state that a request did not run; status 401 alone means "not run".
 func refusalOf(response *http.Response, body []byte) *contract.Refusal {
 	if refusal, ok := parseProblem(body); ok {
 		refusal.Status = response.StatusCode
@@ -72,7 +72,8 @@
 		WithStatus(response.StatusCode)
 }
 
-// retryAfter reads the Retry-After header in its form of seconds.
+// retryAfter returns the value of a Retry-After header in seconds. It returns zero
+// if the header is missing or has another form.
 func retryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.Atoi(header.Get("Retry-After"))
 	if err != nil || seconds < 0 {
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -11,12 +11,12 @@
 	"github.com/papayasail/papayasail/contract"
 )
 
-// Request asks for one generation.
+// Request is the body of a generation request.
 type Request struct {
 	Prompt    string `json:"prompt,omitempty"`
-	MaxTokens int    `json:"max_tokens,omitempty"` // tokens; 0: the service's limit
-	// StopAfter ends a stand-in engine's generation after so many tokens;
-	// real engines ignore it.
+	MaxTokens int    `json:"max_tokens,omitempty"` // 0: the service's limit
+	// StopAfter ends the generation of a stand-in engine after this number of
+	// tokens; real engines ignore it.
 	StopAfter int `json:"x_stop_after,omitempty"`
 }
 
@@ -27,13 +27,13 @@
 	Text  string
 }
 
-// End says how a generation ended.
+// End describes how a generation ended.
 type End struct {
 	Tokens       int
 	FinishReason string
 }
 
-// tokenEvent is the data of an event of a stream.
+// tokenEvent is the data of a token or end event.
 type tokenEvent struct {
 	ID           string `json:"id"`
 	Index        int    `json:"index"`
@@ -42,8 +42,8 @@
 	Tokens       int    `json:"tokens"`
 }
 
-// Stream is one generation on its way to the caller. It belongs to one
-// goroutine; only Close may be called from another.
+// Stream reads one generation. It must be used by one goroutine; only Close may be
+// called from another.
 type Stream struct {
 	ctx      context.Context // of the whole stream
 	cancel   context.CancelFunc
@@ -52,9 +52,9 @@
 	body     []byte
 
 	connection *connection // nil between attempts
-	next       int         // index of the token that comes next
-	last       string      // id of the last event
-	resumes    int
+	next       int         // index of the next token
+	last       string      // id of the last token's event
+	resumes    int         // how often the stream was resumed
 	end        *End
 	err        error
 }
@@ -64,7 +64,7 @@
 	events *eventReader
 	body   io.Closer
 	cancel context.CancelFunc
-	timer  *time.Timer // ends a connection that has gone silent
+	timer  *time.Timer // cancels the connection when it stalls
 }
 
 func (c *connection) close() {
@@ -73,8 +73,8 @@
 	c.body.Close()
 }
 
-// Generate starts a generation and returns when its stream has begun. The
-// error is a *contract.Refusal.
+// Generate starts a generation and returns once its stream has begun. The error is
+// a *contract.Refusal.
 func (c *Client) Generate(ctx context.Context, service string, request Request) (*Stream, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -93,9 +93,9 @@
 	return s, nil
 }
 
-// Next returns the next token; io.EOF after the last one, when the end event
-// has confirmed that the answer is whole; or a *contract.Refusal. Every token
-// comes once and in order.
+// Next returns the next token. It returns io.EOF after the last one, once the end
+// event has confirmed that the stream is complete, and a *contract.Refusal if the
+// stream failed. Every token is returned once and in order.
 func (s *Stream) Next() (Token, error) {
 	for s.err == nil && s.end == nil {
 		if s.connection == nil {
@@ -119,16 +119,16 @@
 	return Token{}, io.EOF
 }
 
-// End returns how the generation ended; nil until Next has returned io.EOF.
+// End returns how the generation ended. It is nil until Next has returned io.EOF.
 func (s *Stream) End() *End { return s.end }
 
-// Host returns the entry host that the stream came from last.
+// Host returns the name of the entry host of the last attempt.
 func (s *Stream) Host() string { return s.attempts.address.Host }
 
-// Resumes returns how often the stream was taken up again.
+// Resumes returns how often the stream was resumed.
 func (s *Stream) Resumes() int { return s.resumes }
 
-// Close gives the stream up.
+// Close abandons the stream.
 func (s *Stream) Close() { s.cancel() }
 
 func (s *Stream) drop() {
@@ -138,7 +138,8 @@
 	}
 }
 
-// connect opens the stream, or takes it up behind the last event.
+// connect opens the stream or resumes it after the last event. It retries as
+// attempts allows.
 func (s *Stream) connect() error {
 	for {
 		cause := s.connectOnce()
@@ -176,8 +177,8 @@
 	if s.last != "" {
 		s.resumes++
 	}
-	// A connection can go silent for good while new ones work. The caller
-	// would see a frozen stream; the timer closes it, and the stream goes on
+	// A connection can stall forever while new ones work, so that the caller would
+	// see a frozen stream. The timer closes the connection, and the stream continues
 	// over a new connection to another entry host.
 	timer := time.AfterFunc(client.config.Silence, cancel)
 	alive := func() { timer.Reset(client.config.Silence) }
@@ -185,8 +186,8 @@
 	return nil
 }
 
-// read returns the next token of the connection, or the cause why it ended.
-// After the end event the cause is io.EOF and s.end is set.
+// read returns the next token of the connection, or the error that ended it. After
+// the end event the error is io.EOF and s.end is set.
 func (s *Stream) read() (Token, error) {
 	e, err := s.connection.events.next()
 	if err != nil {
@@ -211,8 +212,8 @@
 	return Token{}, s.mismatch("unknown event " + e.name)
 }
 
-// token checks that the token is the one that comes next. A doubled, skipped
-// or swapped token must never reach the caller, so the stream ends instead.
+// token checks that a token has the next index. A duplicate, missing or reordered
+// token must never reach the caller, so the stream fails instead.
 func (s *Stream) token(e event, t tokenEvent) (Token, error) {
 	if t.Index != s.next {
 		return Token{}, s.mismatch("token out of order")
@@ -224,7 +225,7 @@
 	s.next++
 	s.last = id
 	s.attempts.progress()
-	s.attempts.unknown = true // the generation runs: no new key from here on
+	s.attempts.unknown = true // the generation runs: later attempts must keep the key
 	return Token{ID: id, Index: t.Index, Text: t.Text}, nil
 }
 
