--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -24,9 +24,9 @@
 	return backend.Broken
 }
 
-// ranNothing reports whether an error proves that the backend server ran no
+// provenNotRun reports whether an error proves that the backend server ran no
 // part of the request: no byte reached it, or its response states so by contract.
-func ranNothing(err error) bool { return evidenceOf(err).NotRun() }
+func provenNotRun(err error) bool { return evidenceOf(err).NotRun() }
 
 var stages = map[backend.Evidence]retry.Stage{
 	backend.NothingSent:   retry.StageDial,
@@ -60,9 +60,9 @@
 	byService map[string]*retry.Evaluator
 }
 
-// of returns the evaluator of a service, set to the current retry policy. It
-// creates the evaluator on first use.
-func (e *evaluators) of(document *contract.Document) *retry.Evaluator {
+// forService returns the evaluator of a service, set to the current retry policy.
+// It creates the evaluator on first use.
+func (e *evaluators) forService(document *contract.Document) *retry.Evaluator {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.byService == nil {
@@ -85,26 +85,26 @@
 	state     retry.Attempts
 	servers   int      // backend servers of the service
 	exclude   []string // servers on which this request failed
-	crashes   *crashes
+	crashes   *crashTracker
 	// mayHaveRun is set once an attempt may have run, partly or completely.
 	mayHaveRun bool
 }
 
-// attempts returns the attempt state of a new request and counts the request
+// newAttempts returns the attempt state of a new request and counts the request
 // in the retry budget.
-func (r *Relay) attempts(document *contract.Document, request *peerpb.ForwardRequest, idempotent bool) *attempts {
-	evaluator := r.evaluators.of(document)
+func (r *Relay) newAttempts(document *contract.Document, request *peerpb.ForwardRequest, idempotent bool) *attempts {
+	evaluator := r.evaluators.forService(document)
 	evaluator.Request(request.GetOrganisation())
 	return &attempts{
-		evaluator: evaluator, servers: len(document.BackendServers), crashes: r.crashesOf(request),
+		evaluator: evaluator, servers: len(document.BackendServers), crashes: r.newCrashTracker(request),
 		subject: retry.Subject{Organisation: request.GetOrganisation(), Idempotent: idempotent},
 	}
 }
 
-// again reports whether a request that failed on a server may be retried. It
+// awaitRetry reports whether a request that failed on a server may be retried. It
 // waits for the backoff first and returns false if ctx ends during the wait.
-func (a *attempts) again(ctx context.Context, server string, err error) bool {
-	a.mayHaveRun = a.mayHaveRun || !ranNothing(err)
+func (a *attempts) awaitRetry(ctx context.Context, server string, err error) bool {
+	a.mayHaveRun = a.mayHaveRun || !provenNotRun(err)
 	evidence := retryEvidence(err)
 	if len(a.exclude)+1 < a.servers {
 		evidence.RetryAfter = 0 // applies to that server only; others are left
@@ -141,16 +141,18 @@
 	return r.Scheduler.Acquire(ctx, request)
 }
 
-// refusal returns the refusal of a request that is not retried after err.
-func (a *attempts) refusal(err error) *contract.Refusal { return a.settle(lastRefusal(err)) }
+// finalRefusal returns the refusal of a request that is not retried after err.
+func (a *attempts) finalRefusal(err error) *contract.Refusal {
+	return a.adjustOutcome(attemptRefusal(err))
+}
 
-// settle derives the refusal of the request from the refusal of its last
+// adjustOutcome derives the refusal of the request from the refusal of its last
 // attempt.
 //
 // Guards against a false "not run": the connection of the first attempt breaks
 // after the server ran the request, and the next attempt finds no server. The
 // last attempt did not run, but the request may have, so its outcome is unknown.
-func (a *attempts) settle(refusal *contract.Refusal) *contract.Refusal {
+func (a *attempts) adjustOutcome(refusal *contract.Refusal) *contract.Refusal {
 	if !a.mayHaveRun || refusal.Outcome != contract.OutcomeNotRun {
 		return refusal
 	}
@@ -159,13 +161,13 @@
 	return &settled
 }
 
-// lastRefusal converts the error of one attempt to a refusal.
-func lastRefusal(err error) *contract.Refusal {
+// attemptRefusal converts the error of one attempt to a refusal.
+func attemptRefusal(err error) *contract.Refusal {
 	var call *backend.CallError
 	if !errors.As(err, &call) {
 		return asRefusal(err)
 	}
-	if ranNothing(err) {
+	if provenNotRun(err) {
 		return contract.NotRun(contract.ReasonBackendRefused, retryAfter(call), "no backend server took the request").WithCause(err)
 	}
 	if call.Evidence == backend.Mismatch {
--- a/relay/call.go
+++ b/relay/call.go
@@ -26,7 +26,7 @@
 // Call serves /v1/services/{service}/call/{path}.
 func (r *Relay) Call(w http.ResponseWriter, req *http.Request, service, path string) {
 	answer := r.call(w, req, service, path)
-	r.Metrics.ended(service, answer.Refusal)
+	r.Metrics.countRequest(service, answer.Refusal)
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(r.WriteTimeout))
 	if answer.Refusal != nil {
 		WriteRefusal(w, answer.Refusal)
@@ -40,7 +40,7 @@
 }
 
 func (r *Relay) call(w http.ResponseWriter, req *http.Request, service, path string) record.Answer {
-	organisation, document, refusal := r.caller(req, service)
+	organisation, document, refusal := r.authenticate(req, service)
 	if refusal != nil {
 		return record.Answer{Refusal: refusal}
 	}
@@ -54,16 +54,16 @@
 	request := forwardRequest(req, organisation, service, path, body)
 	if document.CallIdempotent(req.Method, path) {
 		if !r.Accepting() {
-			return record.Answer{Refusal: leaving()}
+			return record.Answer{Refusal: leavingRefusal()}
 		}
 		return r.tryCall(req.Context(), document, request, true)
 	}
-	parsed, refusal := key(req)
+	parsed, refusal := requestKey(req)
 	if refusal != nil {
 		return record.Answer{Refusal: refusal}
 	}
 	if r.Closing() {
-		return record.Answer{Refusal: closing()}
+		return record.Answer{Refusal: closingRefusal()}
 	}
 	request.Key = parsed.String()
 	ctx, stop := context.WithTimeout(req.Context(), document.Deadlines.Queue+document.Deadlines.Total)
@@ -103,25 +103,25 @@
 func (r *Relay) tryCall(ctx context.Context, document *contract.Document, request *peerpb.ForwardRequest, idempotent bool) record.Answer {
 	ctx, stop := context.WithTimeout(ctx, document.Deadlines.Queue+document.Deadlines.Total)
 	defer stop()
-	tries := r.attempts(document, request, idempotent)
+	tries := r.newAttempts(document, request, idempotent)
 	for {
 		grant, err := r.acquire(ctx, tries, routing.Request{
 			Service: document.Service, Organisation: request.GetOrganisation(),
 			Deadline: time.Now().Add(document.Deadlines.Queue),
 		})
 		if err != nil {
-			return record.Answer{Refusal: tries.settle(asRefusal(err))}
+			return record.Answer{Refusal: tries.adjustOutcome(asRefusal(err))}
 		}
 		answer, err := r.callServer(ctx, grant.Address(), document, request)
 		r.OnBackend(grant.Address(), err)
-		grant.Done(routing.Result{Failed: err != nil, NotRun: err != nil && ranNothing(err), Complete: err == nil})
+		grant.Done(routing.Result{Failed: err != nil, NotRun: err != nil && provenNotRun(err), Complete: err == nil})
 		if err == nil {
 			tries.crashes.completed()
 			return record.Answer{Status: answer.Status, Header: answerHeader(answer.Header), Body: answer.Body}
 		}
-		tries.crashes.failed(ctx, grant.Address(), err)
-		if !tries.again(ctx, grant.Server(), err) {
-			return record.Answer{Refusal: tries.refusal(err)}
+		tries.crashes.sendFailed(ctx, grant.Address(), err)
+		if !tries.awaitRetry(ctx, grant.Server(), err) {
+			return record.Answer{Refusal: tries.finalRefusal(err)}
 		}
 		r.Metrics.retries.WithLabelValues(document.Service).Inc()
 	}
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -13,66 +13,66 @@
 	"github.com/papayasail/papayasail/quarantine"
 )
 
-// crashes reports to the quarantine table whether backend servers crash while
+// crashTracker reports to the quarantine table whether backend servers crash while
 // they run one request.
 //
 // Guards against a request that crashes every server that runs it: retries by
 // this host and by the caller would take down one server after another.
-type crashes struct {
+type crashTracker struct {
 	table       *quarantine.Table // nil: crashes are not tracked
 	backend     *backend.Client
 	fingerprint uint64
-	sent        quarantine.Mark // state of the table when the request was last sent
+	sentMark    quarantine.Mark // state of the table when the request was last sent
 }
 
-func (r *Relay) crashesOf(request *peerpb.ForwardRequest) *crashes {
+func (r *Relay) newCrashTracker(request *peerpb.ForwardRequest) *crashTracker {
 	hash := fingerprintOf(request)
-	return &crashes{table: r.Quarantine, backend: r.Backend, fingerprint: binary.BigEndian.Uint64(hash[:])}
+	return &crashTracker{table: r.Quarantine, backend: r.Backend, fingerprint: binary.BigEndian.Uint64(hash[:])}
 }
 
 // refusal returns a refusal if the request is quarantined, else nil. It must be
 // called before each send.
-func (c *crashes) refusal() *contract.Refusal {
+func (c *crashTracker) refusal() *contract.Refusal {
 	if c.table == nil {
 		return nil
 	}
 	if left := c.table.Quarantined(c.fingerprint); left > 0 {
 		return contract.NotRun(contract.ReasonQuarantined, left, "backend servers crash under this request")
 	}
-	c.sent = c.table.Mark(c.fingerprint)
+	c.sentMark = c.table.Mark(c.fingerprint)
 	return nil
 }
 
-// broke reports that the connection to a server broke before the end of the
-// response; early is set if no part of the response had arrived.
-func (c *crashes) broke(address string, early bool) {
+// connectionBroke reports that the connection to a server broke before the end of
+// the response; early is set if no part of the response had arrived.
+func (c *crashTracker) connectionBroke(address string, early bool) {
 	if c.table == nil {
 		return
 	}
-	run := quarantine.Run{Fingerprint: c.fingerprint, Sent: c.sent, Early: early, Server: address}
+	run := quarantine.Run{Fingerprint: c.fingerprint, Sent: c.sentMark, Early: early, Server: address}
 	c.table.Broken(run, func(ctx context.Context) bool { return c.backend.Ended(ctx, address) })
 }
 
-// failed reports that a send ended without a response.
-func (c *crashes) failed(ctx context.Context, address string, err error) {
+// sendFailed reports that a send ended without a response.
+func (c *crashTracker) sendFailed(ctx context.Context, address string, err error) {
 	if evidenceOf(err) == backend.Broken && ctx.Err() == nil {
-		c.broke(address, true)
+		c.connectionBroke(address, true)
 	}
 }
 
 // completed reports that the request ran to completion.
-func (c *crashes) completed() {
+func (c *crashTracker) completed() {
 	if c.table != nil {
 		c.table.Completed(c.fingerprint)
 	}
 }
 
-// ended reports how a generation's stream ended: err is io.EOF after the last
+// streamEnded reports how a generation's stream ended: err is io.EOF after the last
 // chunk, any other error counts as a broken connection.
-func (c *crashes) ended(s *stream, err error) {
+func (c *crashTracker) streamEnded(s *stream, err error) {
 	if errors.Is(err, io.EOF) {
 		c.completed()
 		return
 	}
-	c.broke(s.place.Server, s.next == 0)
+	c.connectionBroke(s.ref.Server, s.nextOffset == 0)
 }
--- a/relay/delivery.go
+++ b/relay/delivery.go
@@ -13,23 +13,23 @@
 
 const chunkBuffer = 64 // maximum number of chunks read ahead of a slow caller
 
-// next is a chunk, or the error that ended a stream.
-type next struct {
+// streamItem is a chunk, or the error that ended a stream.
+type streamItem struct {
 	chunk backend.CompletionChunk
 	err   error
 }
 
-// read reads a stream into a bounded channel until an error or the end of ctx.
+// readAhead reads a stream into a bounded channel until an error or the end of ctx.
 // The bound passes the backpressure of a slow caller on to the engine's
 // connection, so that its chunks do not fill this host's memory.
-func (s *stream) read(ctx context.Context) <-chan next {
-	chunks := make(chan next, chunkBuffer)
+func (s *stream) readAhead(ctx context.Context) <-chan streamItem {
+	chunks := make(chan streamItem, chunkBuffer)
 	go func() {
 		defer close(chunks)
 		for {
 			chunk, err := s.Next(ctx)
 			select {
-			case chunks <- next{chunk, err}:
+			case chunks <- streamItem{chunk, err}:
 			case <-ctx.Done():
 				return
 			}
@@ -43,21 +43,21 @@
 
 // deliver writes a stream's tokens to the caller until the stream ends. The
 // stream's connections are bound to ctx; stop cancels ctx.
-func (r *Relay) deliver(ctx context.Context, stop context.CancelFunc, source *stream, out *eventWriter, started *running) *contract.Refusal {
+func (r *Relay) deliver(ctx context.Context, stop context.CancelFunc, source *stream, out *eventWriter, started *startedGeneration) *contract.Refusal {
 	if err := out.start(); err != nil {
 		stop()
 		source.Close()
 		return callerGone(err)
 	}
-	firstToken := source.firstToken() // read before the reader goroutine owns the stream
-	chunks := source.read(ctx)
+	firstToken := source.firstTokenTimeout() // called before the reader goroutine owns the stream
+	chunks := source.readAhead(ctx)
 	defer func() {
 		stop()
 		for range chunks { // the reader goroutine closes the channel when it ends
 		}
 		source.Close()
 	}()
-	d := &delivery{relay: r, out: out, signer: r.Signer.Place(source.place), service: source.place.Service, started: started}
+	d := &delivery{relay: r, out: out, signer: r.Signer.ForGeneration(source.ref), service: source.ref.Service, started: started}
 	keepAlive := time.NewTicker(r.KeepAlive)
 	defer keepAlive.Stop()
 	for {
@@ -67,11 +67,11 @@
 				return callerGone(ctx.Err())
 			}
 			firstToken = nil
-			if done, refusal := d.take(item, chunks); done {
+			if done, refusal := d.writeReady(item, chunks); done {
 				return refusal
 			}
 		case <-firstToken:
-			r.OnBackend(source.place.Server, errNoToken)
+			r.OnBackend(source.ref.Server, errNoToken)
 			return contract.Unknown(contract.ReasonDeadline, defaultRetryAfter, "no token within the service's deadline").WithCause(errNoToken)
 		case <-keepAlive.C:
 			if err := out.keepAlive(); err != nil {
@@ -103,16 +103,16 @@
 type delivery struct {
 	relay   *Relay
 	out     *eventWriter
-	signer  *PlaceSigner
+	signer  *GenerationSigner
 	service string
-	started *running // nil when the generation was started elsewhere
-	pace    pace     // when started is nil
+	started *startedGeneration // nil when the generation was started elsewhere
+	gaps    gapTimer           // when started is nil
 }
 
-// take writes one item and all further items that are ready, in one flush.
-func (d *delivery) take(item next, chunks <-chan next) (done bool, refusal *contract.Refusal) {
+// writeReady writes one item and all further items that are ready, in one flush.
+func (d *delivery) writeReady(item streamItem, chunks <-chan streamItem) (done bool, refusal *contract.Refusal) {
 	for ready := true; ready && !done; {
-		if done, refusal = d.add(item); !done {
+		if done, refusal = d.bufferEvent(item); !done {
 			item, ready = poll(chunks)
 		}
 	}
@@ -123,18 +123,18 @@
 }
 
 // poll returns the next item if one is ready, without waiting.
-func poll(chunks <-chan next) (next, bool) {
+func poll(chunks <-chan streamItem) (streamItem, bool) {
 	select {
 	case item, ok := <-chunks:
 		return item, ok
 	default:
-		return next{}, false
+		return streamItem{}, false
 	}
 }
 
-// add encodes one chunk as an event into the write buffer. done is set when the
-// stream has ended.
-func (d *delivery) add(item next) (done bool, refusal *contract.Refusal) {
+// bufferEvent encodes one chunk as an event into the write buffer. done is set when
+// the stream has ended.
+func (d *delivery) bufferEvent(item streamItem) (done bool, refusal *contract.Refusal) {
 	if item.err == io.EOF {
 		return true, nil
 	}
@@ -144,26 +144,26 @@
 	if len(item.chunk.Choices) == 0 {
 		return false, nil
 	}
-	d.relay.Metrics.token(d.service, d.observe(item.chunk))
+	d.relay.Metrics.countToken(d.service, d.recordGap(item.chunk))
 	// Encoding cannot fail: a TokenEvent has only strings and numbers.
 	if reason := finishReason(item.chunk); reason != "" {
 		total := item.chunk.Index
 		if item.chunk.Usage != nil {
 			total = item.chunk.Usage.CompletionTokens
 		}
-		_ = d.out.add(EventEnd, d.signer.At(total), TokenEvent{Index: total, Tokens: total, FinishReason: reason})
+		_ = d.out.add(EventEnd, d.signer.EventIDAt(total), TokenEvent{Index: total, Tokens: total, FinishReason: reason})
 		return false, nil
 	}
 	event := TokenEvent{Index: item.chunk.Index, Text: item.chunk.Choices[0].Text}
-	_ = d.out.add(EventToken, d.signer.At(item.chunk.Index+1), event)
+	_ = d.out.add(EventToken, d.signer.EventIDAt(item.chunk.Index+1), event)
 	return false, nil
 }
 
-// observe returns the time since the previous chunk. For a generation that this
+// recordGap returns the time since the previous chunk. For a generation that this
 // host started it also reports the progress to routing.
-func (d *delivery) observe(chunk backend.CompletionChunk) time.Duration {
+func (d *delivery) recordGap(chunk backend.CompletionChunk) time.Duration {
 	if d.started != nil {
-		return d.started.take(chunk)
+		return d.started.recordChunk(chunk)
 	}
-	return d.pace.gap()
+	return d.gaps.gap()
 }
--- a/relay/eventid.go
+++ b/relay/eventid.go
@@ -16,8 +16,8 @@
 const (
 	eventIDVersion  = "1"
 	eventIDFields   = 4 // version, location, offset, MAC
-	placeFields     = 4 // organisation, service, server, generation
-	codeBytes       = 16
+	refFields       = 4 // organisation, service, server, generation
+	macBytes        = 16
 	maxEventIDBytes = 1024
 	fieldSeparator  = "\n"
 	offsetBase      = 36
@@ -26,9 +26,9 @@
 // ErrEventID means that an event id is malformed or not authentic.
 var ErrEventID = errors.New("relay: event id is malformed or not authentic")
 
-// Place identifies a generation, its organisation, and the backend server that
-// runs it.
-type Place struct {
+// GenerationRef identifies a generation, its organisation and service, and the
+// backend server that runs it.
+type GenerationRef struct {
 	Organisation string
 	Service      string
 	Server       string // address of the backend server, IP:port
@@ -39,7 +39,7 @@
 // that the caller has not received. Any entry host can resume the stream from
 // it without shared state, because the id includes the generation's location.
 type EventID struct {
-	Place
+	GenerationRef
 	Next int
 }
 
@@ -53,30 +53,30 @@
 // NewSigner returns a signer with the given keys; at least one is required.
 func NewSigner(keys ...[]byte) *Signer { return &Signer{keys: keys} }
 
-// PlaceSigner creates the event ids of one stream.
-type PlaceSigner struct {
+// GenerationSigner creates the event ids of one stream.
+type GenerationSigner struct {
 	key    []byte
 	prefix string
 }
 
-// Place returns a signer for the events of one stream.
-func (s *Signer) Place(place Place) *PlaceSigner {
-	fields := strings.Join([]string{place.Organisation, place.Service, place.Server, place.Generation}, fieldSeparator)
+// ForGeneration returns a signer for the events of one stream.
+func (s *Signer) ForGeneration(ref GenerationRef) *GenerationSigner {
+	fields := strings.Join([]string{ref.Organisation, ref.Service, ref.Server, ref.Generation}, fieldSeparator)
 	prefix := eventIDVersion + "." + base64.RawURLEncoding.EncodeToString([]byte(fields)) + "."
-	return &PlaceSigner{key: s.keys[0], prefix: prefix}
+	return &GenerationSigner{key: s.keys[0], prefix: prefix}
 }
 
-// At returns the event id from which the stream resumes with the token at
+// EventIDAt returns the event id from which the stream resumes with the token at
 // offset next.
-func (p *PlaceSigner) At(next int) string {
-	signed := p.prefix + strconv.FormatInt(int64(next), offsetBase)
-	return signed + "." + code(p.key, signed)
+func (s *GenerationSigner) EventIDAt(next int) string {
+	signed := s.prefix + strconv.FormatInt(int64(next), offsetBase)
+	return signed + "." + eventMAC(s.key, signed)
 }
 
-func code(key []byte, signed string) string {
+func eventMAC(key []byte, signed string) string {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte(signed))
-	return base64.RawURLEncoding.EncodeToString(mac.Sum(nil)[:codeBytes])
+	return base64.RawURLEncoding.EncodeToString(mac.Sum(nil)[:macBytes])
 }
 
 // Parse decodes and verifies an event id. It returns ErrEventID if the id is
@@ -95,17 +95,17 @@
 	}
 	fields := strings.Split(string(raw), fieldSeparator)
 	next, err := strconv.ParseInt(parts[2], offsetBase, 32)
-	if err != nil || next < 0 || len(fields) != placeFields {
+	if err != nil || next < 0 || len(fields) != refFields {
 		return EventID{}, ErrEventID
 	}
-	place := Place{Organisation: fields[0], Service: fields[1], Server: fields[2], Generation: fields[3]}
-	return EventID{Place: place, Next: int(next)}, nil
+	ref := GenerationRef{Organisation: fields[0], Service: fields[1], Server: fields[2], Generation: fields[3]}
+	return EventID{GenerationRef: ref, Next: int(next)}, nil
 }
 
 func (s *Signer) authentic(id, got string) bool {
 	signed := id[:len(id)-len(got)-1]
 	for _, key := range s.keys {
-		if hmac.Equal([]byte(code(key, signed)), []byte(got)) {
+		if hmac.Equal([]byte(eventMAC(key, signed)), []byte(got)) {
 			return true
 		}
 	}
--- a/relay/generate.go
+++ b/relay/generate.go
@@ -21,14 +21,14 @@
 func (r *Relay) Generate(w http.ResponseWriter, req *http.Request, service string) {
 	out := newEventWriter(w, r.WriteTimeout)
 	refusal := r.generate(w, req, service, out)
-	r.Metrics.ended(service, refusal)
+	r.Metrics.countRequest(service, refusal)
 	if refusal != nil {
 		_ = out.fail(refusal) // fails only if the caller disconnected
 	}
 }
 
 func (r *Relay) generate(w http.ResponseWriter, req *http.Request, service string, out *eventWriter) *contract.Refusal {
-	organisation, document, refusal := r.caller(req, service)
+	organisation, document, refusal := r.authenticate(req, service)
 	if refusal != nil {
 		return refusal
 	}
@@ -37,7 +37,7 @@
 	}
 	if last := req.Header.Get(HeaderLastEventID); last != "" {
 		if !r.Accepting() { // the stream would be cut off when the host stops
-			return leaving()
+			return leavingRefusal()
 		}
 		return r.resume(req.Context(), organisation, document, last, out)
 	}
@@ -53,14 +53,14 @@
 		return r.generateOnce(req, organisation, document, body, out)
 	}
 	if !r.Accepting() {
-		return leaving()
+		return leavingRefusal()
 	}
-	return r.generateIdempotent(req.Context(), document, generation(organisation, document, body), request, out)
+	return r.generateIdempotent(req.Context(), document, newGenerationRequest(organisation, document, body), request, out)
 }
 
-// generation returns a generation request in the form in which entry hosts
-// forward it.
-func generation(organisation string, document *contract.Document, body []byte) *peerpb.ForwardRequest {
+// newGenerationRequest returns a generation request in the form in which entry
+// hosts forward it.
+func newGenerationRequest(organisation string, document *contract.Document, body []byte) *peerpb.ForwardRequest {
 	return &peerpb.ForwardRequest{Organisation: organisation, Service: document.Service, Method: http.MethodPost, Body: body}
 }
 
@@ -92,7 +92,7 @@
 func (r *Relay) attach(ctx context.Context, document *contract.Document, id EventID, out *eventWriter) *contract.Refusal {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	source := r.newStream(document, id.Place, id.Next)
+	source := r.newStream(document, id.GenerationRef, id.Next)
 	if err := source.connect(ctx); err != nil {
 		return streamRefusal(err)
 	}
@@ -102,16 +102,16 @@
 // generateOnce runs a non-idempotent generation at the home of its idempotency
 // key and delivers it. Only the home may start it; any host can read it.
 func (r *Relay) generateOnce(req *http.Request, organisation string, document *contract.Document, body []byte, out *eventWriter) *contract.Refusal {
-	parsed, refusal := key(req)
+	parsed, refusal := requestKey(req)
 	if refusal != nil {
 		return refusal
 	}
 	if r.Closing() {
-		return closing()
+		return closingRefusal()
 	}
 	ctx, stop := context.WithTimeout(req.Context(), document.Deadlines.Queue+document.Deadlines.FirstToken)
 	defer stop()
-	request := generation(organisation, document, body)
+	request := newGenerationRequest(organisation, document, body)
 	request.Key = parsed.String()
 	answer := r.homes.Run(ctx, parsed, request)
 	if answer.Refusal != nil {
@@ -126,26 +126,26 @@
 
 // generateIdempotent starts a generation and delivers it. It may start the
 // generation again on another server until a token has been delivered.
-func (r *Relay) generateIdempotent(ctx context.Context, document *contract.Document, sent *peerpb.ForwardRequest, request *GenerateRequest, out *eventWriter) *contract.Refusal {
-	tries := r.attempts(document, sent, true)
+func (r *Relay) generateIdempotent(ctx context.Context, document *contract.Document, forward *peerpb.ForwardRequest, request *GenerateRequest, out *eventWriter) *contract.Refusal {
+	tries := r.newAttempts(document, forward, true)
 	for {
-		server, delivered, refusal := r.generateOn(ctx, sent.GetOrganisation(), document, request, tries, out)
+		server, delivered, refusal := r.generateOnServer(ctx, forward.GetOrganisation(), document, request, tries, out)
 		if refusal == nil || delivered > 0 || server == "" || ctx.Err() != nil {
 			return refusal
 		}
-		if refusal.Err == nil || !tries.again(ctx, server, refusal.Err) {
+		if refusal.Err == nil || !tries.awaitRetry(ctx, server, refusal.Err) {
 			return refusal
 		}
 	}
 }
 
-// generateOn starts a generation on one server and delivers it. It returns the
-// server's name ("" if the generation was not started) and the offset of the
+// generateOnServer starts a generation on one server and delivers it. It returns
+// the server's name ("" if the generation was not started) and the offset of the
 // next token, which is the number of tokens read.
-func (r *Relay) generateOn(ctx context.Context, organisation string, document *contract.Document, request *GenerateRequest, tries *attempts, out *eventWriter) (string, int, *contract.Refusal) {
+func (r *Relay) generateOnServer(ctx context.Context, organisation string, document *contract.Document, request *GenerateRequest, tries *attempts, out *eventWriter) (string, int, *contract.Refusal) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	started, err := r.start(ctx, organisation, document, request, tries)
+	started, err := r.startGeneration(ctx, organisation, document, request, tries)
 	if err != nil {
 		return "", 0, asRefusal(err)
 	}
@@ -156,10 +156,10 @@
 	case refusal == nil:
 		tries.crashes.completed()
 	case refusal.Reason == contract.ReasonBackendFailed:
-		tries.crashes.broke(started.stream.place.Server, started.stream.next == 0)
+		tries.crashes.connectionBroke(started.stream.ref.Server, started.stream.nextOffset == 0)
 	}
-	if refusal != nil && started.stream.next == 0 {
-		r.cancel(started.stream.place)
+	if refusal != nil && started.stream.nextOffset == 0 {
+		r.cancel(started.stream.ref)
 	}
-	return started.grant.Server(), started.stream.next, refusal
+	return started.grant.Server(), started.stream.nextOffset, refusal
 }
--- a/relay/metrics.go
+++ b/relay/metrics.go
@@ -13,12 +13,12 @@
 
 // Metrics are the relay's metrics.
 type Metrics struct {
-	requests *prometheus.CounterVec   // by service, outcome and reason
-	tokens   *prometheus.CounterVec   // delivered, by service
-	stalls   *prometheus.CounterVec   // gaps of stallThreshold and more, by service
-	stalled  *prometheus.CounterVec   // seconds beyond stallThreshold, by service
-	retries  *prometheus.CounterVec   // by service
-	gaps     *prometheus.HistogramVec // gaps between tokens in seconds, by service
+	requests     *prometheus.CounterVec   // by service, outcome and reason
+	tokens       *prometheus.CounterVec   // delivered, by service
+	stalls       *prometheus.CounterVec   // gaps of stallThreshold and more, by service
+	stallSeconds *prometheus.CounterVec   // seconds beyond stallThreshold, by service
+	retries      *prometheus.CounterVec   // by service
+	gaps         *prometheus.HistogramVec // gaps between tokens in seconds, by service
 }
 
 // NewMetrics creates the relay's metrics and registers them. It panics if they
@@ -30,11 +30,11 @@
 		return c
 	}
 	m := &Metrics{
-		requests: counter("requests_total", "Requests by service, outcome and reason.", "service", "outcome", "reason"),
-		tokens:   counter("tokens_total", "Tokens delivered to callers.", "service"),
-		stalls:   counter("stalls_total", "Gaps between tokens of 0.5 s and more.", "service"),
-		stalled:  counter("stall_seconds_total", "Time in gaps between tokens beyond the first 0.5 s of each gap.", "service"),
-		retries:  counter("retries_total", "Retries of requests to backend servers.", "service"),
+		requests:     counter("requests_total", "Requests by service, outcome and reason.", "service", "outcome", "reason"),
+		tokens:       counter("tokens_total", "Tokens delivered to callers.", "service"),
+		stalls:       counter("stalls_total", "Gaps between tokens of 0.5 s and more.", "service"),
+		stallSeconds: counter("stall_seconds_total", "Time in gaps between tokens beyond the first 0.5 s of each gap.", "service"),
+		retries:      counter("retries_total", "Retries of requests to backend servers.", "service"),
 		gaps: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: "papayasail", Name: "token_gap_seconds", Help: "Gap between tokens as delivered to callers.",
 			Buckets: []float64{.005, .01, .02, .035, .05, .069, .1, .2, .5, 1, 2, 5, 10},
@@ -44,9 +44,9 @@
 	return m
 }
 
-// ended counts a finished request. Requests for unknown services share an empty
+// countRequest counts a finished request. Requests for unknown services share an empty
 // service label; otherwise callers could create an unbounded number of labels.
-func (m *Metrics) ended(service string, refusal *contract.Refusal) {
+func (m *Metrics) countRequest(service string, refusal *contract.Refusal) {
 	if refusal == nil {
 		m.requests.WithLabelValues(service, string(contract.OutcomeDone), "").Inc()
 		return
@@ -58,7 +58,7 @@
 	m.requests.WithLabelValues(service, string(refusal.Outcome), string(refusal.Reason)).Inc()
 }
 
-func (m *Metrics) token(service string, gap time.Duration) {
+func (m *Metrics) countToken(service string, gap time.Duration) {
 	m.tokens.WithLabelValues(service).Inc()
 	if gap <= 0 {
 		return // the first token
@@ -66,6 +66,6 @@
 	m.gaps.WithLabelValues(service).Observe(gap.Seconds())
 	if gap >= stallThreshold {
 		m.stalls.WithLabelValues(service).Inc()
-		m.stalled.WithLabelValues(service).Add((gap - stallThreshold).Seconds())
+		m.stallSeconds.WithLabelValues(service).Add((gap - stallThreshold).Seconds())
 	}
 }
--- a/relay/once.go
+++ b/relay/once.go
@@ -37,14 +37,14 @@
 	case document.Kind == contract.KindModel:
 		r.runGeneration(ctx, entry, document, request)
 	default:
-		entry.Finish(recorded(r.tryCall(ctx, document, request, false)))
+		entry.Finish(storedAnswer(r.tryCall(ctx, document, request, false)))
 	}
 }
 
-// recorded returns an answer in the form in which it is stored for repeats of
+// storedAnswer returns an answer in the form in which it is stored for repeats of
 // its key. A stored unknown outcome does not change later, so it has no
 // retry-after: a retry with the same key would be in vain.
-func recorded(answer record.Answer) record.Answer {
+func storedAnswer(answer record.Answer) record.Answer {
 	if answer.Refusal != nil && answer.Refusal.Outcome == contract.OutcomeUnknown {
 		final := *answer.Refusal
 		final.RetryAfter = 0
@@ -61,21 +61,21 @@
 		entry.Finish(record.Answer{Refusal: refusal})
 		return
 	}
-	tries := r.attempts(document, request, false)
-	started, err := r.start(ctx, request.GetOrganisation(), document, parsed, tries)
+	tries := r.newAttempts(document, request, false)
+	started, err := r.startGeneration(ctx, request.GetOrganisation(), document, parsed, tries)
 	if err != nil {
-		entry.Finish(recorded(record.Answer{Refusal: asRefusal(err)}))
+		entry.Finish(storedAnswer(record.Answer{Refusal: asRefusal(err)}))
 		return
 	}
-	entry.Finish(record.Answer{EventID: r.Signer.Place(started.stream.place).At(0)})
+	entry.Finish(record.Answer{EventID: r.Signer.ForGeneration(started.stream.ref).EventIDAt(0)})
 	defer started.stream.Close()
 	for {
 		chunk, err := started.stream.Next(ctx)
 		if err != nil {
-			tries.crashes.ended(started.stream, err)
+			tries.crashes.streamEnded(started.stream, err)
 			started.finish(nil)
 			return
 		}
-		started.take(chunk)
+		started.recordChunk(chunk)
 	}
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -128,13 +128,13 @@
 // SetHomes sets the runner of non-idempotent requests.
 func (r *Relay) SetHomes(homes Homes) { r.homes = homes }
 
-// caller authenticates a request and returns its organisation and the document
-// of its service.
-func (r *Relay) caller(req *http.Request, service string) (string, *contract.Document, *contract.Refusal) {
+// authenticate authenticates a request and returns its organisation and the
+// document of its service.
+func (r *Relay) authenticate(req *http.Request, service string) (string, *contract.Document, *contract.Refusal) {
 	token := BearerToken(req)
 	name, allowed := r.Organisations.Authenticate(token, service)
 	if name == "" && token != "" && r.Starting() {
-		return "", nil, r.withoutDocument(req, name, noConfiguration())
+		return "", nil, r.refuseWithoutDocument(req, name, noConfiguration())
 	}
 	if name == "" {
 		return "", nil, contract.NotRun(contract.ReasonUnauthorized, 0, "").WithStatus(http.StatusUnauthorized)
@@ -146,23 +146,23 @@
 		return "", nil, unknownService()
 	}
 	if refusal != nil {
-		refusal = r.withoutDocument(req, name, refusal)
+		refusal = r.refuseWithoutDocument(req, name, refusal)
 	}
 	return name, document, refusal
 }
 
-// withoutDocument returns the refusal of a request whose service document is
+// refuseWithoutDocument returns the refusal of a request whose service document is
 // not available on this host, because it has not arrived yet or was removed.
 //
 // Guards against a false "not run": a caller repeats a request at a host that
 // has just started and has no configuration. This attempt did not run, but an
 // earlier one may have run at the key's home. The outcome stays "not run" only if
 // this host is the home and can rule out an earlier run.
-func (r *Relay) withoutDocument(req *http.Request, organisation string, refusal *contract.Refusal) *contract.Refusal {
+func (r *Relay) refuseWithoutDocument(req *http.Request, organisation string, refusal *contract.Refusal) *contract.Refusal {
 	if req.Header.Get(HeaderKey) == "" {
 		return refusal
 	}
-	parsed, malformed := key(req)
+	parsed, malformed := requestKey(req)
 	if malformed != nil {
 		return malformed
 	}
@@ -202,14 +202,14 @@
 	return strings.TrimSpace(token)
 }
 
-// leaving returns the refusal of new work by a stopping host.
-func leaving() *contract.Refusal {
+// leavingRefusal returns the refusal of new work by a stopping host.
+func leavingRefusal() *contract.Refusal {
 	return contract.NotRun(contract.ReasonHostLeaving, time.Second, "the entry host is stopping; ask for addresses")
 }
 
-// closing returns the refusal by a host that has handed over its records. The
+// closingRefusal returns the refusal by a host that has handed over its records. The
 // outcome is unknown because the request may have run earlier.
-func closing() *contract.Refusal {
+func closingRefusal() *contract.Refusal {
 	return contract.Unknown(contract.ReasonHostLeaving, time.Second, "the entry host is stopping; repeat with the same key at another address")
 }
 
@@ -226,8 +226,8 @@
 	return nil, contract.NotRun(contract.ReasonBadRequest, 0, "the body could not be read").WithStatus(http.StatusBadRequest).WithCause(err)
 }
 
-// key parses the idempotency key of a request that may run at most once.
-func key(req *http.Request) (record.Key, *contract.Refusal) {
+// requestKey parses the idempotency key of a request that may run at most once.
+func requestKey(req *http.Request) (record.Key, *contract.Refusal) {
 	value := req.Header.Get(HeaderKey)
 	if value == "" {
 		return record.Key{}, contract.NotRun(contract.ReasonKeyRequired, 0,
--- a/relay/running.go
+++ b/relay/running.go
@@ -16,53 +16,53 @@
 	finishStop    = "stop" // finish reason of a generation that completed
 )
 
-// running is a generation that this host started, with its grant from routing.
-type running struct {
+// startedGeneration is a generation that this host started, with its grant from routing.
+type startedGeneration struct {
 	stream    *stream
 	grant     routing.Grant
-	whole     bool // it ended with finishStop
+	complete  bool // it ended with finishStop
 	preempted int  // highest count of preemptions reported by the engine
-	pace      pace
+	gaps      gapTimer
 }
 
-// take reports a chunk to routing and returns the time since the previous one.
-func (g *running) take(chunk backend.CompletionChunk) time.Duration {
+// recordChunk reports a chunk to routing and returns the time since the previous one.
+func (g *startedGeneration) recordChunk(chunk backend.CompletionChunk) time.Duration {
 	g.preempted = max(g.preempted, chunk.Preempted)
 	if reason := finishReason(chunk); reason != "" {
-		g.whole = reason == finishStop
+		g.complete = reason == finishStop
 		return 0
 	}
-	gap := g.pace.gap()
+	gap := g.gaps.gap()
 	g.grant.Progress(chunk.Index+1, gap)
 	return gap
 }
 
-func (g *running) finish(refusal *contract.Refusal) {
+func (g *startedGeneration) finish(refusal *contract.Refusal) {
 	g.grant.Done(routing.Result{
-		Tokens: g.stream.next, Complete: g.whole, Preempted: g.preempted,
+		Tokens: g.stream.nextOffset, Complete: g.complete, Preempted: g.preempted,
 		Failed: refusal != nil && refusal.Reason == contract.ReasonBackendFailed,
 	})
 }
 
-// pace measures the time between tokens.
-type pace struct {
+// gapTimer measures the time between tokens.
+type gapTimer struct {
 	last time.Time
 }
 
 // gap returns the time since the previous call, zero on the first call.
-func (p *pace) gap() time.Duration {
+func (t *gapTimer) gap() time.Duration {
 	now := time.Now()
-	defer func() { p.last = now }()
-	if p.last.IsZero() {
+	defer func() { t.last = now }()
+	if t.last.IsZero() {
 		return 0
 	}
-	return now.Sub(p.last)
+	return now.Sub(t.last)
 }
 
-// start acquires a backend server for a generation and starts it there. It
-// retries on other servers as long as that is safe. The returned error is a
+// startGeneration acquires a backend server for a generation and starts it there.
+// It retries on other servers as long as that is safe. The returned error is a
 // *contract.Refusal.
-func (r *Relay) start(ctx context.Context, organisation string, document *contract.Document, request *GenerateRequest, tries *attempts) (*running, error) {
+func (r *Relay) startGeneration(ctx context.Context, organisation string, document *contract.Document, request *GenerateRequest, tries *attempts) (*startedGeneration, error) {
 	limit := document.LimitOf(organisation)
 	for {
 		grant, err := r.acquire(ctx, tries, routing.Request{
@@ -72,26 +72,26 @@
 			Priority:   limit.Priority, Deadline: time.Now().Add(document.Deadlines.Queue),
 		})
 		if err != nil {
-			return nil, tries.settle(asRefusal(err))
+			return nil, tries.adjustOutcome(asRefusal(err))
 		}
-		place := Place{Organisation: organisation, Service: document.Service, Server: grant.Address(), Generation: uuid.NewString()}
-		current, err := r.Backend.Start(ctx, place.Server, backend.CompletionRequest{
+		ref := GenerationRef{Organisation: organisation, Service: document.Service, Server: grant.Address(), Generation: uuid.NewString()}
+		current, err := r.Backend.Start(ctx, ref.Server, backend.CompletionRequest{
 			Model: grant.Model(), Prompt: request.Prompt, MaxTokens: request.MaxTokens,
-			Stream: true, GenerationID: place.Generation, Priority: limit.Priority, StopAfter: request.StopAfter,
+			Stream: true, GenerationID: ref.Generation, Priority: limit.Priority, StopAfter: request.StopAfter,
 		})
-		r.OnBackend(place.Server, err)
+		r.OnBackend(ref.Server, err)
 		if err == nil {
-			source := r.newStream(document, place, 0)
-			source.use(current)
-			return &running{grant: grant, stream: source}, nil
+			source := r.newStream(document, ref, 0)
+			source.setConnection(current)
+			return &startedGeneration{grant: grant, stream: source}, nil
 		}
-		grant.Done(routing.Result{Failed: true, NotRun: ranNothing(err)})
-		tries.crashes.failed(ctx, place.Server, err)
-		if !ranNothing(err) {
-			r.cancel(place) // the generation may run without a reader
+		grant.Done(routing.Result{Failed: true, NotRun: provenNotRun(err)})
+		tries.crashes.sendFailed(ctx, ref.Server, err)
+		if !provenNotRun(err) {
+			r.cancel(ref) // the generation may run without a reader
 		}
-		if !tries.again(ctx, grant.Server(), err) {
-			return nil, tries.refusal(err)
+		if !tries.awaitRetry(ctx, grant.Server(), err) {
+			return nil, tries.finalRefusal(err)
 		}
 		r.Metrics.retries.WithLabelValues(document.Service).Inc()
 	}
@@ -99,10 +99,10 @@
 
 // cancel asks the engine, in the background, to cancel a generation that nobody
 // will read, so that its memory is freed.
-func (r *Relay) cancel(place Place) {
+func (r *Relay) cancel(ref GenerationRef) {
 	go func() {
 		ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 		defer stop()
-		_ = r.Backend.Cancel(ctx, place.Server, place.Generation) // on failure the engine's grace period ends the generation
+		_ = r.Backend.Cancel(ctx, ref.Server, ref.Generation) // on failure the engine's grace period ends the generation
 	}()
 }
