--- a/record/handover.go
+++ b/record/handover.go
@@ -10,9 +10,9 @@
 	"github.com/papayasail/papayasail/peer/peerpb"
 )
 
-// pageBytes bounds one page of a hand-over. It is below the size limit of a gRPC
+// maxPageBytes bounds one page of a hand-over. It is below the size limit of a gRPC
 // message.
-const pageBytes = 1 << 20
+const maxPageBytes = 1 << 20
 
 // Pages returns the records that a stopping host hands over, in pages. The map
 // is keyed by Home.Life and has an element for the host's own incarnation and
@@ -21,15 +21,15 @@
 func (l *Ledger) Pages() map[string][]*peerpb.HandOverRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	byLife := make(map[string][]*Entry)
+	byIncarnation := make(map[string][]*Entry)
 	for _, entry := range l.entries {
-		life := entry.key.Home.Life()
-		byLife[life] = append(byLife[life], entry)
+		incarnationID := entry.key.Home.Life()
+		byIncarnation[incarnationID] = append(byIncarnation[incarnationID], entry)
 	}
 	own := l.Home()
-	pages := map[string][]*peerpb.HandOverRequest{own.Life(): pagesOf(own, byLife[own.Life()], true)}
-	for life, adopted := range l.lives {
-		pages[life] = pagesOf(adopted.home, byLife[life], adopted.complete)
+	pages := map[string][]*peerpb.HandOverRequest{own.Life(): pagesOf(own, byIncarnation[own.Life()], true)}
+	for incarnationID, adopted := range l.adoptions {
+		pages[incarnationID] = pagesOf(adopted.home, byIncarnation[incarnationID], adopted.complete)
 	}
 	return pages
 }
@@ -39,7 +39,7 @@
 	pages := []*peerpb.HandOverRequest{page}
 	size := 0
 	for _, entry := range entries {
-		if size += entry.bytes; size > pageBytes && len(page.Records) > 0 {
+		if size += entry.bytes; size > maxPageBytes && len(page.Records) > 0 {
 			page = &peerpb.HandOverRequest{Home: home.String()}
 			pages = append(pages, page)
 			size = entry.bytes
@@ -85,12 +85,12 @@
 	if l.closed {
 		return ErrClosed
 	}
-	adopted := l.lives[home.Life()]
+	adopted := l.adoptions[home.Life()]
 	if adopted == nil {
 		adopted = &adoption{home: home}
-		l.lives[home.Life()] = adopted
+		l.adoptions[home.Life()] = adopted
 	}
-	adopted.until = time.Now().Add(l.options.Epoch * time.Duration(l.options.RetainEpochs))
+	adopted.expires = time.Now().Add(l.options.Epoch * time.Duration(l.options.RetainEpochs))
 	for _, record := range page.GetRecords() {
 		l.adoptRecord(adopted, record)
 	}
@@ -102,7 +102,7 @@
 func (l *Ledger) adoptRecord(adopted *adoption, record *peerpb.Record) {
 	key, err := ParseKey(record.GetKey())
 	organisation, fingerprint, ok := splitFingerprint(record.GetFingerprint())
-	if err != nil || !ok || !key.Home.SameLife(adopted.home) {
+	if err != nil || !ok || !key.Home.SameIncarnation(adopted.home) {
 		// A record that cannot be decoded may belong to any key: from now on a key
 		// of this incarnation without a record is "unknown" and not "not run".
 		adopted.home.Epoch = ^uint64(0)
--- a/record/home.go
+++ b/record/home.go
@@ -14,7 +14,7 @@
 	homeFields  = 3 // host, incarnation, epoch
 	keyFields   = homeFields + 1
 	maxKeyBytes = 200
-	base        = 36
+	numberBase  = 36
 )
 
 // ErrKey means that an idempotency key or a home is malformed.
@@ -31,18 +31,18 @@
 
 // String formats the home as HOST.INCARNATION.EPOCH, with numbers in base 36.
 func (h Home) String() string {
-	return h.Life() + "." + strconv.FormatUint(h.Epoch, base)
+	return h.Life() + "." + strconv.FormatUint(h.Epoch, numberBase)
 }
 
 // Life formats the host and its incarnation as HOST.INCARNATION, without the
 // epoch.
 func (h Home) Life() string {
-	return h.Host + "." + strconv.FormatUint(h.Incarnation, base)
+	return h.Host + "." + strconv.FormatUint(h.Incarnation, numberBase)
 }
 
-// SameLife reports whether two homes belong to the same incarnation of the same
-// host.
-func (h Home) SameLife(o Home) bool {
+// SameIncarnation reports whether two homes belong to the same incarnation of the
+// same host.
+func (h Home) SameIncarnation(o Home) bool {
 	return h.Host == o.Host && h.Incarnation == o.Incarnation
 }
 
@@ -53,11 +53,11 @@
 	if len(parts) != homeFields || parts[0] == "" {
 		return Home{}, ErrKey
 	}
-	incarnation, err := strconv.ParseUint(parts[1], base, 64)
+	incarnation, err := strconv.ParseUint(parts[1], numberBase, 64)
 	if err != nil {
 		return Home{}, ErrKey
 	}
-	epoch, err := strconv.ParseUint(parts[2], base, 64)
+	epoch, err := strconv.ParseUint(parts[2], numberBase, 64)
 	if err != nil {
 		return Home{}, ErrKey
 	}
@@ -90,7 +90,7 @@
 		return Key{}, ErrKey
 	}
 	unique := s[cut+1:]
-	if unique == "" || strings.ContainsFunc(unique, notUniqueRune) {
+	if unique == "" || strings.ContainsFunc(unique, invalidUniqueRune) {
 		return Key{}, ErrKey
 	}
 	home, err := ParseHome(s[:cut])
@@ -100,7 +100,7 @@
 	return Key{Home: home, Unique: unique}, nil
 }
 
-func notUniqueRune(r rune) bool {
+func invalidUniqueRune(r rune) bool {
 	switch {
 	case r >= '0' && r <= '9', r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r == '-', r == '_':
 		return false
--- a/record/ledger.go
+++ b/record/ledger.go
@@ -49,15 +49,15 @@
 	options Options
 	start   time.Time // monotonic
 
-	mu      sync.Mutex           // guards all below
-	entries map[recordKey]*Entry // own and adopted
-	lives   map[string]*adoption // hand-overs received from other hosts, by Home.Life
-	bytes   int                  // sum of Entry.bytes
-	closed  bool                 // set by Close: no new request starts
-	running int                  // entries begun and not finished
-	idle    chan struct{}        // closed once closed is set and running is zero
-	epochs  map[uint64][]*Entry  // own entries by the epoch of their key, for eviction
-	oldest  uint64               // lowest epoch that may still be in epochs
+	mu             sync.Mutex           // guards all below
+	entries        map[recordKey]*Entry // own and adopted
+	adoptions      map[string]*adoption // hand-overs received from other hosts, by Home.Life
+	bytes          int                  // sum of Entry.bytes
+	closed         bool                 // set by Close: no new request starts
+	running        int                  // entries begun and not finished
+	idle           chan struct{}        // closed once closed is set and running is zero
+	entriesByEpoch map[uint64][]*Entry  // own entries by the epoch of their key, for eviction
+	oldestEpoch    uint64               // lowest epoch that may still be in entriesByEpoch
 }
 
 type recordKey struct {
@@ -69,7 +69,7 @@
 type adoption struct {
 	home     Home      // its epoch was the current one when the host built the pages
 	complete bool      // the last page has arrived
-	until    time.Time // when the entries are evicted
+	expires  time.Time // when the entries are evicted
 	entries  []*Entry
 }
 
@@ -97,13 +97,13 @@
 	}
 	start := time.Now()
 	return &Ledger{
-		options: options,
-		start:   start,
-		oldest:  EpochAt(start, options.Epoch) - 1,
-		entries: make(map[recordKey]*Entry),
-		lives:   make(map[string]*adoption),
-		epochs:  make(map[uint64][]*Entry),
-		idle:    make(chan struct{}),
+		options:        options,
+		start:          start,
+		oldestEpoch:    EpochAt(start, options.Epoch) - 1,
+		entries:        make(map[recordKey]*Entry),
+		adoptions:      make(map[string]*adoption),
+		entriesByEpoch: make(map[uint64][]*Entry),
+		idle:           make(chan struct{}),
 	}
 }
 
@@ -129,12 +129,12 @@
 // Holds reports whether this ledger answers for keys of the home: keys of its own
 // incarnation or of an adopted one.
 func (l *Ledger) Holds(home Home) bool {
-	if home.SameLife(l.Home()) {
+	if home.SameIncarnation(l.Home()) {
 		return true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.lives[home.Life()] != nil
+	return l.adoptions[home.Life()] != nil
 }
 
 // NeverRan reports whether it is certain that the request of a key did not run:
@@ -146,7 +146,7 @@
 	if l.entries[recordKey{organisation: organisation, key: key.String()}] != nil {
 		return false
 	}
-	refusal := l.mayStart(key)
+	refusal := l.checkStart(key)
 	return refusal == nil || refusal.Outcome == contract.OutcomeNotRun
 }
 
@@ -164,7 +164,7 @@
 		}
 		return entry, false, nil
 	}
-	if refusal := l.mayStart(key); refusal != nil {
+	if refusal := l.checkStart(key); refusal != nil {
 		return nil, false, refusal
 	}
 	l.evict(l.epoch())
@@ -173,17 +173,17 @@
 	}
 	entry := &Entry{ledger: l, id: id, key: key, fingerprint: fingerprint, done: make(chan struct{}), bytes: entryOverheadBytes}
 	l.entries[id] = entry
-	l.epochs[key.Home.Epoch] = append(l.epochs[key.Home.Epoch], entry)
+	l.entriesByEpoch[key.Home.Epoch] = append(l.entriesByEpoch[key.Home.Epoch], entry)
 	l.bytes += entry.bytes
 	l.running++
 	return entry, true, nil
 }
 
-// mayStart returns nil if a key without a record may start a request, else the
+// checkStart returns nil if a key without a record may start a request, else the
 // refusal. Callers hold mu.
-func (l *Ledger) mayStart(key Key) *contract.Refusal {
-	if !key.Home.SameLife(l.Home()) {
-		return l.unseenAdopted(key)
+func (l *Ledger) checkStart(key Key) *contract.Refusal {
+	if !key.Home.SameIncarnation(l.Home()) {
+		return l.refuseAdopted(key)
 	}
 	now := l.epoch()
 	switch {
@@ -198,10 +198,10 @@
 	return nil
 }
 
-// unseenAdopted returns the refusal of a key of another incarnation that has no
+// refuseAdopted returns the refusal of a key of another incarnation that has no
 // record here. Callers hold mu.
-func (l *Ledger) unseenAdopted(key Key) *contract.Refusal {
-	adopted := l.lives[key.Home.Life()]
+func (l *Ledger) refuseAdopted(key Key) *contract.Refusal {
+	adopted := l.adoptions[key.Home.Life()]
 	if adopted == nil || !adopted.complete || key.Home.Epoch+1 < adopted.home.Epoch {
 		return contract.Unknown(contract.ReasonHomeGone, 0, "the entry host that could tell is gone").WithStatus(410)
 	}
@@ -220,22 +220,22 @@
 // the ledger is full, it also drops records within retention whose keys can no
 // longer start a request, oldest epoch first. Callers hold mu.
 func (l *Ledger) evict(now uint64) {
-	for ; l.oldest+1 < now; l.oldest++ {
-		kept := l.oldest+1+l.options.RetainEpochs >= now
+	for ; l.oldestEpoch+1 < now; l.oldestEpoch++ {
+		kept := l.oldestEpoch+1+l.options.RetainEpochs >= now
 		if kept && !l.full() {
 			break
 		}
-		for _, entry := range l.epochs[l.oldest] {
+		for _, entry := range l.entriesByEpoch[l.oldestEpoch] {
 			l.drop(entry)
 		}
-		delete(l.epochs, l.oldest)
+		delete(l.entriesByEpoch, l.oldestEpoch)
 	}
-	for life, adopted := range l.lives {
-		if time.Now().After(adopted.until) {
+	for incarnationID, adopted := range l.adoptions {
+		if time.Now().After(adopted.expires) {
 			for _, entry := range adopted.entries {
 				l.drop(entry)
 			}
-			delete(l.lives, life)
+			delete(l.adoptions, incarnationID)
 		}
 	}
 }
@@ -267,15 +267,15 @@
 	if answer.Refusal != nil && answer.Refusal.Outcome == contract.OutcomeNotRun {
 		l.drop(e)
 	} else if l.entries[e.id] == e {
-		e.keep()
+		e.accountMemory()
 	}
 	l.signalIdle()
 }
 
-// keep accounts for the answer's memory. An answer that would exceed the bound is
-// not kept. Its entry stays, so the request still cannot run twice, but a repeat
-// is answered with "unknown". Callers hold Ledger.mu.
-func (e *Entry) keep() {
+// accountMemory adds the answer's size to the ledger's memory use. An answer that
+// would exceed the bound is not kept. Its entry stays, so the request still cannot
+// run twice, but a repeat is answered with "unknown". Callers hold Ledger.mu.
+func (e *Entry) accountMemory() {
 	l := e.ledger
 	size := e.answer.size()
 	if l.bytes-e.bytes+size > l.options.MaxBytes {
--- a/record/ledger_test.go
+++ b/record/ledger_test.go
@@ -46,7 +46,7 @@
 
 // Guards against a stored "not run" blocking the retry: the first attempt found
 // no backend server, and the caller repeats the request with the same key.
-func TestNotRunIsForgotten(t *testing.T) {
+func TestNotRunKeyMayStartAgain(t *testing.T) {
 	is := is.New(t)
 	l := newTestLedger("h1")
 	key := l.Home().String() + ".ack-1"
@@ -58,7 +58,7 @@
 
 // Guards against a second run of a request that is repeated after its record was
 // evicted: it must not run, and its outcome is "unknown".
-func TestOldKeyNeverRunsAfterItsRecordWasDropped(t *testing.T) {
+func TestOldKeyNeverRunsAfterEviction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		l := newTestLedger("h1")
@@ -129,7 +129,7 @@
 
 // Guards against a flood of keys that fills the host's memory or evicts records
 // whose keys may still start.
-func TestFullLedgerRefusesAndForgetsNothing(t *testing.T) {
+func TestFullLedgerRefusesAndKeepsRecords(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger(Options{Host: "h1", Incarnation: 7, MaxBytes: 3 * entryOverheadBytes})
 	home := l.Home().String()
@@ -168,7 +168,7 @@
 
 // Guards against a false "not run" for a call that ran before its service was
 // removed.
-func TestKeyMayHaveRunUnlessItsLifeHasNoRecord(t *testing.T) {
+func TestNeverRan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		l := newTestLedger("h1")
