--- a/caller/addressbook.go
+++ b/caller/addressbook.go
@@ -50,9 +50,9 @@
 type addressBook struct {
 	fetch func(ctx context.Context, base string) (Addresses, error)
 	seeds []string
-	// asking combines concurrent fetches into one. Otherwise every request of a
+	// fetches combines concurrent fetches into one. Otherwise every request of a
 	// busy client that finds the list expired would fetch it.
-	asking singleflight.Group
+	fetches singleflight.Group
 
 	mu      sync.Mutex // guards the fields below
 	list    []Address  // best first, failed addresses last
@@ -74,9 +74,9 @@
 	return "http://" + seed
 }
 
-// first returns the first address of the list. It fetches the list if it has
+// preferred returns the first address of the list. It fetches the list if it has
 // expired or is empty.
-func (b *addressBook) first(ctx context.Context) (Address, error) {
+func (b *addressBook) preferred(ctx context.Context) (Address, error) {
 	b.mu.Lock()
 	list, fresh := b.list, time.Now().Before(b.expires)
 	b.mu.Unlock()
@@ -97,8 +97,8 @@
 // refresh fetches the address list, shared with all concurrent callers. The fetch
 // continues if the caller that started it gives up.
 func (b *addressBook) refresh(ctx context.Context) error {
-	result := b.asking.DoChan("addresses", func() (any, error) {
-		return nil, b.ask(context.WithoutCancel(ctx))
+	result := b.fetches.DoChan("addresses", func() (any, error) {
+		return nil, b.fetchAny(context.WithoutCancel(ctx))
 	})
 	select {
 	case r := <-result:
@@ -108,9 +108,9 @@
 	}
 }
 
-// ask fetches the address list from the cached addresses and then the seeds,
-// until one returns addresses or refuses the token.
-func (b *addressBook) ask(ctx context.Context) error {
+// fetchAny requests the address list from the cached addresses and then from the
+// seeds, until one returns addresses or refuses the token.
+func (b *addressBook) fetchAny(ctx context.Context) error {
 	err := errors.New("caller: no entry host to ask")
 	for _, base := range b.bases() {
 		var answer Addresses
@@ -151,9 +151,9 @@
 	b.expires = time.Now().Add(time.Duration(answer.KeepSeconds) * time.Second)
 }
 
-// failed moves an address to the end of the list. If it is the only one, the list
+// demote moves an address to the end of the list. If it is the only one, the list
 // expires.
-func (b *addressBook) failed(address Address) {
+func (b *addressBook) demote(address Address) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rest := make([]Address, 0, len(b.list))
--- a/caller/attempts.go
+++ b/caller/attempts.go
@@ -24,109 +24,109 @@
 // outcome instead of running the request again. A new key is used only while
 // every attempt so far is known not to have run.
 type attempts struct {
-	client  *Client
-	address Address
-	key     string
-	unknown bool // an attempt may have run
-	told    bool // a failure of the backend server was reported before for this key
-	failed  int  // consecutive attempts without progress
+	client          *Client
+	address         Address
+	key             string
+	mayHaveRun      bool // an attempt may have run
+	failureReported bool // a failure of the backend server was reported before for this key
+	failures        int  // consecutive attempts without progress
 }
 
-// begin chooses the address of the next attempt and, where allowed, a new key. It
-// repeats the address lookup while no entry host returns an address, for example
-// while all entry hosts are being replaced.
-func (a *attempts) begin(ctx context.Context) error {
+// chooseAddress chooses the address of the next attempt and, where allowed, a new
+// key. It repeats the address lookup while no entry host returns an address, for
+// example while all entry hosts are being replaced.
+func (a *attempts) chooseAddress(ctx context.Context) error {
 	for {
-		address, err := a.client.book.first(ctx)
+		address, err := a.client.book.preferred(ctx)
 		if err == nil {
-			a.use(address)
+			a.setAddress(address)
 			return nil
 		}
-		wait := a.waitForAddresses(err)
-		a.failed++
-		if wait <= 0 || a.failed >= a.client.config.MaxAttempts {
-			return a.final(err)
+		wait := a.addressRetryDelay(err)
+		a.failures++
+		if wait <= 0 || a.failures >= a.client.config.MaxAttempts {
+			return a.finalError(err)
 		}
 		if err := pause(ctx, wait); err != nil {
-			return a.final(err)
+			return a.finalError(err)
 		}
 	}
 }
 
-func (a *attempts) use(address Address) {
+func (a *attempts) setAddress(address Address) {
 	a.address = address
-	if !a.unknown {
+	if !a.mayHaveRun {
 		a.key = address.mintKey()
 	}
 }
 
-// waitForAddresses returns the wait before the next address lookup after err;
+// addressRetryDelay returns the wait before the next address lookup after err;
 // zero means that the lookup is not repeated.
-func (a *attempts) waitForAddresses(err error) time.Duration {
+func (a *attempts) addressRetryDelay(err error) time.Duration {
 	var refusal *contract.Refusal
 	if errors.As(err, &refusal) {
 		return refusal.RetryAfter
 	}
-	return backoff(a.failed)
+	return backoff(a.failures)
 }
 
-// progress resets the count of attempts without progress.
-func (a *attempts) progress() { a.failed = 0 }
+// resetFailures resets the count of attempts without progress.
+func (a *attempts) resetFailures() { a.failures = 0 }
 
-// next prepares the attempt that follows one ended by cause. It waits for the
-// retry time of cause and chooses an address. It returns nil if another attempt
-// may be made, and otherwise the error for the caller.
-func (a *attempts) next(ctx context.Context, cause error) error {
+// prepareNext prepares the attempt that follows one ended by cause. It waits for
+// the retry time of cause and chooses an address. It returns nil if another
+// attempt may be made, and otherwise the error for the caller.
+func (a *attempts) prepareNext(ctx context.Context, cause error) error {
 	refusal := asRefusal(cause)
-	a.unknown = a.unknown || refusal.Outcome == contract.OutcomeUnknown
-	a.failed++
-	if a.recorded(refusal) {
-		return a.final(refusal)
+	a.mayHaveRun = a.mayHaveRun || refusal.Outcome == contract.OutcomeUnknown
+	a.failures++
+	if a.isRecordedFailure(refusal) {
+		return a.finalError(refusal)
 	}
-	if refusal.RetryAfter <= 0 || a.failed >= a.client.config.MaxAttempts {
-		return a.final(refusal)
+	if refusal.RetryAfter <= 0 || a.failures >= a.client.config.MaxAttempts {
+		return a.finalError(refusal)
 	}
-	a.client.book.failed(a.address)
+	a.client.book.demote(a.address)
 	if refusal.Reason == contract.ReasonHostLeaving || refusal.Reason == contract.ReasonKeyInvalid {
 		a.client.book.expire()
 	}
 	if err := pause(ctx, refusal.RetryAfter); err != nil {
-		return a.final(err)
+		return a.finalError(err)
 	}
-	return a.begin(ctx)
+	return a.chooseAddress(ctx)
 }
 
-// recorded reports whether the refusal is the home's record of a run that failed
-// on its backend server. A refusal that is returned twice for one key is such a
-// record and does not change. Without this check the caller would use up all its
-// attempts to get the same refusal.
-func (a *attempts) recorded(refusal *contract.Refusal) bool {
+// isRecordedFailure reports whether the refusal is the home's record of a run that
+// failed on its backend server, and sets failureReported. Such a refusal that is
+// returned twice for one key is recorded and does not change. Without this check
+// the caller would use up all its attempts to get the same refusal.
+func (a *attempts) isRecordedFailure(refusal *contract.Refusal) bool {
 	if refusal.Outcome != contract.OutcomeUnknown || refusal.Reason != contract.ReasonBackendFailed {
 		return false
 	}
-	again := a.told
-	a.told = true
+	again := a.failureReported
+	a.failureReported = true
 	return again
 }
 
-// final returns the error for the caller. Once an attempt may have run, the
+// finalError returns the error for the caller. Once an attempt may have run, the
 // outcome is "unknown" even if a later attempt was refused as "not run".
-func (a *attempts) final(cause error) error {
+func (a *attempts) finalError(cause error) error {
 	refusal := *asRefusal(cause)
-	if a.unknown {
+	if a.mayHaveRun {
 		refusal.Outcome = contract.OutcomeUnknown
 	}
 	return &refusal
 }
 
-// broken returns the refusal of an attempt whose connection failed. Its retry time
-// grows with the number of consecutive failures.
-func (a *attempts) broken(sent bool, err error) *contract.Refusal {
+// connectionRefusal returns the refusal of an attempt whose connection failed. Its
+// retry time grows with the number of consecutive failures.
+func (a *attempts) connectionRefusal(sent bool, err error) *contract.Refusal {
 	var refusal *contract.Refusal
 	if errors.As(err, &refusal) {
 		return refusal // the request could not even be built
 	}
-	wait := backoff(a.failed)
+	wait := backoff(a.failures)
 	if !sent {
 		return contract.NotRun(contract.ReasonHomeUnreachable, wait, "no connection to the entry host").WithCause(err)
 	}
--- a/caller/call.go
+++ b/caller/call.go
@@ -27,7 +27,7 @@
 // idempotent.
 func (c *Client) Call(ctx context.Context, service, method, path string, body []byte, header http.Header) (*Answer, error) {
 	a := &attempts{client: c}
-	if err := a.begin(ctx); err != nil {
+	if err := a.chooseAddress(ctx); err != nil {
 		return nil, err
 	}
 	for {
@@ -35,7 +35,7 @@
 		if err == nil {
 			return answer, nil
 		}
-		if err := a.next(ctx, err); err != nil {
+		if err := a.prepareNext(ctx, err); err != nil {
 			return nil, err
 		}
 	}
@@ -53,15 +53,15 @@
 	target := a.address.URL + "/v1/services/" + url.PathEscape(call.service) + "/call/" + strings.TrimPrefix(call.path, "/")
 	response, sent, err := c.send(ctx, a.key, call.method, target, call.body, call.header)
 	if err != nil {
-		return nil, a.broken(sent, err)
+		return nil, a.connectionRefusal(sent, err)
 	}
 	defer response.Body.Close()
 	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1))
 	if err != nil || len(answer) > maxAnswerBytes {
-		return nil, a.broken(true, err)
+		return nil, a.connectionRefusal(true, err)
 	}
 	if isProblem(response) {
-		if _, ours := parseProblem(answer); ours {
+		if _, isRefusal := parseProblem(answer); isRefusal {
 			return nil, refusalOf(response, answer)
 		}
 	}
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -21,47 +21,47 @@
 )
 
 const (
-	desk   = "10.0.1.1"
-	hostA  = "10.0.0.1"
-	hostB  = "10.0.0.2"
-	tokens = 6
+	callerIP = "10.0.1.1"
+	hostA    = "10.0.0.1"
+	hostB    = "10.0.0.2"
+	tokens   = 6
 )
 
-// site is a pair of entry hosts whose responses are scripted by the test.
-type site struct {
+// testHosts is a pair of entry hosts whose responses are scripted by the test.
+type testHosts struct {
 	t      *testing.T
 	fabric *network.Fabric
 	client *Client
 
-	mu       sync.Mutex    // guards the fields below
-	keys     []string      // Idempotency-Key of each request, in order
-	resumed  []string      // Last-Event-ID of each resumption
-	asked    int           // number of address requests
-	dark     bool          // address requests are refused
-	travel   time.Duration // delay of the response to an address request
-	generate func(w http.ResponseWriter, host string, from int)
-	call     func(w http.ResponseWriter, host string)
+	mu              sync.Mutex    // guards the fields below
+	keys            []string      // Idempotency-Key of each request, in order
+	resumed         []string      // Last-Event-ID of each resumption
+	addressRequests int           // number of address requests
+	noAddresses     bool          // address requests are refused
+	addressDelay    time.Duration // delay of the response to an address request
+	generate        func(w http.ResponseWriter, host string, from int)
+	call            func(w http.ResponseWriter, host string)
 }
 
-func newSite(t *testing.T) *site {
-	s := &site{t: t, fabric: network.New(network.Options{})}
+func newTestHosts(t *testing.T) *testHosts {
+	s := &testHosts{t: t, fabric: network.New(network.Options{})}
 	for _, ip := range []string{hostA, hostB} {
 		s.serve(ip)
 	}
-	client, err := New(Config{Seeds: []string{hostA + ":80", hostB + ":80"}, Token: "t", Network: s.fabric.Host(desk)})
+	client, err := New(Config{Seeds: []string{hostA + ":80", hostB + ":80"}, Token: "t", Network: s.fabric.Host(callerIP)})
 	is.New(t).NoErr(err)
 	s.client = client
 	t.Cleanup(client.Close)
 	return s
 }
 
-func (s *site) serve(ip string) {
+func (s *testHosts) serve(ip string) {
 	listener, err := s.fabric.Host(ip).Listen(ip + ":80")
 	is.New(s.t).NoErr(err)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/addresses", s.addresses)
 	mux.HandleFunc("POST /v1/services/{service}/generations", func(w http.ResponseWriter, r *http.Request) {
-		s.note(r)
+		s.recordRequest(r)
 		from := 0
 		if last := r.Header.Get("Last-Event-ID"); last != "" {
 			from, _ = strconv.Atoi(strings.TrimPrefix(last, "e"))
@@ -70,7 +70,7 @@
 		s.generate(w, ip, from)
 	})
 	mux.HandleFunc("/v1/services/{service}/call/{path...}", func(w http.ResponseWriter, r *http.Request) {
-		s.note(r)
+		s.recordRequest(r)
 		s.call(w, ip)
 	})
 	server := &http.Server{Handler: mux}
@@ -78,7 +78,7 @@
 	s.t.Cleanup(func() { _ = server.Close() })
 }
 
-func (s *site) note(r *http.Request) {
+func (s *testHosts) recordRequest(r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keys = append(s.keys, r.Header.Get("Idempotency-Key"))
@@ -87,13 +87,13 @@
 	}
 }
 
-func (s *site) addresses(w http.ResponseWriter, _ *http.Request) {
+func (s *testHosts) addresses(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	s.asked++
-	dark := s.dark
+	s.addressRequests++
+	noAddresses := s.noAddresses
 	s.mu.Unlock()
-	time.Sleep(s.travel)
-	if dark {
+	time.Sleep(s.addressDelay)
+	if noAddresses {
 		refuse(w, http.StatusServiceUnavailable, contract.OutcomeNotRun, contract.ReasonHostLeaving, time.Second)
 		return
 	}
@@ -120,9 +120,9 @@
 	_ = json.NewEncoder(w).Encode(problem{Outcome: outcome, Reason: reason, RetryAfterMS: retry.Milliseconds()})
 }
 
-// whole reads a stream to its end and checks that each token arrived once and in
+// readComplete reads a stream to its end and checks that each token arrived once and in
 // order.
-func whole(t *testing.T, s *Stream) {
+func readComplete(t *testing.T, s *Stream) {
 	t.Helper()
 	is := is.New(t)
 	for i := 0; ; i++ {
@@ -139,10 +139,10 @@
 
 // Guards against lost or repeated tokens when the entry host crashes in the middle
 // of a stream: the stream continues with the next token from the other entry host.
-func TestStreamResumesAtAnotherHostAfterDeath(t *testing.T) {
+func TestStreamResumesAtAnotherHostAfterCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
+		s := newTestHosts(t)
 		s.generate = func(w http.ResponseWriter, host string, from int) {
 			if host == hostA {
 				sendTokens(w, 0, 3)
@@ -155,22 +155,22 @@
 		}
 		stream, err := s.client.Generate(context.Background(), "outlook", Request{Prompt: "p"})
 		is.NoErr(err)
-		whole(t, stream)
+		readComplete(t, stream)
 		is.Equal(stream.Host(), "b")
 		is.Equal(s.resumed, []string{"e2"})
 	})
 }
 
 // Guards against streams that stay frozen on a stalled connection.
-func TestStreamLeavesSilentConnection(t *testing.T) {
+func TestStreamReconnectsAfterStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
+		s := newTestHosts(t)
 		s.generate = func(w http.ResponseWriter, host string, from int) {
 			if host == hostA {
 				sendTokens(w, 0, 2)
 				time.Sleep(time.Second)
-				s.fabric.SilenceOpen(desk, hostA)
+				s.fabric.SilenceOpen(callerIP, hostA)
 				time.Sleep(time.Hour)
 			}
 			sendTokens(w, from, tokens)
@@ -178,7 +178,7 @@
 		}
 		stream, err := s.client.Generate(context.Background(), "outlook", Request{})
 		is.NoErr(err)
-		whole(t, stream)
+		readComplete(t, stream)
 		is.Equal(stream.Resumes(), 1)
 		time.Sleep(2 * time.Hour) // lets the sleeping handler end
 	})
@@ -186,10 +186,10 @@
 
 // Guards against a reconnection while a long prompt delays the first token by a
 // minute: keep-alive comments show that the connection is alive.
-func TestStreamStaysWhileKeepAlivesCome(t *testing.T) {
+func TestStreamKeepsConnectionWithKeepAlives(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
+		s := newTestHosts(t)
 		s.generate = func(w http.ResponseWriter, _ string, _ int) {
 			for range 60 {
 				fmt.Fprint(w, ": keep-alive\n\n")
@@ -201,14 +201,14 @@
 		}
 		stream, err := s.client.Generate(context.Background(), "outlook", Request{})
 		is.NoErr(err)
-		whole(t, stream)
+		readComplete(t, stream)
 		is.Equal(stream.Resumes(), 0)
 		is.Equal(len(s.keys), 1)
 	})
 }
 
 // Guards against wrong or partial streams that the caller takes for complete ones.
-func TestStreamNeverPassesWrongAnswer(t *testing.T) {
+func TestStreamRejectsWrongOrPartialStream(t *testing.T) {
 	cases := map[string]struct {
 		send   func(w http.ResponseWriter)
 		reason contract.Reason
@@ -224,7 +224,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s := newSite(t)
+				s := newTestHosts(t)
 				s.generate = func(w http.ResponseWriter, _ string, _ int) { c.send(w) }
 				stream, err := s.client.Generate(context.Background(), "outlook", Request{})
 				for err == nil {
@@ -245,7 +245,7 @@
 func TestCallRepeatsWithSameKeyAfterLostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
+		s := newTestHosts(t)
 		s.call = func(w http.ResponseWriter, host string) {
 			if host == hostA {
 				panic(http.ErrAbortHandler)
@@ -267,10 +267,10 @@
 
 // Guards against a retry before the time that an overloaded entry host requested.
 // The call did not run, so the retry may use a key of another home.
-func TestCallHonoursRetryAfterAndMintsNewKeyWhenNotRun(t *testing.T) {
+func TestCallWaitsForRetryAfterAndUsesNewKeyWhenNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
+		s := newTestHosts(t)
 		s.call = func(w http.ResponseWriter, host string) {
 			if host == hostA {
 				refuse(w, http.StatusServiceUnavailable, contract.OutcomeNotRun, contract.ReasonOverloaded, 3*time.Second)
@@ -288,10 +288,10 @@
 
 // Guards against callers that retry for minutes although the recorded outcome
 // stays unknown.
-func TestCallEndsWhenTheRecordSaysUnknownAgain(t *testing.T) {
+func TestCallEndsAfterRepeatedUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
+		s := newTestHosts(t)
 		s.call = func(w http.ResponseWriter, _ string) {
 			refuse(w, http.StatusBadGateway, contract.OutcomeUnknown, contract.ReasonBackendFailed, time.Second)
 		}
@@ -309,7 +309,7 @@
 func TestUnknownOutcomeNeverTurnsIntoNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
+		s := newTestHosts(t)
 		s.call = func(w http.ResponseWriter, host string) {
 			if host == hostA {
 				panic(http.ErrAbortHandler)
@@ -326,10 +326,10 @@
 
 // Guards against retries of a call with an invalid path, which always fails. It
 // must fail at once with the outcome "not run".
-func TestCallThatCannotBeBuiltEndsAtOnce(t *testing.T) {
+func TestInvalidCallFailsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
+		s := newTestHosts(t)
 		begin := time.Now()
 		_, err := s.client.Call(context.Background(), "gauges", http.MethodGet, "/%zz", nil, nil)
 		var refusal *contract.Refusal
@@ -342,16 +342,16 @@
 
 // Guards against failed calls while all entry hosts are being replaced and no
 // address is available for some seconds: the call must wait.
-func TestCallWaitsWhileNoAddressIsGiven(t *testing.T) {
+func TestCallWaitsForAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
-		s.dark = true
+		s := newTestHosts(t)
+		s.noAddresses = true
 		s.call = func(w http.ResponseWriter, _ string) { fmt.Fprint(w, "ok") }
 		time.AfterFunc(3*time.Second, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.dark = false
+			s.noAddresses = false
 		})
 		_, err := s.client.Call(context.Background(), "gauges", http.MethodGet, "/readings", nil, nil)
 		is.NoErr(err)
@@ -360,21 +360,21 @@
 
 // Guards against one address request per call when the address list of a busy
 // client expires: concurrent calls must share one.
-func TestRequestsShareOneQuestionForAddresses(t *testing.T) {
+func TestConcurrentCallsShareAddressRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
-		s.travel = time.Millisecond
+		s := newTestHosts(t)
+		s.addressDelay = time.Millisecond
 		s.call = func(w http.ResponseWriter, _ string) { fmt.Fprint(w, "ok") }
-		var desks sync.WaitGroup
+		var calls sync.WaitGroup
 		for range 50 {
-			desks.Go(func() {
+			calls.Go(func() {
 				_, err := s.client.Call(context.Background(), "gauges", http.MethodGet, "/readings", nil, nil)
 				is.NoErr(err)
 			})
 		}
-		desks.Wait()
-		is.Equal(s.asked, 1)
+		calls.Wait()
+		is.Equal(s.addressRequests, 1)
 	})
 }
 
@@ -383,7 +383,7 @@
 func TestCallPassesBackendProblemThrough(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
+		s := newTestHosts(t)
 		s.call = func(w http.ResponseWriter, _ string) {
 			w.Header().Set("Content-Type", "application/problem+json")
 			w.WriteHeader(http.StatusConflict)
--- a/caller/events.go
+++ b/caller/events.go
@@ -25,15 +25,15 @@
 	data []byte
 }
 
-// eventReader reads server-sent events. It calls alive for every line, including
+// eventReader reads server-sent events. It calls onLine for every line, including
 // keep-alive comments.
 type eventReader struct {
-	lines *bufio.Reader
-	alive func()
+	lines  *bufio.Reader
+	onLine func()
 }
 
-func newEventReader(stream io.Reader, alive func()) *eventReader {
-	return &eventReader{lines: bufio.NewReaderSize(stream, 4096), alive: alive}
+func newEventReader(stream io.Reader, onLine func()) *eventReader {
+	return &eventReader{lines: bufio.NewReaderSize(stream, 4096), onLine: onLine}
 }
 
 // next returns the next event. An event cut off by the end of the stream is an
@@ -41,7 +41,7 @@
 func (r *eventReader) next() (event, error) {
 	var e event
 	for {
-		line, err := r.line()
+		line, err := r.readLine()
 		if err != nil {
 			return event{}, err
 		}
@@ -52,11 +52,11 @@
 			e = event{}
 			continue
 		}
-		e.take(line)
+		e.setField(line)
 	}
 }
 
-func (e *event) take(line []byte) {
+func (e *event) setField(line []byte) {
 	field, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(field) {
@@ -75,7 +75,7 @@
 	}
 }
 
-func (r *eventReader) line() ([]byte, error) {
+func (r *eventReader) readLine() ([]byte, error) {
 	var line []byte
 	for {
 		part, err := r.lines.ReadSlice('\n')
@@ -89,7 +89,7 @@
 		if err != nil {
 			return nil, err
 		}
-		r.alive()
+		r.onLine()
 		return bytes.TrimRight(line, "\r\n"), nil
 	}
 }
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -51,24 +51,24 @@
 	service  string
 	body     []byte
 
-	connection *connection // nil between attempts
-	next       int         // index of the next token
-	last       string      // id of the last token's event
-	resumes    int         // how often the stream was resumed
-	end        *End
-	err        error
+	connection  *connection // nil between attempts
+	nextIndex   int         // index of the next token
+	lastEventID string      // id of the last token's event
+	resumes     int         // how often the stream was resumed
+	end         *End
+	err         error
 }
 
 // connection is one attempt of a stream.
 type connection struct {
-	events *eventReader
-	body   io.Closer
-	cancel context.CancelFunc
-	timer  *time.Timer // cancels the connection when it stalls
+	events       *eventReader
+	body         io.Closer
+	cancel       context.CancelFunc
+	silenceTimer *time.Timer // cancels the connection when it stalls
 }
 
 func (c *connection) close() {
-	c.timer.Stop()
+	c.silenceTimer.Stop()
 	c.cancel()
 	c.body.Close()
 }
@@ -82,7 +82,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	s := &Stream{ctx: ctx, cancel: cancel, attempts: &attempts{client: c}, service: service, body: body}
-	if err := s.attempts.begin(ctx); err != nil {
+	if err := s.attempts.chooseAddress(ctx); err != nil {
 		cancel()
 		return nil, err
 	}
@@ -102,17 +102,17 @@
 			s.err = s.connect()
 			continue
 		}
-		token, cause := s.read()
+		token, cause := s.readToken()
 		if cause == nil {
 			return token, nil
 		}
 		if s.end != nil {
 			break
 		}
-		s.drop()
-		s.err = s.attempts.next(s.ctx, cause)
+		s.closeConnection()
+		s.err = s.attempts.prepareNext(s.ctx, cause)
 	}
-	s.drop()
+	s.closeConnection()
 	if s.err != nil {
 		return Token{}, s.err
 	}
@@ -131,7 +131,7 @@
 // Close abandons the stream.
 func (s *Stream) Close() { s.cancel() }
 
-func (s *Stream) drop() {
+func (s *Stream) closeConnection() {
 	if s.connection != nil {
 		s.connection.close()
 		s.connection = nil
@@ -146,7 +146,7 @@
 		if cause == nil {
 			return nil
 		}
-		if err := s.attempts.next(s.ctx, cause); err != nil {
+		if err := s.attempts.prepareNext(s.ctx, cause); err != nil {
 			return err
 		}
 	}
@@ -157,47 +157,47 @@
 	ctx, cancel := context.WithCancel(s.ctx)
 	target := s.attempts.address.URL + "/v1/services/" + url.PathEscape(s.service) + "/generations"
 	header := http.Header{"Content-Type": {"application/json"}, "Accept": {"text/event-stream"}}
-	if s.last != "" {
-		header.Set("Last-Event-ID", s.last)
+	if s.lastEventID != "" {
+		header.Set("Last-Event-ID", s.lastEventID)
 	}
 	response, sent, err := client.send(ctx, s.attempts.key, http.MethodPost, target, s.body, header)
 	if err != nil {
 		cancel()
-		return s.attempts.broken(sent, err)
+		return s.attempts.connectionRefusal(sent, err)
 	}
 	if response.StatusCode != http.StatusOK {
 		defer cancel()
 		defer response.Body.Close()
 		body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 		if err != nil {
-			return s.attempts.broken(true, err)
+			return s.attempts.connectionRefusal(true, err)
 		}
 		return refusalOf(response, body)
 	}
-	if s.last != "" {
+	if s.lastEventID != "" {
 		s.resumes++
 	}
 	// A connection can stall forever while new ones work, so that the caller would
 	// see a frozen stream. The timer closes the connection, and the stream continues
 	// over a new connection to another entry host.
 	timer := time.AfterFunc(client.config.Silence, cancel)
-	alive := func() { timer.Reset(client.config.Silence) }
-	s.connection = &connection{events: newEventReader(response.Body, alive), body: response.Body, cancel: cancel, timer: timer}
+	onLine := func() { timer.Reset(client.config.Silence) }
+	s.connection = &connection{events: newEventReader(response.Body, onLine), body: response.Body, cancel: cancel, silenceTimer: timer}
 	return nil
 }
 
-// read returns the next token of the connection, or the error that ended it. After
-// the end event the error is io.EOF and s.end is set.
-func (s *Stream) read() (Token, error) {
+// readToken returns the next token of the connection, or the error that ended it.
+// After the end event the error is io.EOF and s.end is set.
+func (s *Stream) readToken() (Token, error) {
 	e, err := s.connection.events.next()
 	if err != nil {
-		return Token{}, s.attempts.broken(true, err)
+		return Token{}, s.attempts.connectionRefusal(true, err)
 	}
 	if e.name == eventError {
 		if refusal, ok := parseProblem(e.data); ok {
 			return Token{}, refusal
 		}
-		return Token{}, s.attempts.broken(true, nil)
+		return Token{}, s.attempts.connectionRefusal(true, nil)
 	}
 	var t tokenEvent
 	if err := json.Unmarshal(e.data, &t); err != nil {
@@ -205,32 +205,32 @@
 	}
 	switch e.name {
 	case eventToken, "":
-		return s.token(e, t)
+		return s.acceptToken(e, t)
 	case eventEnd:
-		return Token{}, s.finish(t)
+		return Token{}, s.acceptEnd(t)
 	}
 	return Token{}, s.mismatch("unknown event " + e.name)
 }
 
-// token checks that a token has the next index. A duplicate, missing or reordered
-// token must never reach the caller, so the stream fails instead.
-func (s *Stream) token(e event, t tokenEvent) (Token, error) {
-	if t.Index != s.next {
+// acceptToken checks that a token has the next index. A duplicate, missing or
+// reordered token must never reach the caller, so the stream fails instead.
+func (s *Stream) acceptToken(e event, t tokenEvent) (Token, error) {
+	if t.Index != s.nextIndex {
 		return Token{}, s.mismatch("token out of order")
 	}
 	id := e.id
 	if id == "" {
 		id = t.ID
 	}
-	s.next++
-	s.last = id
-	s.attempts.progress()
-	s.attempts.unknown = true // the generation runs: later attempts must keep the key
+	s.nextIndex++
+	s.lastEventID = id
+	s.attempts.resetFailures()
+	s.attempts.mayHaveRun = true // the generation runs: later attempts must keep the key
 	return Token{ID: id, Index: t.Index, Text: t.Text}, nil
 }
 
-func (s *Stream) finish(t tokenEvent) error {
-	if t.Tokens != s.next {
+func (s *Stream) acceptEnd(t tokenEvent) error {
+	if t.Tokens != s.nextIndex {
 		return s.mismatch("end event counts other tokens than came")
 	}
 	s.end = &End{Tokens: t.Tokens, FinishReason: t.FinishReason}
