--- a/caller/attempts.go
+++ b/caller/attempts.go
@@ -16,124 +16,126 @@
 	maxBackoff   = 2 * time.Second
 )
 
-// attempts decides whether one request is tried again, where, and with which
-// idempotency key.
+// attempts decides whether one request is retried, at which entry host, and with
+// which idempotency key.
 //
-// It guards against a request that runs twice: after an attempt whose outcome
-// is unknown the key is never changed, so that the key's home answers with
-// what happened instead of running the request again. Only while every
-// attempt so far was promised not to have run may a new key be minted.
+// It guards against running a request twice: after an attempt with an unknown
+// outcome the key never changes, so that the key's home returns the recorded
+// outcome instead of running the request again. A new key is used only while
+// every attempt so far is known not to have run.
 type attempts struct {
-	client  *Client
-	address Address
-	key     string
-	unknown bool // an attempt may have run
-	told    bool // the backend server's failure was told once for this key
-	failed  int  // attempts in a row that brought nothing new
+	client          *Client
+	address         Address
+	key             string
+	mayHaveRun      bool // an attempt may have run
+	failureReported bool // a failure of the backend server was reported before for this key
+	failures        int  // consecutive attempts without progress
 }
 
-// begin chooses the first or next address and, where allowed, a new key. It
-// asks again while nobody can name an address, as when all entry hosts are
-// being replaced.
-func (a *attempts) begin(ctx context.Context) error {
+// chooseAddress chooses the address of the next attempt and, where allowed, a new
+// key. It repeats the address lookup while no entry host returns an address, for
+// example while all entry hosts are being replaced.
+func (a *attempts) chooseAddress(ctx context.Context) error {
 	for {
-		address, err := a.client.book.first(ctx)
+		address, err := a.client.book.preferred(ctx)
 		if err == nil {
-			a.use(address)
+			a.setAddress(address)
 			return nil
 		}
-		wait := a.waitForAddresses(err)
-		a.failed++
-		if wait <= 0 || a.failed >= a.client.config.MaxAttempts {
-			return a.final(err)
+		wait := a.addressRetryDelay(err)
+		a.failures++
+		if wait <= 0 || a.failures >= a.client.config.MaxAttempts {
+			return a.finalError(err)
 		}
 		if err := pause(ctx, wait); err != nil {
-			return a.final(err)
+			return a.finalError(err)
 		}
 	}
 }
 
-func (a *attempts) use(address Address) {
+func (a *attempts) setAddress(address Address) {
 	a.address = address
-	if !a.unknown {
+	if !a.mayHaveRun {
 		a.key = address.mintKey()
 	}
 }
 
-// waitForAddresses returns how long to wait until asking again; zero: not.
-func (a *attempts) waitForAddresses(err error) time.Duration {
+// addressRetryDelay returns the wait before the next address lookup after err;
+// zero means that the lookup is not repeated.
+func (a *attempts) addressRetryDelay(err error) time.Duration {
 	var refusal *contract.Refusal
 	if errors.As(err, &refusal) {
 		return refusal.RetryAfter
 	}
-	return backoff(a.failed)
+	return backoff(a.failures)
 }
 
-// progress notes that the attempt brought something new.
-func (a *attempts) progress() { a.failed = 0 }
+// resetFailures resets the count of attempts without progress.
+func (a *attempts) resetFailures() { a.failures = 0 }
 
-// next takes the reason why the attempt ended. It returns nil when another
-// attempt may be made, after the wait that the reason asks for, and otherwise
-// the error for the caller.
-func (a *attempts) next(ctx context.Context, cause error) error {
+// prepareNext prepares the attempt that follows one ended by cause. It waits for
+// the retry time of cause and chooses an address. It returns nil if another
+// attempt may be made, and otherwise the error for the caller.
+func (a *attempts) prepareNext(ctx context.Context, cause error) error {
 	refusal := asRefusal(cause)
-	a.unknown = a.unknown || refusal.Outcome == contract.OutcomeUnknown
-	a.failed++
-	if a.recorded(refusal) {
-		return a.final(refusal)
+	a.mayHaveRun = a.mayHaveRun || refusal.Outcome == contract.OutcomeUnknown
+	a.failures++
+	if a.isRecordedFailure(refusal) {
+		return a.finalError(refusal)
 	}
-	if refusal.RetryAfter <= 0 || a.failed >= a.client.config.MaxAttempts {
-		return a.final(refusal)
+	if refusal.RetryAfter <= 0 || a.failures >= a.client.config.MaxAttempts {
+		return a.finalError(refusal)
 	}
-	a.client.book.failed(a.address)
+	a.client.book.demote(a.address)
 	if refusal.Reason == contract.ReasonHostLeaving || refusal.Reason == contract.ReasonKeyInvalid {
 		a.client.book.expire()
 	}
 	if err := pause(ctx, refusal.RetryAfter); err != nil {
-		return a.final(err)
+		return a.finalError(err)
 	}
-	return a.begin(ctx)
+	return a.chooseAddress(ctx)
 }
 
-// recorded reports whether the refusal is the home's record of a run that
-// failed on its backend server: told twice for one key, it will not change.
-// Without this check the caller would wait through all its attempts for the
-// answer it already has.
-func (a *attempts) recorded(refusal *contract.Refusal) bool {
+// isRecordedFailure reports whether the refusal is the home's record of a run that
+// failed on its backend server, and sets failureReported. Such a refusal that is
+// returned twice for one key is recorded and does not change. Without this check
+// the caller would use up all its attempts to get the same refusal.
+func (a *attempts) isRecordedFailure(refusal *contract.Refusal) bool {
 	if refusal.Outcome != contract.OutcomeUnknown || refusal.Reason != contract.ReasonBackendFailed {
 		return false
 	}
-	again := a.told
-	a.told = true
+	again := a.failureReported
+	a.failureReported = true
 	return again
 }
 
-// final returns the error for the caller: once an attempt may have run, no
-// later refusal can turn the outcome back into "not run".
-func (a *attempts) final(cause error) error {
+// finalError returns the error for the caller. Once an attempt may have run, the
+// outcome is "unknown" even if a later attempt was refused as "not run".
+func (a *attempts) finalError(cause error) error {
 	refusal := *asRefusal(cause)
-	if a.unknown {
+	if a.mayHaveRun {
 		refusal.Outcome = contract.OutcomeUnknown
 	}
 	return &refusal
 }
 
-// broken is the refusal for an attempt whose connection failed. The wait
-// before the next attempt rises with the failures so far.
-func (a *attempts) broken(sent bool, err error) *contract.Refusal {
+// connectionRefusal returns the refusal of an attempt whose connection failed. Its
+// retry time grows with the number of consecutive failures.
+func (a *attempts) connectionRefusal(sent bool, err error) *contract.Refusal {
 	var refusal *contract.Refusal
 	if errors.As(err, &refusal) {
 		return refusal // the request could not even be built
 	}
-	wait := backoff(a.failed)
+	wait := backoff(a.failures)
 	if !sent {
 		return contract.NotRun(contract.ReasonHomeUnreachable, wait, "no connection to the entry host").WithCause(err)
 	}
 	return contract.Unknown(contract.ReasonHomeUnreachable, wait, "connection to the entry host broke").WithCause(err)
 }
 
-// backoff is short at first, since another entry host is usually fine, and
-// has jitter so that the callers of a dead one do not return in step.
+// backoff returns the wait after a number of consecutive failures. It starts
+// short, because another entry host is usually available, and has jitter, so that
+// the callers of a dead entry host do not retry at the same time.
 func backoff(failed int) time.Duration {
 	wait := min(firstBackoff<<min(failed, 10), maxBackoff)
 	return wait/2 + rand.N(wait/2+1)
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -21,47 +21,47 @@
 )
 
 const (
-	desk   = "10.0.1.1"
-	hostA  = "10.0.0.1"
-	hostB  = "10.0.0.2"
-	tokens = 6
+	callerIP = "10.0.1.1"
+	hostA    = "10.0.0.1"
+	hostB    = "10.0.0.2"
+	tokens   = 6
 )
 
-// site is two entry hosts of which the test scripts the answers.
-type site struct {
+// testHosts is a pair of entry hosts whose responses are scripted by the test.
+type testHosts struct {
 	t      *testing.T
 	fabric *network.Fabric
 	client *Client
 
-	mu       sync.Mutex // guards the fields below
-	keys     []string   // Idempotency-Key of each request, in order
-	resumed  []string   // Last-Event-ID of each resumption
-	asked    int        // questions for addresses
-	dark     bool       // no addresses are given
-	travel   time.Duration
-	generate func(w http.ResponseWriter, host string, from int)
-	call     func(w http.ResponseWriter, host string)
+	mu              sync.Mutex    // guards the fields below
+	keys            []string      // Idempotency-Key of each request, in order
+	resumed         []string      // Last-Event-ID of each resumption
+	addressRequests int           // number of address requests
+	noAddresses     bool          // address requests are refused
+	addressDelay    time.Duration // delay of the response to an address request
+	generate        func(w http.ResponseWriter, host string, from int)
+	call            func(w http.ResponseWriter, host string)
 }
 
-func newSite(t *testing.T) *site {
-	s := &site{t: t, fabric: network.New(network.Options{})}
+func newTestHosts(t *testing.T) *testHosts {
+	s := &testHosts{t: t, fabric: network.New(network.Options{})}
 	for _, ip := range []string{hostA, hostB} {
 		s.serve(ip)
 	}
-	client, err := New(Config{Seeds: []string{hostA + ":80", hostB + ":80"}, Token: "t", Network: s.fabric.Host(desk)})
+	client, err := New(Config{Seeds: []string{hostA + ":80", hostB + ":80"}, Token: "t", Network: s.fabric.Host(callerIP)})
 	is.New(t).NoErr(err)
 	s.client = client
 	t.Cleanup(client.Close)
 	return s
 }
 
-func (s *site) serve(ip string) {
+func (s *testHosts) serve(ip string) {
 	listener, err := s.fabric.Host(ip).Listen(ip + ":80")
 	is.New(s.t).NoErr(err)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/addresses", s.addresses)
 	mux.HandleFunc("POST /v1/services/{service}/generations", func(w http.ResponseWriter, r *http.Request) {
-		s.note(r)
+		s.recordRequest(r)
 		from := 0
 		if last := r.Header.Get("Last-Event-ID"); last != "" {
 			from, _ = strconv.Atoi(strings.TrimPrefix(last, "e"))
@@ -70,7 +70,7 @@
 		s.generate(w, ip, from)
 	})
 	mux.HandleFunc("/v1/services/{service}/call/{path...}", func(w http.ResponseWriter, r *http.Request) {
-		s.note(r)
+		s.recordRequest(r)
 		s.call(w, ip)
 	})
 	server := &http.Server{Handler: mux}
@@ -78,7 +78,7 @@
 	s.t.Cleanup(func() { _ = server.Close() })
 }
 
-func (s *site) note(r *http.Request) {
+func (s *testHosts) recordRequest(r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keys = append(s.keys, r.Header.Get("Idempotency-Key"))
@@ -87,13 +87,13 @@
 	}
 }
 
-func (s *site) addresses(w http.ResponseWriter, _ *http.Request) {
+func (s *testHosts) addresses(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	s.asked++
-	dark := s.dark
+	s.addressRequests++
+	noAddresses := s.noAddresses
 	s.mu.Unlock()
-	time.Sleep(s.travel)
-	if dark {
+	time.Sleep(s.addressDelay)
+	if noAddresses {
 		refuse(w, http.StatusServiceUnavailable, contract.OutcomeNotRun, contract.ReasonHostLeaving, time.Second)
 		return
 	}
@@ -120,8 +120,9 @@
 	_ = json.NewEncoder(w).Encode(problem{Outcome: outcome, Reason: reason, RetryAfterMS: retry.Milliseconds()})
 }
 
-// whole reads a stream and checks that each token came once and in order.
-func whole(t *testing.T, s *Stream) {
+// readComplete reads a stream to its end and checks that each token arrived once and in
+// order.
+func readComplete(t *testing.T, s *Stream) {
 	t.Helper()
 	is := is.New(t)
 	for i := 0; ; i++ {
@@ -136,12 +137,12 @@
 	}
 }
 
-// An engineer reads a narrative, and half way the entry host dies. The screen
-// must go on with the very next token, from the other entry host.
-func TestStreamResumesAtAnotherHostAfterDeath(t *testing.T) {
+// Guards against lost or repeated tokens when the entry host crashes in the middle
+// of a stream: the stream continues with the next token from the other entry host.
+func TestStreamResumesAtAnotherHostAfterCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
+		s := newTestHosts(t)
 		s.generate = func(w http.ResponseWriter, host string, from int) {
 			if host == hostA {
 				sendTokens(w, 0, 3)
@@ -154,22 +155,22 @@
 		}
 		stream, err := s.client.Generate(context.Background(), "outlook", Request{Prompt: "p"})
 		is.NoErr(err)
-		whole(t, stream)
+		readComplete(t, stream)
 		is.Equal(stream.Host(), "b")
 		is.Equal(s.resumed, []string{"e2"})
 	})
 }
 
-// Guards against streams that stay frozen on a silent connection.
-func TestStreamLeavesSilentConnection(t *testing.T) {
+// Guards against streams that stay frozen on a stalled connection.
+func TestStreamReconnectsAfterStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
+		s := newTestHosts(t)
 		s.generate = func(w http.ResponseWriter, host string, from int) {
 			if host == hostA {
 				sendTokens(w, 0, 2)
 				time.Sleep(time.Second)
-				s.fabric.SilenceOpen(desk, hostA)
+				s.fabric.SilenceOpen(callerIP, hostA)
 				time.Sleep(time.Hour)
 			}
 			sendTokens(w, from, tokens)
@@ -177,18 +178,18 @@
 		}
 		stream, err := s.client.Generate(context.Background(), "outlook", Request{})
 		is.NoErr(err)
-		whole(t, stream)
+		readComplete(t, stream)
 		is.Equal(stream.Resumes(), 1)
-		time.Sleep(2 * time.Hour) // lets the stuck handler end
+		time.Sleep(2 * time.Hour) // lets the sleeping handler end
 	})
 }
 
-// A long prompt keeps the engine busy without a token for a minute. The
-// keep-alive comments show that the connection lives, so it must stay.
-func TestStreamStaysWhileKeepAlivesCome(t *testing.T) {
+// Guards against a reconnection while a long prompt delays the first token by a
+// minute: keep-alive comments show that the connection is alive.
+func TestStreamKeepsConnectionWithKeepAlives(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
+		s := newTestHosts(t)
 		s.generate = func(w http.ResponseWriter, _ string, _ int) {
 			for range 60 {
 				fmt.Fprint(w, ": keep-alive\n\n")
@@ -200,15 +201,14 @@
 		}
 		stream, err := s.client.Generate(context.Background(), "outlook", Request{})
 		is.NoErr(err)
-		whole(t, stream)
+		readComplete(t, stream)
 		is.Equal(stream.Resumes(), 0)
 		is.Equal(len(s.keys), 1)
 	})
 }
 
-// Whatever goes wrong on the way, a reader must never take a wrong or partial
-// answer for its whole own one.
-func TestStreamNeverPassesWrongAnswer(t *testing.T) {
+// Guards against wrong or partial streams that the caller takes for complete ones.
+func TestStreamRejectsWrongOrPartialStream(t *testing.T) {
 	cases := map[string]struct {
 		send   func(w http.ResponseWriter)
 		reason contract.Reason
@@ -224,7 +224,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s := newSite(t)
+				s := newTestHosts(t)
 				s.generate = func(w http.ResponseWriter, _ string, _ int) { c.send(w) }
 				stream, err := s.client.Generate(context.Background(), "outlook", Request{})
 				for err == nil {
@@ -241,11 +241,11 @@
 
 const lostEvent = "event: error\ndata: {\"outcome\":\"unknown\",\"reason\":\"generation_lost\"}\n\n"
 
-// Guards against a second run when the answer of a call is lost.
+// Guards against a second run when the response to a call is lost.
 func TestCallRepeatsWithSameKeyAfterLostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
+		s := newTestHosts(t)
 		s.call = func(w http.ResponseWriter, host string) {
 			if host == hostA {
 				panic(http.ErrAbortHandler)
@@ -265,12 +265,12 @@
 	})
 }
 
-// The first entry host is full and promises that nothing ran. The desk comes
-// back when it was told to, and may use a new home then.
-func TestCallHonoursRetryAfterAndMintsNewKeyWhenNotRun(t *testing.T) {
+// Guards against a retry before the time that an overloaded entry host requested.
+// The call did not run, so the retry may use a key of another home.
+func TestCallWaitsForRetryAfterAndUsesNewKeyWhenNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
+		s := newTestHosts(t)
 		s.call = func(w http.ResponseWriter, host string) {
 			if host == hostA {
 				refuse(w, http.StatusServiceUnavailable, contract.OutcomeNotRun, contract.ReasonOverloaded, 3*time.Second)
@@ -286,11 +286,12 @@
 	})
 }
 
-// Guards against callers that repeat for minutes what stays unknown.
-func TestCallEndsWhenTheRecordSaysUnknownAgain(t *testing.T) {
+// Guards against callers that retry for minutes although the recorded outcome
+// stays unknown.
+func TestCallEndsAfterRepeatedUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
+		s := newTestHosts(t)
 		s.call = func(w http.ResponseWriter, _ string) {
 			refuse(w, http.StatusBadGateway, contract.OutcomeUnknown, contract.ReasonBackendFailed, time.Second)
 		}
@@ -303,12 +304,12 @@
 	})
 }
 
-// The first attempt may have run, and a later one is refused as not run. Told
-// "not run", the desk would send the acknowledgement again by hand.
+// Guards against a false "not run": the first attempt may have run, a later one is
+// refused as not run, and the user would send the call again with a new key.
 func TestUnknownOutcomeNeverTurnsIntoNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
+		s := newTestHosts(t)
 		s.call = func(w http.ResponseWriter, host string) {
 			if host == hostA {
 				panic(http.ErrAbortHandler)
@@ -323,12 +324,12 @@
 	})
 }
 
-// A desk asks for a path that is none. No try can mend that, so it must hear
-// so at once, and that nothing ran.
-func TestCallThatCannotBeBuiltEndsAtOnce(t *testing.T) {
+// Guards against retries of a call with an invalid path, which always fails. It
+// must fail at once with the outcome "not run".
+func TestInvalidCallFailsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
+		s := newTestHosts(t)
 		begin := time.Now()
 		_, err := s.client.Call(context.Background(), "gauges", http.MethodGet, "/%zz", nil, nil)
 		var refusal *contract.Refusal
@@ -339,50 +340,50 @@
 	})
 }
 
-// All entry hosts are being replaced, and for some seconds none may be used. A
-// desk that asks in that time is served a little later, not turned away.
-func TestCallWaitsWhileNoAddressIsGiven(t *testing.T) {
+// Guards against failed calls while all entry hosts are being replaced and no
+// address is available for some seconds: the call must wait.
+func TestCallWaitsForAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
-		s.dark = true
+		s := newTestHosts(t)
+		s.noAddresses = true
 		s.call = func(w http.ResponseWriter, _ string) { fmt.Fprint(w, "ok") }
 		time.AfterFunc(3*time.Second, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.dark = false
+			s.noAddresses = false
 		})
 		_, err := s.client.Call(context.Background(), "gauges", http.MethodGet, "/readings", nil, nil)
 		is.NoErr(err)
 	})
 }
 
-// A busy desk's answer for addresses runs out. All its requests ask at that
-// moment; one question has to do for all.
-func TestRequestsShareOneQuestionForAddresses(t *testing.T) {
+// Guards against one address request per call when the address list of a busy
+// client expires: concurrent calls must share one.
+func TestConcurrentCallsShareAddressRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
-		s.travel = time.Millisecond
+		s := newTestHosts(t)
+		s.addressDelay = time.Millisecond
 		s.call = func(w http.ResponseWriter, _ string) { fmt.Fprint(w, "ok") }
-		var desks sync.WaitGroup
+		var calls sync.WaitGroup
 		for range 50 {
-			desks.Go(func() {
+			calls.Go(func() {
 				_, err := s.client.Call(context.Background(), "gauges", http.MethodGet, "/readings", nil, nil)
 				is.NoErr(err)
 			})
 		}
-		desks.Wait()
-		is.Equal(s.asked, 1)
+		calls.Wait()
+		is.Equal(s.addressRequests, 1)
 	})
 }
 
-// A backend server's own error answer belongs to the caller as it is; it must
-// not be mistaken for a refusal of the entry host, nor repeated.
+// Guards against a backend server's own error response being treated as a refusal
+// by the entry host, or retried: it must be returned unchanged.
 func TestCallPassesBackendProblemThrough(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t)
+		s := newTestHosts(t)
 		s.call = func(w http.ResponseWriter, _ string) {
 			w.Header().Set("Content-Type", "application/problem+json")
 			w.WriteHeader(http.StatusConflict)
--- a/relay/eventid.go
+++ b/relay/eventid.go
@@ -1,5 +1,6 @@
-// Package relay carries requests from callers to backend servers and answers
-// back: token streams that can be taken up at any entry host, and exact calls.
+// Package relay forwards requests from callers to backend servers and returns
+// the responses: token streams that can be resumed at any entry host, and exact
+// calls with one complete response.
 package relay
 
 import (
@@ -14,9 +15,9 @@
 
 const (
 	eventIDVersion  = "1"
-	eventIDFields   = 4 // version, place, offset, code
-	placeFields     = 4 // organisation, service, server, generation
-	codeBytes       = 16
+	eventIDFields   = 4 // version, location, offset, MAC
+	refFields       = 4 // organisation, service, server, generation
+	macBytes        = 16
 	maxEventIDBytes = 1024
 	fieldSeparator  = "\n"
 	offsetBase      = 36
@@ -25,8 +26,9 @@
 // ErrEventID means that an event id is malformed or not authentic.
 var ErrEventID = errors.New("relay: event id is malformed or not authentic")
 
-// Place says where a generation runs and whose it is.
-type Place struct {
+// GenerationRef identifies a generation, its organisation and service, and the
+// backend server that runs it.
+type GenerationRef struct {
 	Organisation string
 	Service      string
 	Server       string // address of the backend server, IP:port
@@ -34,49 +36,51 @@
 }
 
 // EventID is a position in a stream: Next is the offset of the first token
-// that the holder has not received. Any entry host can take up the stream
-// from it without shared state, because the id names the generation itself.
+// that the caller has not received. Any entry host can resume the stream from
+// it without shared state, because the id includes the generation's location.
 type EventID struct {
-	Place
+	GenerationRef
 	Next int
 }
 
-// Signer makes and checks event ids, by an HMAC-SHA256 under keys that all
-// entry hosts have in their settings. The first key signs, all verify, so
-// that a key can be replaced host by host.
+// Signer creates and verifies event ids with an HMAC-SHA256. All entry hosts
+// have the keys in their settings. The first key signs and all keys verify, so
+// that a key can be replaced on one host after another.
 type Signer struct {
 	keys [][]byte
 }
 
-// NewSigner returns a signer; there must be at least one key.
+// NewSigner returns a signer with the given keys; at least one is required.
 func NewSigner(keys ...[]byte) *Signer { return &Signer{keys: keys} }
 
-// PlaceSigner makes the event ids of one stream.
-type PlaceSigner struct {
+// GenerationSigner creates the event ids of one stream.
+type GenerationSigner struct {
 	key    []byte
 	prefix string
 }
 
-// Place returns a signer for the events of one stream.
-func (s *Signer) Place(place Place) *PlaceSigner {
-	fields := strings.Join([]string{place.Organisation, place.Service, place.Server, place.Generation}, fieldSeparator)
+// ForGeneration returns a signer for the events of one stream.
+func (s *Signer) ForGeneration(ref GenerationRef) *GenerationSigner {
+	fields := strings.Join([]string{ref.Organisation, ref.Service, ref.Server, ref.Generation}, fieldSeparator)
 	prefix := eventIDVersion + "." + base64.RawURLEncoding.EncodeToString([]byte(fields)) + "."
-	return &PlaceSigner{key: s.keys[0], prefix: prefix}
+	return &GenerationSigner{key: s.keys[0], prefix: prefix}
 }
 
-// At returns the event id behind which the token at offset next follows.
-func (p *PlaceSigner) At(next int) string {
-	signed := p.prefix + strconv.FormatInt(int64(next), offsetBase)
-	return signed + "." + code(p.key, signed)
+// EventIDAt returns the event id from which the stream resumes with the token at
+// offset next.
+func (s *GenerationSigner) EventIDAt(next int) string {
+	signed := s.prefix + strconv.FormatInt(int64(next), offsetBase)
+	return signed + "." + eventMAC(s.key, signed)
 }
 
-func code(key []byte, signed string) string {
+func eventMAC(key []byte, signed string) string {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte(signed))
-	return base64.RawURLEncoding.EncodeToString(mac.Sum(nil)[:codeBytes])
+	return base64.RawURLEncoding.EncodeToString(mac.Sum(nil)[:macBytes])
 }
 
-// Parse reads and checks an event id.
+// Parse decodes and verifies an event id. It returns ErrEventID if the id is
+// malformed or not authentic.
 func (s *Signer) Parse(id string) (EventID, error) {
 	if len(id) > maxEventIDBytes {
 		return EventID{}, ErrEventID
@@ -91,17 +95,17 @@
 	}
 	fields := strings.Split(string(raw), fieldSeparator)
 	next, err := strconv.ParseInt(parts[2], offsetBase, 32)
-	if err != nil || next < 0 || len(fields) != placeFields {
+	if err != nil || next < 0 || len(fields) != refFields {
 		return EventID{}, ErrEventID
 	}
-	place := Place{Organisation: fields[0], Service: fields[1], Server: fields[2], Generation: fields[3]}
-	return EventID{Place: place, Next: int(next)}, nil
+	ref := GenerationRef{Organisation: fields[0], Service: fields[1], Server: fields[2], Generation: fields[3]}
+	return EventID{GenerationRef: ref, Next: int(next)}, nil
 }
 
 func (s *Signer) authentic(id, got string) bool {
 	signed := id[:len(id)-len(got)-1]
 	for _, key := range s.keys {
-		if hmac.Equal([]byte(code(key, signed)), []byte(got)) {
+		if hmac.Equal([]byte(eventMAC(key, signed)), []byte(got)) {
 			return true
 		}
 	}
--- a/relay/generate.go
+++ b/relay/generate.go
@@ -13,7 +13,7 @@
 type GenerateRequest struct {
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
-	// StopAfter is passed to stand-in engines; see docs/ENGINE.md.
+	// StopAfter is passed on to stand-in engines; see docs/ENGINE.md.
 	StopAfter int `json:"x_stop_after,omitempty"`
 }
 
@@ -21,14 +21,14 @@
 func (r *Relay) Generate(w http.ResponseWriter, req *http.Request, service string) {
 	out := newEventWriter(w, r.WriteTimeout)
 	refusal := r.generate(w, req, service, out)
-	r.Metrics.ended(service, refusal)
+	r.Metrics.countRequest(service, refusal)
 	if refusal != nil {
-		_ = out.fail(refusal) // the caller is gone if this fails
+		_ = out.fail(refusal) // fails only if the caller disconnected
 	}
 }
 
 func (r *Relay) generate(w http.ResponseWriter, req *http.Request, service string, out *eventWriter) *contract.Refusal {
-	organisation, document, refusal := r.caller(req, service)
+	organisation, document, refusal := r.authenticate(req, service)
 	if refusal != nil {
 		return refusal
 	}
@@ -36,8 +36,8 @@
 		return contract.NotRun(contract.ReasonBadRequest, 0, "not a model service").WithStatus(http.StatusBadRequest)
 	}
 	if last := req.Header.Get(HeaderLastEventID); last != "" {
-		if !r.Accepting() { // it would be cut off when the host ends
-			return leaving()
+		if !r.Accepting() { // the stream would be cut off when the host stops
+			return leavingRefusal()
 		}
 		return r.resume(req.Context(), organisation, document, last, out)
 	}
@@ -53,13 +53,14 @@
 		return r.generateOnce(req, organisation, document, body, out)
 	}
 	if !r.Accepting() {
-		return leaving()
+		return leavingRefusal()
 	}
-	return r.generateIdempotent(req.Context(), document, generation(organisation, document, body), request, out)
+	return r.generateIdempotent(req.Context(), document, newGenerationRequest(organisation, document, body), request, out)
 }
 
-// generation is a generation as it is passed between entry hosts.
-func generation(organisation string, document *contract.Document, body []byte) *peerpb.ForwardRequest {
+// newGenerationRequest returns a generation request in the form in which entry
+// hosts forward it.
+func newGenerationRequest(organisation string, document *contract.Document, body []byte) *peerpb.ForwardRequest {
 	return &peerpb.ForwardRequest{Organisation: organisation, Service: document.Service, Method: http.MethodPost, Body: body}
 }
 
@@ -77,7 +78,7 @@
 	return &request, nil
 }
 
-// resume takes up a generation behind the last event that the caller has.
+// resume delivers a generation from the event after the caller's last one.
 func (r *Relay) resume(ctx context.Context, organisation string, document *contract.Document, last string, out *eventWriter) *contract.Refusal {
 	id, err := r.Signer.Parse(last)
 	if err != nil || id.Organisation != organisation || id.Service != document.Service {
@@ -86,30 +87,31 @@
 	return r.attach(ctx, document, id, out)
 }
 
-// attach delivers a running or finished generation from an offset on.
+// attach delivers a running or finished generation, starting at the offset of
+// an event id.
 func (r *Relay) attach(ctx context.Context, document *contract.Document, id EventID, out *eventWriter) *contract.Refusal {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	source := r.newStream(document, id.Place, id.Next)
+	source := r.newStream(document, id.GenerationRef, id.Next)
 	if err := source.connect(ctx); err != nil {
 		return streamRefusal(err)
 	}
 	return r.deliver(ctx, stop, source, out, nil)
 }
 
-// generateOnce runs a generation that is not idempotent at its home, and
-// delivers it from there: only the home starts it, any host can read it.
+// generateOnce runs a non-idempotent generation at the home of its idempotency
+// key and delivers it. Only the home may start it; any host can read it.
 func (r *Relay) generateOnce(req *http.Request, organisation string, document *contract.Document, body []byte, out *eventWriter) *contract.Refusal {
-	parsed, refusal := key(req)
+	parsed, refusal := requestKey(req)
 	if refusal != nil {
 		return refusal
 	}
 	if r.Closing() {
-		return closing()
+		return closingRefusal()
 	}
 	ctx, stop := context.WithTimeout(req.Context(), document.Deadlines.Queue+document.Deadlines.FirstToken)
 	defer stop()
-	request := generation(organisation, document, body)
+	request := newGenerationRequest(organisation, document, body)
 	request.Key = parsed.String()
 	answer := r.homes.Run(ctx, parsed, request)
 	if answer.Refusal != nil {
@@ -122,27 +124,28 @@
 	return r.attach(req.Context(), document, id, out)
 }
 
-// generateIdempotent starts a generation and delivers it. As long as no token
-// of it was delivered, it may be started again elsewhere.
-func (r *Relay) generateIdempotent(ctx context.Context, document *contract.Document, sent *peerpb.ForwardRequest, request *GenerateRequest, out *eventWriter) *contract.Refusal {
-	tries := r.attempts(document, sent, true)
+// generateIdempotent starts a generation and delivers it. It may start the
+// generation again on another server until a token has been delivered.
+func (r *Relay) generateIdempotent(ctx context.Context, document *contract.Document, forward *peerpb.ForwardRequest, request *GenerateRequest, out *eventWriter) *contract.Refusal {
+	tries := r.newAttempts(document, forward, true)
 	for {
-		server, delivered, refusal := r.generateOn(ctx, sent.GetOrganisation(), document, request, tries, out)
+		server, delivered, refusal := r.generateOnServer(ctx, forward.GetOrganisation(), document, request, tries, out)
 		if refusal == nil || delivered > 0 || server == "" || ctx.Err() != nil {
 			return refusal
 		}
-		if refusal.Err == nil || !tries.again(ctx, server, refusal.Err) {
+		if refusal.Err == nil || !tries.awaitRetry(ctx, server, refusal.Err) {
 			return refusal
 		}
 	}
 }
 
-// generateOn starts one generation, delivers it, and returns the server it
-// was on ("" if it was not started) and how many tokens were delivered.
-func (r *Relay) generateOn(ctx context.Context, organisation string, document *contract.Document, request *GenerateRequest, tries *attempts, out *eventWriter) (string, int, *contract.Refusal) {
+// generateOnServer starts a generation on one server and delivers it. It returns
+// the server's name ("" if the generation was not started) and the offset of the
+// next token, which is the number of tokens read.
+func (r *Relay) generateOnServer(ctx context.Context, organisation string, document *contract.Document, request *GenerateRequest, tries *attempts, out *eventWriter) (string, int, *contract.Refusal) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	started, err := r.start(ctx, organisation, document, request, tries)
+	started, err := r.startGeneration(ctx, organisation, document, request, tries)
 	if err != nil {
 		return "", 0, asRefusal(err)
 	}
@@ -153,10 +156,10 @@
 	case refusal == nil:
 		tries.crashes.completed()
 	case refusal.Reason == contract.ReasonBackendFailed:
-		tries.crashes.broke(started.stream.place.Server, started.stream.next == 0)
+		tries.crashes.connectionBroke(started.stream.ref.Server, started.stream.nextOffset == 0)
 	}
-	if refusal != nil && started.stream.next == 0 {
-		r.cancel(started.stream.place)
+	if refusal != nil && started.stream.nextOffset == 0 {
+		r.cancel(started.stream.ref)
 	}
-	return started.grant.Server(), started.stream.next, refusal
+	return started.grant.Server(), started.stream.nextOffset, refusal
 }
