--- a/peer/counters.go
+++ b/peer/counters.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// counters of the peer protocol.
+// counters holds the metrics of the peer protocol.
 type counters struct {
 	bytes        *prometheus.CounterVec // by direction: in, out
 	forwardBytes *prometheus.CounterVec // payload of forwards and hand-overs within bytes
@@ -14,7 +14,7 @@
 	suspicions   *prometheus.CounterVec // by result: raised, unconfirmed, refuted, gone
 	pulls        *prometheus.CounterVec // by result: adopted, nothing, failed
 	syncs        *prometheus.CounterVec // by result: done, failed
-	pushes       prometheus.Counter     // probes sent early because of news
+	pushes       prometheus.Counter     // early probes for urgent updates
 	connections  prometheus.Gauge       // open, both directions
 }
 
@@ -28,8 +28,8 @@
 		probes:       vec("probes_total", "Probes of other entry hosts.", "result"),
 		suspicions:   vec("suspicions_total", "Suspicions of other entry hosts.", "result"),
 		pulls:        vec("pulls_total", "Pulls of configuration from other entry hosts.", "result"),
-		syncs:        vec("syncs_total", "Exchanges of the whole membership.", "result"),
-		pushes:       prometheus.NewCounter(prometheus.CounterOpts{Name: "papayasail_peer_pushes_total", Help: "Probes sent early because of news."}),
+		syncs:        vec("syncs_total", "Full membership syncs.", "result"),
+		pushes:       prometheus.NewCounter(prometheus.CounterOpts{Name: "papayasail_peer_pushes_total", Help: "Probes sent early for urgent updates."}),
 		connections:  prometheus.NewGauge(prometheus.GaugeOpts{Name: "papayasail_peer_connections", Help: "Open connections between entry hosts."}),
 	}
 	registerer.MustRegister(c.bytes, c.forwardBytes, c.probes, c.suspicions, c.pulls, c.syncs, c.pushes, c.connections)
@@ -71,7 +71,7 @@
 	select {
 	case c.closed <- struct{}{}:
 		c.counters.connections.Dec()
-	default: // closed before
+	default: // closed already
 	}
 	return c.Conn.Close()
 }
--- a/peer/doubt.go
+++ b/peer/doubt.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// doubtsHeld bounds the members waiting for such a probe; others are
-	// noticed again with the next swap.
+	// doubtsHeld is the maximum number of members queued for such a probe.
+	// Members beyond it are queued again by a later message or sync.
 	doubtsHeld = 512
-	// doubtsEvery, in probe intervals over this number, spaces them.
+	// doubtsEvery is the number of such probes in one probe interval.
 	doubtsEvery = 2
 )
 
-// doubt asks for a probe of members that others hold for alive while this
-// host holds them for suspect or gone.
+// doubt queues a probe of members that this host lists as suspect or gone while
+// another host lists them as alive or leaving.
 //
-// Failure: two parts of the fleet were cut off from each other and each holds
-// the other for gone. It shows as hosts that stay gone for minutes after the
-// healing, since good news of the same sequence does not override bad news
-// and the accused do not know of it. The probe tells them, and their answer
-// carries the next sequence.
+// Failure: after a network partition each part of the fleet lists the other as
+// gone, and hosts stay gone for minutes after the partition heals: an alive
+// record does not override a gone record of the same sequence, and the members
+// concerned are not aware of it. The probe carries the gone record to the
+// member, whose answer has the next sequence.
 func (n *Node) doubt(members []Member) {
 	for _, m := range members {
 		select {
@@ -43,7 +43,7 @@
 	}
 }
 
-// resolve probes a doubted member unless the doubt is over.
+// resolve probes a member unless its record has changed since it was queued.
 func (n *Node) resolve(ctx context.Context, m Member) {
 	known, ok := n.table.member(m.Host)
 	if !ok || known.Incarnation != m.Incarnation || known.Sequence != m.Sequence || known.State < StateSuspect {
--- a/peer/fleet_test.go
+++ b/peer/fleet_test.go
@@ -20,12 +20,12 @@
 
 const testPort = "7946"
 
-// tableFake is a ConfigurationTable that keeps the newest of each object and
-// notes when it was asked to go back.
+// tableFake is a ConfigurationTable that keeps the newest version of each
+// object and counts objects offered in an older version.
 type tableFake struct {
 	mu      sync.Mutex // guards all below
 	objects map[string]store.Object
-	older   int // objects offered in an older version than held
+	older   int // objects offered in an older version than the stored one
 }
 
 func newTableFake() *tableFake { return &tableFake{objects: make(map[string]store.Object)} }
@@ -126,7 +126,7 @@
 	return f
 }
 
-// ip gives each host name an address of its own.
+// ip returns the IP address of a host; each host name has its own.
 func (f *fleet) ip(host string) string {
 	if f.ips[host] == "" {
 		f.ips[host] = fmt.Sprintf("10.0.0.%d", len(f.ips)+1)
@@ -154,7 +154,7 @@
 	}
 }
 
-// end stops a host's node; after Leave it says goodbye.
+// end stops a host's node; after Leave it announces that it is gone.
 func (f *fleet) end(host string) {
 	f.hosts[host].cancel()
 	if err := <-f.hosts[host].done; err != nil {
@@ -163,7 +163,8 @@
 	delete(f.hosts, host)
 }
 
-// kill ends a host without a word; its node fails on the closed listener.
+// kill stops a host without an announcement; its node fails on the closed
+// listener.
 func (f *fleet) kill(host string) {
 	f.fabric.Kill(f.ip(host))
 	f.hosts[host].cancel()
@@ -176,7 +177,7 @@
 	for _, host := range f.names() {
 		f.end(host)
 	}
-	time.Sleep(time.Minute) // timers of connections run out
+	time.Sleep(time.Minute) // lets the timers of connections expire
 	synctest.Wait()
 }
 
@@ -189,7 +190,7 @@
 	return names
 }
 
-// states returns what a host believes of all, itself included.
+// states returns the states of all members in the view of a host.
 func (f *fleet) states(host string) map[string]State {
 	states := make(map[string]State)
 	for _, m := range f.hosts[host].Members() {
--- a/peer/fuzz_test.go
+++ b/peer/fuzz_test.go
@@ -10,10 +10,10 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// fuzzRuns is how many drawn sequences of faults CI plays.
+// fuzzRuns is the number of generated fault sequences per test run.
 const fuzzRuns = 8
 
-// step is one drawn step of a fleet's life.
+// step is one step of a generated sequence.
 type step struct {
 	kind  string
 	host  string
@@ -32,14 +32,9 @@
 	}), 10, 25)
 }
 
-// A change that a team was told is accepted goes out of force somewhere, or
-// never comes into force on some host. Links fail and heal, hosts are
-// replaced without disks, changes are accepted in the middle of it.
-//
-// The oracle: what a living host has in force never falls; when all links are
-// healed, all hosts hold the newest of everything that a living host held
-// when its holder was not replaced before it could pass it on.
-func TestFleetUnderDrawnFaults(t *testing.T) {
+// Guards against an accepted change that is reverted or missed on some host
+// while links fail and heal and hosts are replaced without their state.
+func TestFleetUnderGeneratedFaults(t *testing.T) {
 	t.Parallel()
 	for seed := range fuzzRuns {
 		steps := genSteps().Example(seed + 1)
@@ -47,6 +42,8 @@
 	}
 }
 
+// playSteps checks that the version on a running host never decreases, and that
+// after all links heal all hosts agree on configuration and membership.
 func playSteps(t *testing.T, steps []step) {
 	f := newFleet(t, "a1", "b1", "c1")
 	defer f.stop()
@@ -99,7 +96,7 @@
 	for _, host := range f.names() {
 		held := f.hosts[host].table.Version()
 		if held < highest[host] {
-			t.Errorf("%s fell from version %d to %d", host, highest[host], held)
+			t.Errorf("%s went back from version %d to %d", host, highest[host], held)
 		}
 		highest[host] = held
 		if f.hosts[host].table.older > 0 {
@@ -113,11 +110,11 @@
 	want := f.hosts["a1"].table.String()
 	for _, host := range f.names() {
 		if got := f.hosts[host].table.String(); got != want {
-			t.Errorf("%s holds %q, a1 %q", host, got, want)
+			t.Errorf("%s has %q, a1 has %q", host, got, want)
 		}
 		for other, state := range f.states(host) {
 			if state != StateAlive {
-				t.Errorf("%s holds %s for %s", host, other, state)
+				t.Errorf("%s lists %s as %s", host, other, state)
 			}
 		}
 	}
--- a/peer/large_test.go
+++ b/peer/large_test.go
@@ -13,12 +13,14 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// domainScope is the scope of a host whose own failure domain alone is near.
+// domainScope returns a scope in which only the host's own failure domain is
+// near.
 func domainScope(self Member) Scope {
 	return Scope{Near: []string{self.FailureDomain}}.withDefaults()
 }
 
-// Guards against probes that cross failure domains, and against hosts that nobody probes.
+// Guards against too many probes across failure domains, and against hosts that
+// no host probes.
 func TestNearScopeStaysInTheDomain(t *testing.T) {
 	is := is.New(t)
 	var members []Member
@@ -42,7 +44,7 @@
 			}
 		}
 		if self.Host == self.FailureDomain {
-			is.True(len(chosen) >= DefaultScopePeers) // strangers stand in for neighbours
+			is.True(len(chosen) >= DefaultScopePeers) // hosts of other domains replace missing near ones
 			continue
 		}
 		is.True(near >= DefaultScopePeers-ringSuccessors && near < len(chosen))
@@ -58,8 +60,8 @@
 	return metric.GetCounter().GetValue()
 }
 
-// Guards against pulls that name all objects for one change.
-func TestPullNamesObjectsOnlyForAGap(t *testing.T) {
+// Guards against pulls that list the versions of all objects for one change.
+func TestPullListsObjectsOnlyForAGap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, "a1")
@@ -78,16 +80,16 @@
 		is.True(bytesOut(is, f.hosts["b1"].Node)-before < 1000)
 
 		f.hosts["a1"].table.put("earlier", 600)
-		f.hosts["b1"].table.put("later", 700) // from the store, before it hears of the earlier one
+		f.hosts["b1"].table.put("later", 700) // from the store, before it receives the earlier one
 		f.hosts["a1"].table.put("later", 700)
 		time.Sleep(20 * time.Second)
 		is.Equal(f.hosts["b1"].table.Digest(), f.hosts["a1"].table.Digest())
 	})
 }
 
-func TestHostsSayThatTheStoreTurnsThemAway(t *testing.T) {
-	// The store turns away the host that watches it for a domain, and serves
-	// others. Nobody knew, and the domain's hosts heard of changes late.
+func TestStoreFailureOfAHostIsGossiped(t *testing.T) {
+	// Guards against a domain that receives changes late because the store
+	// rejects its watcher, serves other hosts, and no other host is informed.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, "a1", "b1")
@@ -110,7 +112,7 @@
 	})
 }
 
-// believes returns what a host believes of another one, itself included.
+// believes returns a member in the view of a host.
 func (h *fleetHost) believes(host string) (Member, bool) {
 	for _, m := range h.Members() {
 		if m.Host == host {
@@ -120,9 +122,9 @@
 	return Member{}, false
 }
 
-func TestShortRecordKeepsWhatIsKnown(t *testing.T) {
-	// A probe names its sender only in short. Its processor and failure domain
-	// were forgotten with each sequence, and duties moved to weak hosts.
+func TestShortRecordKeepsKnownFields(t *testing.T) {
+	// Guards against a short record in a probe that erases the capacity and
+	// failure domain of its sender, so that duties move to weak hosts.
 	is := is.New(t)
 	strong := Member{Host: "b1", Incarnation: 1, State: StateAlive, PeerAddress: "y", FailureDomain: "b", Capacity: 800}
 	table := newTable(Member{Host: "a1", Incarnation: 1, PeerAddress: "x", State: StateAlive})
--- a/peer/leaving.go
+++ b/peer/leaving.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// leavingNewsLimit bounds the backend servers named in one message.
+	// leavingNewsLimit is the maximum number of backend servers in one message.
 	leavingNewsLimit = 8
-	// leavingRetransmits is how often one host passes such news on.
+	// leavingRetransmits is how many times a host gossips one server.
 	leavingRetransmits = 12
-	// maxLeaving bounds how far ahead a server can be marked, so that a host
-	// with a wrong clock cannot take a server out for good.
+	// maxLeaving is how far in the future a mark may end, so that a host with a
+	// wrong clock cannot remove a server permanently.
 	maxLeaving = 24 * time.Hour
 )
 
-// LeavingServer is a backend server that takes no new work until a time.
+// LeavingServer is a backend server that accepts no new work until a time.
 type LeavingServer struct {
 	Server string // IP:port
 	Until  time.Time
@@ -27,17 +27,18 @@
 
 type leavingEntry struct {
 	until  time.Time
-	passOn int
+	passOn int // remaining retransmissions
 }
 
-// leavingTable holds the backend servers that are leaving. A later end wins,
-// so leaving wins over staying whatever the order of the news.
+// leavingTable holds the backend servers that are leaving. The latest end time
+// wins, so that the result does not depend on the order of updates.
 type leavingTable struct {
 	mu      sync.Mutex // guards entries
 	entries map[string]*leavingEntry
 }
 
-// mark notes servers and reports whether any was news.
+// mark records servers and reports whether any of them was new or had a later
+// end time.
 func (t *leavingTable) mark(servers []LeavingServer, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -57,7 +58,8 @@
 	return changed
 }
 
-// expire forgets servers whose time has run out.
+// expire deletes servers whose end time has passed, and reports whether there
+// were any.
 func (t *leavingTable) expire(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,7 +72,7 @@
 	return len(t.entries) != before
 }
 
-// list returns the servers that are leaving now, ordered by name.
+// list returns the servers that are leaving now, ordered by address.
 func (t *leavingTable) list(now time.Time) []LeavingServer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,7 +86,7 @@
 	return servers
 }
 
-// news picks servers that still need passing on.
+// news selects servers with remaining retransmissions.
 func (t *leavingTable) news() []*peerpb.LeavingServer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/peer/member.go
+++ b/peer/member.go
@@ -6,11 +6,11 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// State says what this host believes of another one.
+// State is the state of a member in this host's view.
 type State int
 
-// States in rising precedence within one incarnation and sequence: bad news
-// wins over good news until the host itself refutes it with a new sequence.
+// States in rising precedence within one incarnation and sequence: the worse
+// state wins until the member itself refutes it with a higher sequence.
 const (
 	StateAlive State = iota + 1
 	StateLeaving
@@ -33,28 +33,30 @@
 	return "unspecified"
 }
 
-// Member is one entry host as this host knows it.
+// Member is the record of one entry host in this host's view.
 type Member struct {
 	Host          string
-	Incarnation   uint64 // rises with every start of the host
-	Sequence      uint64 // rises with every refutation within an incarnation
+	Incarnation   uint64 // increases with every start of the host
+	Sequence      uint64 // increases with every change that the host makes to its own record
 	State         State
 	FailureDomain string
 	PeerAddress   string
 	CallerAddress string
-	// Successor took over the records of a host that is gone.
+	// Successor is the host that takes over the records of a leaving or gone
+	// host; empty: none.
 	Successor string
-	// Capacity is the host's processor in thousandths of a core; zero: not
-	// known. Duties for others go to hosts that have more of it.
+	// Capacity is the host's CPU capacity in thousandths of a core; zero:
+	// unknown. Fleet-wide duties go to hosts with more capacity.
 	Capacity int
-	// StoreAway says that the platform's store does not answer the host.
+	// StoreAway reports that the platform's store does not answer the host.
 	StoreAway bool
-	// ConfigurationVersion is the newest version in force there, as last
-	// heard from the host itself; zero when it was not heard yet.
+	// ConfigurationVersion is the newest version in force on the host, as last
+	// received from the host itself; zero: none received yet.
 	ConfigurationVersion store.Version
 }
 
-// overrides reports whether m is newer news of a host than known.
+// overrides reports whether m takes precedence over the known record of the
+// same host.
 func (m Member) overrides(known Member) bool {
 	if m.Incarnation != known.Incarnation {
 		return m.Incarnation > known.Incarnation
@@ -112,7 +114,7 @@
 	}
 }
 
-// hash names this record of the member.
+// hash identifies this version of the member's record.
 func (m Member) hash() uint64 {
 	numbers := []uint64{m.Incarnation, m.Sequence, uint64(m.State)}
 	var b []byte
@@ -122,12 +124,13 @@
 	return hashStrings(m.Host, m.Successor, string(b))
 }
 
-// short leaves out what other hosts know already.
+// short returns the record without the addresses, failure domain and capacity,
+// which other hosts have already; see table.complete.
 func (m Member) short() Member {
 	return Member{Host: m.Host, Incarnation: m.Incarnation, Sequence: m.Sequence, State: m.State, StoreAway: m.StoreAway}
 }
 
-// valid reports whether news can be stored at all.
+// valid reports whether the record has the fields required to store it.
 func (m Member) valid() bool {
 	return m.Host != "" && m.State != 0 && m.PeerAddress != ""
 }
--- a/peer/node.go
+++ b/peer/node.go
@@ -1,12 +1,14 @@
-// Package peer is how entry hosts know of each other: a membership by probes
-// and passed-on news, the spreading of configuration and of leaving backend
-// servers, and the passing of requests and records to their home.
+// Package peer connects the entry hosts of a fleet. It implements a gossip
+// membership in the manner of SWIM (probes, suspicion and refutation), gossips
+// configuration and leaving backend servers, and forwards requests and records
+// to their home.
 //
-// The membership is soft. It decides which addresses callers are given, who
-// watches the platform and who takes over records; it never decides who may
-// run a request.
+// The membership is eventually consistent. It decides which addresses callers
+// receive, which hosts watch the platform and which host takes over records; it
+// never decides which host may run a request.
 //
-// Locks: table.mu, leavingTable.mu, pool.mu and Node.mu are each taken alone.
+// Locks: table.mu, leavingTable.mu, pool.mu and Node.mu are never nested, except
+// that Node.neighbours takes table.mu while it holds Node.mu.
 package peer
 
 import (
@@ -31,16 +33,16 @@
 	ErrUnknownHost = errors.New("peer: unknown host")
 	// ErrHostGone means that the member has left or died.
 	ErrHostGone = errors.New("peer: host is gone")
-	// ErrUnreachable means that the host did not answer; what was sent may
-	// have reached it.
+	// ErrUnreachable means that the host did not answer; it may have received
+	// the request.
 	ErrUnreachable = errors.New("peer: host unreachable")
-	// ErrRefused means that the host answered and did not take what was sent.
+	// ErrRefused means that the host rejected the request.
 	ErrRefused = errors.New("peer: host refused")
 )
 
-// SupersededError ends Run when the fleet knows this host's name with a
-// higher incarnation: it was replaced, or its clock stepped back. Start again
-// with an incarnation above Known, or not at all.
+// SupersededError is returned by Run when the fleet lists this host's name with
+// a higher incarnation: the host was replaced, or its clock stepped back. The
+// caller may only restart the node with an incarnation above Known.
 type SupersededError struct {
 	Known uint64
 }
@@ -50,7 +52,7 @@
 	return errors.Newf("peer: replaced by incarnation %d", e.Known).Error()
 }
 
-// Node is this host's part in the fleet.
+// Node is this host as a member of the fleet.
 type Node struct {
 	options  Options
 	counters *counters
@@ -58,36 +60,36 @@
 	table    *table
 	leaving  *leavingTable
 	control  *pool // probes, pulls
-	data     *pool // forwards and hand-overs, so that they never hold up a probe
+	data     *pool // forwards and hand-overs, so that they never delay a probe
 	server   *grpc.Server
 
-	kick        chan struct{} // asks for an early round of probes
-	pulls       chan Member   // asks for a pull from a member
-	syncs       chan Member   // asks for a swap of the membership with a member
-	doubts      chan Member   // asks for a probe of a member that others hold for alive
-	notices     chan struct{} // asks for the watchers to be called
-	joined      chan struct{} // closed after the first whole exchange with a peer
+	kick        chan struct{} // requests an early round of probes
+	pulls       chan Member   // members to pull configuration from
+	syncs       chan Member   // members to sync the membership with
+	doubts      chan Member   // members to probe because others list them as alive
+	notices     chan struct{} // requests a call of the watchers
+	joined      chan struct{} // closed after the first sync with a seed
 	joinedOnce  sync.Once
-	eagerPulls  *rate.Limiter // pulls from hosts that are ahead
-	repairPulls *rate.Limiter // pulls from hosts that merely differ
+	eagerPulls  *rate.Limiter // pulls from hosts with a newer version
+	repairPulls *rate.Limiter // pulls from hosts with another digest and no newer version
 	syncLimit   *rate.Limiter
 
 	refreshLimit *rate.Limiter
 
 	mu           sync.Mutex           // guards all below
-	digest       uint64               // of the membership when otherDigests was begun
-	otherDigests map[uint64]time.Time // digests of others since, and when first heard
-	differed     bool                 // the last digest heard
+	digest       uint64               // own membership digest for which otherDigests was collected
+	otherDigests map[uint64]time.Time // other digests received since, with the time of the first receipt
+	differed     bool                 // whether the last digest received differed
 
 	watchers map[int]func()
 	watchID  int
 	random   *rand.Rand
-	order    []string // hosts still to be probed in this round
-	scope    []Member // neighbours at scopeAt
-	scopeAt  uint64   // table generation
+	order    []string // hosts left to probe in the current round
+	scope    []Member // neighbours at table generation scopeAt
+	scopeAt  uint64
 }
 
-// New makes a node; Run starts it.
+// New returns a node, which Run starts.
 func New(options Options) *Node {
 	o := options.withDefaults()
 	c := newCounters(o.Registerer)
@@ -114,7 +116,7 @@
 		random:       rand.New(rand.NewPCG(o.Seed, 1)),
 	}
 	o.Registerer.MustRegister(prometheus.NewGaugeFunc(
-		prometheus.GaugeOpts{Name: "papayasail_peer_news_pending", Help: "Member records still to be passed on."},
+		prometheus.GaugeOpts{Name: "papayasail_peer_news_pending", Help: "Member records with gossip retransmissions left."},
 		func() float64 { return float64(n.table.pending()) },
 	))
 	n.table.witness = witnessTime * o.ProbeInterval
@@ -122,9 +124,9 @@
 	return n
 }
 
-// Run serves peers on the peer address and probes them until ctx ends. On a
-// context's end it tells a few peers that this host is gone if Leave was
-// called, and returns nil. A *SupersededError means that the host was replaced.
+// Run serves peers on the peer address and probes them until ctx ends. It then
+// announces to a few peers that this host is gone, if Leave was called, and
+// returns nil. A *SupersededError means that the host was replaced.
 func (n *Node) Run(ctx context.Context) error {
 	listener, err := n.options.Network.Listen(n.options.Self.PeerAddress)
 	if err != nil {
@@ -171,7 +173,7 @@
 	return self
 }
 
-// Members returns all known members with this host, ordered by name.
+// Members returns all members including this host, ordered by name.
 func (n *Node) Members() []Member {
 	members := n.table.members()
 	for i := range members {
@@ -182,19 +184,21 @@
 	return members
 }
 
-// Generation rises with every change that Members shows, but for versions of
-// the configuration, which change with each exchange. What is worked out from
-// the members holds for as long as it stays.
+// Generation increases with every change of Members, except for configuration
+// versions, which change with each exchange. Results derived from the members
+// can be cached until it changes.
 func (n *Node) Generation() uint64 {
 	generation, _, _ := n.table.state()
 	return generation
 }
 
-// Joined is closed after the first exchange of the whole membership with a peer.
+// Joined returns a channel that is closed after the first full membership sync
+// with a seed and a pull of its configuration.
 func (n *Node) Joined() <-chan struct{} { return n.joined }
 
-// Watch calls f after changes of members or leaving servers, from one
-// goroutine, several changes at once; the returned function ends that.
+// Watch calls f after changes of members or leaving servers, from a single
+// goroutine; several changes may share one call. The returned function cancels
+// the watch.
 func (n *Node) Watch(f func()) (cancel func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -208,12 +212,12 @@
 	}
 }
 
-// Announce tells a few peers at once that the configuration changed here;
-// without it they learn with the next probes.
+// Announce probes a few peers immediately, so that they receive a change of
+// configuration or of quarantined requests before their next regular probe.
 func (n *Node) Announce() { signal(n.kick) }
 
-// Leave tells the fleet that this host takes no new work; when Run ends it is
-// announced as gone, with its successor ("": none).
+// Leave announces to the fleet that this host accepts no new work. When Run
+// ends the host is announced as gone, with its successor ("": none).
 func (n *Node) Leave(successor string) {
 	n.table.leave(StateLeaving, successor)
 	n.logger.Info("leaving", zap.String("successor", successor))
@@ -221,7 +225,8 @@
 	signal(n.notices)
 }
 
-// SetStoreAway tells the fleet whether the platform's store answers this host.
+// SetStoreAway announces to the fleet whether the platform's store fails to
+// answer this host.
 func (n *Node) SetStoreAway(away bool) {
 	if n.table.setStoreAway(away) {
 		signal(n.kick)
@@ -229,8 +234,8 @@
 	}
 }
 
-// MarkLeaving spreads that a backend server (IP:port) takes no new work until
-// a time. An earlier end than the one known is ignored.
+// MarkLeaving gossips that a backend server (IP:port) accepts no new work until
+// the given time. A time before the one already recorded is ignored.
 func (n *Node) MarkLeaving(server string, until time.Time) {
 	if n.leaving.mark([]LeavingServer{{server, until}}, time.Now()) {
 		signal(n.kick)
@@ -238,11 +243,11 @@
 	}
 }
 
-// LeavingServers returns the backend servers that take no new work now,
+// LeavingServers returns the backend servers that currently accept no new work,
 // ordered by address.
 func (n *Node) LeavingServers() []LeavingServer { return n.leaving.list(time.Now()) }
 
-// Forward passes a request to its home and returns the answer. Errors:
+// Forward sends a request to its home and returns the response. Errors:
 // ErrUnknownHost, ErrHostGone, ErrUnreachable.
 func (n *Node) Forward(ctx context.Context, host string, request *peerpb.ForwardRequest) (*peerpb.ForwardResponse, error) {
 	if host == n.options.Self.Host {
@@ -256,7 +261,8 @@
 	return response, err
 }
 
-// HandOver passes records to a successor. Errors as Forward, and ErrRefused.
+// HandOver sends records to a successor. Errors: those of Forward, and
+// ErrRefused.
 func (n *Node) HandOver(ctx context.Context, host string, request *peerpb.HandOverRequest) error {
 	return n.callData(host, request, func(client peerpb.PeerClient) error {
 		_, err := client.HandOver(ctx, request)
@@ -287,7 +293,8 @@
 	return list
 }
 
-// signal asks a loop to run once more; asking twice is the same.
+// signal wakes the loop that receives from c, a channel with a buffer of one.
+// Signals that arrive before the loop receives are merged into one.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/peer/node_test.go
+++ b/peer/node_test.go
@@ -16,7 +16,7 @@
 
 var seven = []string{"a1", "a2", "a3", "b1", "b2", "c1", "c2"}
 
-func TestFleetMeetsAndSpreadsConfiguration(t *testing.T) {
+func TestFleetJoinsAndSharesConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, "a1", "b1")
@@ -42,8 +42,8 @@
 	})
 }
 
-// A caller is sent to an entry host that died minutes ago, and waits for
-// nothing. The host dies without a word; its peers must find out.
+// Guards against callers sent to an entry host that died without an
+// announcement; its peers have to detect it.
 func TestDeadHostIsGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -61,8 +61,8 @@
 	})
 }
 
-// Callers are kept away from a healthy host. What b1 sends to a1 is lost on
-// the way while all else arrives, so a1 alone gets no answer from b1.
+// Guards against callers kept away from a healthy host. Packets from b1 to a1
+// are lost and all others arrive, so that only a1 gets no answer from b1.
 func TestOneWayLossRaisesNoSuspicion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -79,8 +79,8 @@
 	})
 }
 
-// A caller near a1 is told that b1, the only other host, may be dead. All
-// open connections between them went silent for good while new ones work.
+// Guards against a false suspicion when all open connections between two hosts
+// go silent permanently while new ones work.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -100,7 +100,7 @@
 	})
 }
 
-func TestLeavingHostNamesSuccessor(t *testing.T) {
+func TestLeavingHostAnnouncesSuccessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, "a1", "b1")
@@ -123,14 +123,14 @@
 	})
 }
 
-func TestLeavingServerSpreads(t *testing.T) {
+func TestLeavingServerIsGossiped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, "a1", "b1")
 		defer f.stop()
 		f.start(seven...)
 		time.Sleep(10 * time.Second)
-		var calls atomic.Int32 // Watch calls from its own goroutine
+		var calls atomic.Int32 // incremented by the goroutine of Watch
 		cancel := f.hosts["c2"].Watch(func() { calls.Add(1) })
 		until := time.Now().Add(time.Minute)
 		f.hosts["a1"].MarkLeaving("10.0.0.9:80", until)
@@ -149,9 +149,9 @@
 	})
 }
 
-// "papayasail wait" never ends in a fleet larger than the scope: the host that
-// is asked hears only from its neighbours and shows the others at version 0.
-func TestRefreshHearsOfAllVersions(t *testing.T) {
+// Guards against "papayasail wait" that never ends in a fleet larger than the
+// scope, because the queried host lists all but its neighbours at version 0.
+func TestRefreshUpdatesAllVersions(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -172,9 +172,9 @@
 	})
 }
 
-// An accepted change takes many seconds to reach a large fleet, hop by hop
-// with the probes, when those who pull it do not pass it on at once.
-func TestChangeIsPassedOnAtOnce(t *testing.T) {
+// Guards against a change that takes many seconds to reach a large fleet,
+// because hosts that pulled it wait for their regular probes to gossip it.
+func TestChangeIsPushedImmediately(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -193,12 +193,12 @@
 				late++
 			}
 		}
-		is.True(late <= 5) // those that no push chose; without pushes about half
+		is.True(late <= 5) // hosts that no push selected; without pushes about half
 	})
 }
 
-// A host that says it has joined refuses requests for want of a
-// configuration, although the peer it joined by holds one.
+// Guards against a host that reports that it has joined and refuses requests
+// without a configuration, although the seed that it joined through has one.
 func TestJoinedHostHasConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -230,8 +230,9 @@
 	})
 }
 
-// Guards against addresses beyond a cut that a small part names for good.
-func TestSmallPartFindsTheRestGone(t *testing.T) {
+// Guards against a small partition that returns addresses of the other side
+// permanently.
+func TestSmallPartitionDeclaresTheRestGone(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -253,8 +254,9 @@
 	})
 }
 
-// Guards against hosts held for gone on the word of a part that was cut off.
-func TestReturningPartDoesNotTakeTheRestDown(t *testing.T) {
+// Guards against healthy hosts declared gone by records of a small partition
+// when it heals.
+func TestHealedPartitionKeepsTheRestAlive(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -277,7 +279,7 @@
 					alive++
 				}
 			}
-			is.True(alive >= 14) // of 24; 9 or 10 without the guard, 17 or 18 with it
+			is.True(alive >= 14) // of 24; 9 or 10 without the check of recent exchanges, 17 or 18 with it
 		}
 		for _, host := range f.names() {
 			for _, state := range f.states(host) {
--- a/peer/options.go
+++ b/peer/options.go
@@ -25,59 +25,61 @@
 	DefaultIdleTimeout      = 2 * time.Minute
 )
 
-// Completeness is what a ConfigurationTable may offer besides: whether it has
-// had all objects that there were at one moment, and taking note that it has.
+// Completeness is an optional interface of a ConfigurationTable. It tracks
+// whether the table has once held a complete snapshot of all objects.
 type Completeness interface {
+	// Complete reports whether the table has held a complete snapshot.
 	Complete() bool
+	// SetComplete records that the table holds a complete snapshot.
 	SetComplete()
 }
 
-// ConfigurationTable is the configuration in force on this host, as the
-// spreading between peers needs it.
+// ConfigurationTable is the configuration in force on this host, as needed to
+// synchronise it between peers.
 type ConfigurationTable interface {
-	// Version is the newest version held.
+	// Version is the newest version in the table.
 	Version() store.Version
 	// Digest is equal on two hosts that hold the same versions of the same objects.
 	Digest() uint64
 	// Since returns the objects newer than a version, in order of version.
 	Since(store.Version) []store.Object
-	// Adopt takes in objects that are newer than those held, ignores the
-	// others, and returns how many it took.
+	// Adopt stores the objects that are newer than those in the table, ignores
+	// the others, and returns the number stored.
 	Adopt([]store.Object) (int, error)
 }
 
-// Suspects is what this host knows of requests that crash backend servers, as
-// the spreading between peers needs it; *quarantine.Table is one.
+// Suspects is the set of requests that crash backend servers, as needed to
+// synchronise it between peers. *quarantine.Table implements it.
 type Suspects interface {
-	// News returns the records for one message.
+	// News returns the records to include in the next gossip message.
 	News() []quarantine.Record
-	// All returns the quarantined requests, for a host that joins.
+	// All returns all quarantined requests, for a host that joins.
 	All() []quarantine.Record
-	// Merge takes in what another host knows, and reports whether any of it was
-	// news.
+	// Merge merges records received from another host and reports whether any
+	// of them was new.
 	Merge(records []quarantine.Record, source string) bool
 }
 
-// Handler serves what other hosts pass to this one.
+// Handler serves requests and records that other hosts send to this one.
 type Handler interface {
 	// Forward runs a request whose home is this host.
 	Forward(context.Context, *peerpb.ForwardRequest) *peerpb.ForwardResponse
-	// HandOver takes over records of a stopping host.
+	// HandOver takes over the records of a stopping host.
 	HandOver(context.Context, *peerpb.HandOverRequest) error
 }
 
 // Options configures a Node. Self, Network, Configuration and Handler are
-// required; zero values of the others stand for the defaults.
+// required; the others have defaults.
 type Options struct {
-	// Self names this host. A zero Incarnation is set from the clock, in
-	// milliseconds, so that a replaced host comes up with a higher one.
+	// Self describes this host. A zero Incarnation is set from the clock, in
+	// milliseconds, so that a replacement host starts with a higher one.
 	Self          Member
 	Network       link.Network
-	Seeds         []string // peer addresses asked on joining
+	Seeds         []string // peer addresses contacted on joining
 	Configuration ConfigurationTable
 	Handler       Handler
-	Suspects      Suspects // nil: none are known
-	// Register adds services to the server that peers call; nil: none.
+	Suspects      Suspects // nil: quarantine records are not exchanged
+	// Register adds services to the gRPC server for peers; nil: none.
 	Register   func(grpc.ServiceRegistrar)
 	Logger     *zap.Logger
 	Registerer prometheus.Registerer
@@ -85,12 +87,12 @@
 
 	ProbeInterval    time.Duration // one peer is probed per interval
 	ProbeTimeout     time.Duration // for one exchange
-	IndirectProbes   int           // helpers asked before a suspicion
-	SuspicionTimeout time.Duration // from suspicion until the host counts as gone
-	GoneRetention    time.Duration // how long hosts that are gone are remembered
-	MaxConnections   int           // outgoing control connections kept open
-	IdleTimeout      time.Duration // unused connections are closed after it
-	Seed             uint64        // of random choices; zero: from host and incarnation
+	IndirectProbes   int           // hosts that probe a target indirectly before it is suspected
+	SuspicionTimeout time.Duration // from suspicion until the host is declared gone
+	GoneRetention    time.Duration // how long records of gone hosts are kept
+	MaxConnections   int           // open outgoing connections of each pool (control, data)
+	IdleTimeout      time.Duration // idle connections are closed after this time
+	Seed             uint64        // of the random generator; zero: derived from host and incarnation
 }
 
 func (o Options) withDefaults() Options {
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -17,18 +17,19 @@
 )
 
 const (
-	// bufferBytes is the read and write buffer of one connection, small since
-	// control messages are: at 390 hosts the buffers count.
+	// bufferBytes is the read and write buffer size of one connection. Control
+	// messages are small, and buffers add up in a fleet of 390 hosts.
 	bufferBytes = 4 << 10
-	// windowBytes is the flow control window. A fixed one also keeps the
-	// bandwidth estimator's pings off the wire.
+	// windowBytes is the flow control window. A fixed window also disables the
+	// pings of the bandwidth estimator.
 	windowBytes = 64 << 10
-	// messageBytes bounds one message: a page of configuration, or a forwarded
-	// request or its answer, whose bodies have bounds of their own below it.
+	// messageBytes is the maximum size of a message: a page of configuration, or
+	// a forwarded request or its response, whose bodies have lower limits.
 	messageBytes = 32 << 20
 )
 
-// pool keeps a bounded number of connections to other hosts.
+// pool is a pool of connections to other hosts. At most limit are kept, unless
+// more are in use.
 type pool struct {
 	network  link.Network
 	counters *counters
@@ -38,7 +39,7 @@
 
 	mu     sync.Mutex // guards closed, conns and the fields of its entries
 	conns  map[string]*pooledConn
-	closed bool // nothing is dialled any more
+	closed bool // no new connections are opened
 }
 
 type pooledConn struct {
@@ -46,7 +47,7 @@
 	conn    *grpc.ClientConn
 	users   int
 	lastUse time.Time
-	dropped bool // closed as soon as nobody uses it
+	dropped bool // removed from the pool; closed after its last use
 }
 
 func newPool(network link.Network, counters *counters, limit int, idle time.Duration) *pool {
@@ -54,7 +55,7 @@
 }
 
 // call runs f with a connection to address. After a timeout or a lost
-// connection the next call opens a fresh one.
+// connection the next call opens a new one.
 func (p *pool) call(address string, f func(peerpb.PeerClient) error) error {
 	return p.callConn(address, func(c *pooledConn) error { return f(c.client) })
 }
@@ -72,8 +73,8 @@
 	return err
 }
 
-// errPoolClosed means that the host has stopped. Without it a probe that
-// races with the stop would open a connection that nobody closes.
+// errPoolClosed means that the node has stopped. It prevents a probe that races
+// with the stop from opening a connection that is never closed.
 var errPoolClosed = errors.New("peer: pool closed")
 
 func (p *pool) acquire(address string) (*pooledConn, error) {
@@ -104,22 +105,23 @@
 	p.closeUnused(c)
 }
 
-// closeUnused closes a dropped connection after its last use. Callers hold mu.
+// closeUnused closes a dropped connection that is not in use. The caller must
+// hold mu.
 //
-// Guards against one peer that stops every other exchange: closing a
-// grpc.ClientConn waits seconds for a transport whose link takes no bytes, so
-// it must not be done while mu is held.
+// Failure: grpc.ClientConn.Close waits seconds for a transport whose link
+// accepts no bytes. If it ran while mu is held, one such peer would block
+// every other exchange, so it runs in a goroutine.
 func (p *pool) closeUnused(c *pooledConn) {
 	switch {
 	case !c.dropped || c.users > 0:
 	case p.closed:
-		go c.conn.Close() // close may be waiting, and a WaitGroup must not grow then
+		go c.conn.Close() // pool.close may be in closing.Wait, which forbids adding to it
 	default:
 		p.closing.Go(func() { _ = c.conn.Close() })
 	}
 }
 
-// drop forgets the connection c to address, if it is still the current one.
+// drop removes the connection c to address if it is still the current one.
 func (p *pool) drop(address string, c *pooledConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +136,8 @@
 	p.closeUnused(c)
 }
 
-// evict makes room for one connection: the one unused for longest goes.
+// evict removes the connection that has been idle for longest if the pool is
+// full.
 func (p *pool) evict() {
 	if len(p.conns) < p.limit {
 		return
@@ -150,7 +153,7 @@
 	}
 }
 
-// sweep closes connections that were not used for the idle timeout.
+// sweep closes connections that have been idle for the idle timeout.
 func (p *pool) sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,8 +164,8 @@
 	}
 }
 
-// close closes all connections, also those in use, and waits until they are.
-// No new ones are opened.
+// close closes all connections, including those in use, and waits until they
+// are closed. Later calls fail with errPoolClosed.
 func (p *pool) close() {
 	p.mu.Lock()
 	p.closed = true
--- a/peer/probe.go
+++ b/peer/probe.go
@@ -18,7 +18,7 @@
 const (
 	probeAnswered        = "answered"
 	probeFreshConnection = "fresh_connection" // answered only on a new connection
-	probeIndirect        = "indirect"         // reached only by another host
+	probeIndirect        = "indirect"         // reached only through another host
 	probeFailed          = "failed"
 
 	suspicionRaised      = "raised"
@@ -28,26 +28,27 @@
 )
 
 const (
-	// pushFanout is how many neighbours are probed early because of news. When
-	// each host that hears of it does the same, exp(-pushFanout) of the hosts
-	// are missed and hear of it with the next probe.
+	// pushFanout is the number of neighbours probed early for an urgent update.
+	// If each host that receives it does the same, a fraction of
+	// exp(-pushFanout) of the hosts is missed and receives it with a later probe.
 	pushFanout = 4
-	// pushEvery, in probe intervals over this number, spaces early probes.
+	// pushEvery is the maximum number of early rounds in one probe interval.
 	pushEvery = 5
-	// overlappingProbes bounds the probes under way.
+	// overlappingProbes is the maximum number of concurrent probes.
 	overlappingProbes = 4
-	// lately is within how many intervals a host was heard to be a helper first.
+	// lately is the number of probe intervals within which a direct exchange
+	// makes a host a preferred helper for indirect probes.
 	lately = 4
-	// strayEvery is in how many intervals a host outside the scope or one
-	// that is gone is probed.
+	// strayEvery is the number of probe intervals between probes of a gone host
+	// or of a seed that is not a member.
 	strayEvery = 20
 )
 
-// probeLoop begins to probe one neighbour in each interval.
+// probeLoop starts the probe of one neighbour in each interval.
 //
-// Failure: many hosts die at once and each probe waits for its timeouts, so
-// the deaths are found one after another. It shows as suspicions that come
-// slower than one an interval. A few probes may therefore overlap.
+// Failure: many hosts die at once. If each probe had to run into its timeouts
+// before the next starts, suspicions would be raised more slowly than one per
+// interval. Up to overlappingProbes probes therefore run concurrently.
 func (n *Node) probeLoop(ctx context.Context) error {
 	var probes errgroup.Group
 	probes.SetLimit(overlappingProbes)
@@ -130,8 +131,8 @@
 	return others
 }
 
-// nextTarget goes through the neighbours in random order, round by round, so
-// that each is probed within two rounds at most.
+// nextTarget returns the neighbours in rounds, each in a new random order, so
+// that two probes of a neighbour are at most two rounds apart.
 func (n *Node) nextTarget() (Member, bool) {
 	neighbours := n.neighbours()
 	n.mu.Lock()
@@ -170,16 +171,16 @@
 	return picked
 }
 
-// probe asks target whether it lives; directly, over a fresh connection, by
-// way of others; and suspects it when all fail.
+// probe probes target directly, then over a new connection, then through other
+// hosts, and marks it suspect when all fail.
 func (n *Node) probe(ctx context.Context, target Member) {
 	if n.tryExchange(ctx, target) {
 		n.counters.probes.WithLabelValues(probeAnswered).Inc()
 		return
 	}
-	// Failure: a connection goes silent for good while new ones work. It
-	// shows as probes without an answer on one connection only. The pool has
-	// dropped that one, and a fresh connection tells the link from the host.
+	// Failure: one connection goes silent permanently while new ones work. The
+	// pool has dropped it, so a probe over a new connection distinguishes a
+	// broken connection from a dead host.
 	if n.tryExchange(ctx, target) {
 		n.counters.probes.WithLabelValues(probeFreshConnection).Inc()
 		return
@@ -196,12 +197,13 @@
 	n.suspect(target, asked)
 }
 
-// suspect marks target. Without the word of another host it stays unconfirmed.
+// suspect marks target as suspect. The suspicion is confirmed if another host
+// failed to reach target too.
 //
-// Failure: a host that is itself cut off suspects everybody; on its return it
-// would tell the fleet that all are suspect, and later gone. It shows as
-// probes that all fail, with no helper that answers. An unconfirmed suspicion
-// is kept to ourselves and never runs out, so nothing wrong is passed on.
+// Failure: a partitioned host suspects all others, and would gossip them as
+// suspect and later gone once it is reconnected. All its probes fail and no
+// helper answers. An unconfirmed suspicion is therefore neither gossiped nor
+// does it expire.
 func (n *Node) suspect(target Member, confirmed bool) {
 	moved, ok := n.table.suspect(target, confirmed, time.Now())
 	if !ok {
@@ -221,7 +223,7 @@
 	return err == nil && answered.Host == target.Host
 }
 
-// exchange swaps one probe with target and returns who answered.
+// exchange sends a probe to target and returns the member that answered.
 func (n *Node) exchange(ctx context.Context, target Member) (Member, error) {
 	return n.exchangeOn(ctx, n.control, target)
 }
@@ -238,8 +240,9 @@
 	return n.receive(response), nil
 }
 
-// probeByOthers asks helpers to probe target. One-way loss between two hosts
-// leaves a way round through a third, so it raises no suspicion.
+// probeByOthers requests indirect probes of target from helpers. It reports
+// whether one reached target, and whether any helper answered. With one-way
+// loss between two hosts a third still reaches both, so no suspicion is raised.
 func (n *Node) probeByOthers(ctx context.Context, target Member) (reached, asked bool) {
 	helpers := n.helpers(target)
 	ctx, cancel := context.WithTimeout(ctx, 3*n.options.ProbeTimeout)
@@ -264,11 +267,12 @@
 	return false, asked
 }
 
-// helpers chooses hosts to probe target for us: those heard of late first.
+// helpers returns up to IndirectProbes hosts for an indirect probe of target.
+// Hosts with a recent direct exchange come first.
 //
-// Failure: most of the fleet is cut off. Helpers chosen from all of it are cut
-// off too and do not answer, so suspicions are confirmed late, and callers are
-// given addresses beyond the cut for longer.
+// Failure: most of the fleet is cut off. Helpers chosen from all of it would be
+// cut off too and not answer, so that suspicions are confirmed late and callers
+// receive addresses beyond the partition for longer.
 func (n *Node) helpers(target Member) []Member {
 	heard, others := n.table.reachable(time.Now().Add(-lately * n.options.ProbeInterval))
 	isTarget := func(m Member) bool { return m.Host == target.Host }
@@ -288,9 +292,9 @@
 	return response
 }
 
-// probeStray probes a host that is gone, or a seed, so that two parts of the
-// fleet that lost each other for longer than the suspicion timeout find each
-// other again. Hosts that said goodbye are left alone.
+// probeStray probes a gone host or a seed that is not a member, so that two
+// parts of the fleet reconnect after a partition longer than the suspicion
+// timeout. Gone hosts with a successor are skipped: they left on purpose.
 func (n *Node) probeStray(ctx context.Context) {
 	strays := n.others(func(m Member) bool { return m.State == StateGone && m.Successor == "" })
 	known := make(map[string]bool)
@@ -303,16 +307,16 @@
 		}
 	}
 	for _, m := range n.pick(strays, 1) {
-		// A host that is back likely comes with others: its membership tells
-		// which, and whom to doubt.
+		// A host that is back is likely one of several. The sync returns the
+		// others, and the members whose state is disputed.
 		if n.tryExchange(ctx, m) {
 			n.syncWith(ctx, m.PeerAddress)
 		}
 	}
 }
 
-// pushLoop probes a few neighbours early when there is news that should not
-// wait: a change of configuration, a leaving backend server or host.
+// pushLoop probes a few neighbours early when there is an urgent update: a
+// change of configuration, a leaving backend server or host.
 func (n *Node) pushLoop(ctx context.Context) error {
 	pause := n.options.ProbeInterval / pushEvery
 	for {
@@ -328,7 +332,8 @@
 	}
 }
 
-// push probes a few neighbours at once; a dead one does not hold up the others.
+// push probes a few neighbours concurrently, so that a dead one does not delay
+// the others.
 func (n *Node) push(ctx context.Context) {
 	var group sync.WaitGroup
 	for _, target := range n.pick(n.neighbours(), pushFanout) {
@@ -338,7 +343,8 @@
 	group.Wait()
 }
 
-// sayGoodbye tells a few neighbours that this host is gone, if it was leaving.
+// sayGoodbye announces to a few neighbours that this host is gone, if it was
+// leaving.
 func (n *Node) sayGoodbye() {
 	self := n.table.me()
 	if self.State != StateLeaving {
--- a/peer/pullpage_test.go
+++ b/peer/pullpage_test.go
@@ -9,7 +9,7 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// startingTable is a table that may not have everything yet.
+// startingTable is a table that may be incomplete.
 type startingTable struct {
 	ConfigurationTable
 	complete bool
@@ -21,10 +21,9 @@
 func (s *startingTable) Digest() uint64                     { return 7 }
 func (s *startingTable) Since(store.Version) []store.Object { return nil }
 
-// A host boots and pulls from another one that boots too. It must not take
-// the little that the other has for all there is, and call the tokens of the
-// rest wrong.
-func TestStartingHostSaysThatThereIsMore(t *testing.T) {
+// Guards against a starting host that pulls from another starting host, treats
+// its incomplete table as complete and rejects valid tokens.
+func TestStartingHostReportsMoreObjects(t *testing.T) {
 	is := is.New(t)
 	table := &startingTable{}
 	is.True(pullPage(table, &peerpb.PullRequest{}).GetMore())
--- a/peer/refresh.go
+++ b/peer/refresh.go
@@ -6,17 +6,17 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// refreshWorkers is how many hosts one Refresh asks at a time.
+// refreshWorkers is the number of concurrent requests of one Refresh.
 const refreshWorkers = 16
 
-// Refresh asks the hosts that are behind, as last heard, which configuration
-// version they have in force now, so that Members tells operators of hosts
-// outside the scope too. Those that do not answer keep their last version. At
-// most one Refresh an interval asks; others return at once, so that a command
-// that polls costs no more.
+// Refresh queries the configuration version in force on all hosts whose last
+// received version is behind this host's, so that Members is also current for
+// hosts outside the scope. Hosts that do not answer keep their last version. At
+// most one Refresh per probe interval sends requests and the others return
+// immediately, which bounds the cost of a command that polls.
 //
-// It is done on demand because telling every host of every other's version
-// would cost more than all other control: 390 records for each change.
+// It runs on demand, because gossiping the version of every host to all others
+// would cost more than all other control traffic: 390 records for each change.
 func (n *Node) Refresh(ctx context.Context) {
 	if !n.refreshLimit.Allow() {
 		return
@@ -33,5 +33,5 @@
 			return err
 		})
 	}
-	_ = group.Wait() // who does not answer is told of by probes
+	_ = group.Wait() // probes detect the hosts that do not answer
 }
--- a/peer/scenario_test.go
+++ b/peer/scenario_test.go
@@ -14,16 +14,16 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// TestScenarios runs the failure scenarios of testdata. Each file begins with
-// its story. Commands:
+// TestScenarios runs the failure scenarios in testdata. Each file begins with a
+// description. Commands:
 //
 //	start HOST...            wait DURATION          put HOST name=N version=V
 //	kill HOST...             end HOST...            leave HOST successor=S
 //	silence A... from=(B...) lose A... to=(B...)    stall A... from=(B...)
 //	heal                     states [HOST...]       versions
 //
-// silence loses bytes both ways, lose one way, stall holds them back until
-// heal; without from, from all other hosts.
+// silence drops bytes in both directions, lose in one; stall delays them until
+// heal. Without from, the fault applies to all other hosts.
 func TestScenarios(t *testing.T) {
 	t.Parallel()
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
@@ -109,7 +109,8 @@
 	return parsed
 }
 
-// pairs applies a fault between some hosts and others.
+// pairs applies a fault to every pair of a host in some and one in others; nil
+// means all hosts that are not in some.
 func (f *fleet) pairs(some, others []string, fault func(a, b string)) {
 	if others == nil {
 		for _, host := range f.names() {
@@ -125,7 +126,7 @@
 	}
 }
 
-// describeStates groups hosts that believe the same.
+// describeStates groups hosts that have the same view of the membership.
 func (f *fleet) describeStates(hosts []string) string {
 	var lines []string
 	byView := make(map[string][]string)
--- a/peer/scope.go
+++ b/peer/scope.go
@@ -16,13 +16,13 @@
 	ringSuccessors      = 2
 )
 
-// Scope bounds which hosts this host probes and talks to by itself, so that
-// its messages and connections stay flat while the fleet grows. Below
-// Peers+Bridges hosts it probes all.
+// Scope limits the hosts that this host probes, so that its number of messages
+// and connections does not grow with the fleet. With up to Peers+Bridges other
+// hosts it probes all of them.
 type Scope struct {
-	Near    []string // failure domains that cost little to reach; empty: all are near
+	Near    []string // failure domains with low delay; empty: all are near
 	Peers   int      // hosts probed in near failure domains
-	Bridges int      // hosts probed in the others, and as many more as near ones are lacking
+	Bridges int      // hosts probed in the other domains, plus one for each near host short of Peers
 }
 
 func (s Scope) withDefaults() Scope {
@@ -31,13 +31,13 @@
 	return s
 }
 
-// neighbours chooses the hosts that self probes. The choice is stable: a
-// change of one member changes few choices, so connections last.
+// neighbours returns the hosts that self probes. The choice is stable: a change
+// of one member changes few neighbours, so that connections are reused.
 //
-// Guard: with random choices alone some host may be chosen by nobody; its
-// death would go unseen. Each host therefore also probes its successors on a
-// ring of all near hosts, and the next one on a ring of all, so that every host
-// has probers, one that is alone in its failure domain too.
+// With rendezvous hashing alone a host may be the neighbour of no other host,
+// and its death would go undetected. Each host therefore also probes its
+// successors on a ring of all near hosts and its successor on a ring of all
+// hosts. Every host thus has a prober, even alone in its failure domain.
 func (s Scope) neighbours(self Member, others []Member) []Member {
 	if len(others) <= s.Peers+s.Bridges {
 		return others
@@ -50,7 +50,7 @@
 	return withMissing(chosen, successors(self, others, 1))
 }
 
-// withMissing appends those of more that are not among the chosen.
+// withMissing appends the members of more that are not in chosen.
 func withMissing(chosen, more []Member) []Member {
 	for _, m := range more {
 		if !slices.Contains(chosen, m) {
@@ -72,7 +72,7 @@
 }
 
 // closest returns the n members with the highest rendezvous score. The score
-// is symmetric, so most links are probed from both ends and share their news.
+// is symmetric, so that most pairs probe each other and gossip both ways.
 func closest(self Member, members []Member, n int) []Member {
 	return lowest(members, n, func(m *Member) uint64 { return ^pairScore(self.Host, m.Host) })
 }
@@ -83,8 +83,8 @@
 	return lowest(members, n, func(m *Member) uint64 { return hashStrings(m.Host) - start })
 }
 
-// lowest returns the n members with the lowest keys. Members are large and
-// keys cost a hash, so only pairs of key and index are sorted.
+// lowest returns the n members with the lowest keys. It sorts pairs of key and
+// index, since members are large and each key costs a hash.
 func lowest(members []Member, n int, key func(*Member) uint64) []Member {
 	type ranked struct {
 		key   uint64
@@ -109,7 +109,8 @@
 	return hashStrings(a, b)
 }
 
-// hashStrings hashes strings so that their boundaries count.
+// hashStrings hashes strings with a separator, so that ("ab", "c") and
+// ("a", "bc") differ.
 func hashStrings(parts ...string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/peer/server.go
+++ b/peer/server.go
@@ -13,7 +13,7 @@
 	"github.com/papayasail/papayasail/peer/peerpb"
 )
 
-// service answers other hosts.
+// service implements the gRPC service for other hosts.
 type service struct {
 	peerpb.UnimplementedPeerServer
 	node *Node
@@ -28,9 +28,9 @@
 		grpc.MaxRecvMsgSize(messageBytes),
 		grpc.MaxSendMsgSize(messageBytes),
 		grpc.ConnectionTimeout(n.options.ProbeTimeout*10),
-		// Failure: the other end of an idle connection dies without a word, and
-		// the connection stays here for good. Idle ones are closed, quiet ones
-		// in use are checked.
+		// Failure: the other end of an idle connection dies without closing it,
+		// and the connection is never released here. Idle connections are
+		// closed, and silent ones in use are checked by keepalive pings.
 		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: 2 * n.options.IdleTimeout, Time: n.options.IdleTimeout}),
 	)
 	peerpb.RegisterPeerServer(server, &service{node: n})
@@ -108,8 +108,8 @@
 	n.counters.forwardBytes.WithLabelValues(direction).Add(float64(proto.Size(message)))
 }
 
-// message is what this host says of itself in a probe to addressee, or in the
-// answer to one.
+// message returns the content of a probe to addressee, or of the response to
+// one.
 func (n *Node) message(addressee string) *peerpb.ProbeRequest {
 	_, digest, _ := n.table.state()
 	return &peerpb.ProbeRequest{
@@ -123,8 +123,9 @@
 	}
 }
 
-// introduction is this host's record for a probe. The short one is enough for
-// a host that knows this one, which is likely while the digests match.
+// introduction returns this host's own record for a probe. The short form is
+// enough for a host that has the full record, which is likely while the digests
+// match.
 func (n *Node) introduction(addressee string) Member {
 	self := n.table.me()
 	to, known := n.table.member(addressee)
@@ -134,7 +135,7 @@
 	return self.short()
 }
 
-// probeMessage is the common part of a probe and its answer.
+// probeMessage is the common part of a probe and its response.
 type probeMessage interface {
 	GetFrom() *peerpb.Member
 	GetNews() []*peerpb.Member
@@ -145,7 +146,7 @@
 	GetSuspects() []*peerpb.Suspect
 }
 
-// receive takes in a probe or its answer and returns who sent it.
+// receive processes a probe or its response and returns its sender.
 func (n *Node) receive(m probeMessage) Member {
 	from := n.table.complete(memberFromProto(m.GetFrom()))
 	news := membersFromProto(m.GetNews())
@@ -161,7 +162,8 @@
 	return from
 }
 
-// take merges news of members.
+// take merges received member records and triggers the resulting notifications,
+// pushes and probes.
 func (n *Node) take(news []Member) {
 	result := n.table.merge(news, time.Now())
 	n.report(result.moved)
--- a/peer/spread.go
+++ b/peer/spread.go
@@ -18,20 +18,23 @@
 )
 
 const (
-	// pullPageBytes ends a page of a pull; one object may exceed it.
+	// pullPageBytes is the maximum size of a page of a pull; a single object
+	// may exceed it.
 	pullPageBytes = 2 << 20
-	// pullPages bounds the pages of one pull.
+	// pullPages is the maximum number of pages of one pull.
 	pullPages = 64
-	// newsTime is how long news takes to reach all hosts, in probe intervals.
+	// newsTime is the number of probe intervals within which gossip reaches all
+	// hosts.
 	newsTime = 4
-	// otherDigestsHeld bounds the digests of others that are remembered.
+	// otherDigestsHeld is the number of other digests above which they are
+	// cleared.
 	otherDigestsHeld = 64
-	// joinSeeds is how many seeds that answer are asked on joining.
+	// joinSeeds is the number of seeds that have to answer on joining.
 	joinSeeds = 3
-	// witnessTime is for how long hearing a host counts, in probe intervals:
-	// two rounds of the scope.
+	// witnessTime is the number of probe intervals within which a direct
+	// exchange is recent: two rounds of the scope.
 	witnessTime = 30
-	// pullTimeout is for one page.
+	// pullTimeout is the timeout of one page of a pull or one sync.
 	pullTimeout = 5 * time.Second
 
 	resultDone    = "done"
@@ -44,10 +47,10 @@
 	return store.Version(m.GetConfigurationVersion())
 }
 
-// compareConfiguration asks for a pull when the other host holds something
-// else. A host that is ahead is asked at once. One that is not ahead may
-// still hold an object that we lack, because we took in a later one first; it
-// is asked at a low rate.
+// compareConfiguration requests a pull when the other host's configuration
+// differs. If its version is newer the pull is immediate. If not, it may still
+// have an object that this host lacks because it adopted a later one first;
+// such pulls have a lower rate limit.
 func (n *Node) compareConfiguration(from Member, m probeMessage) {
 	if m.GetConfigurationDigest() == n.options.Configuration.Digest() {
 		return
@@ -61,11 +64,11 @@
 	}
 	select {
 	case n.pulls <- from:
-	default: // one is waiting already; the next probe asks again
+	default: // another pull is queued; the next probe requests it again
 	}
 }
 
-// pullLoop does the pulls and swaps that probes asked for, one at a time.
+// pullLoop runs the pulls and syncs requested by probes, one at a time.
 func (n *Node) pullLoop(ctx context.Context) error {
 	for {
 		select {
@@ -79,8 +82,8 @@
 	}
 }
 
-// Pull fetches what a host's configuration has newer than ours and returns
-// how many objects were adopted. Errors: ErrUnknownHost, ErrHostGone,
+// Pull fetches the objects of a host's configuration that this host lacks and
+// returns the number adopted. Errors: ErrUnknownHost, ErrHostGone,
 // ErrUnreachable, and those of ConfigurationTable.Adopt.
 func (n *Node) Pull(ctx context.Context, host string) (int, error) {
 	member, err := n.lookUp(host)
@@ -112,7 +115,7 @@
 		return 0, nil
 	}
 	n.counters.pulls.WithLabelValues(resultAdopted).Inc()
-	signal(n.kick) // pass it on
+	signal(n.kick) // push the change to neighbours
 	signal(n.notices)
 	return total, nil
 }
@@ -130,16 +133,16 @@
 	return count + rest, more, err
 }
 
-// ask makes one request for objects and adopts the answer. Same says that both
-// hosts then have the same.
+// ask requests one page of objects and adopts it. Same means that the digests
+// of both hosts match afterwards.
 func (n *Node) ask(ctx context.Context, address string, request *peerpb.PullRequest) (count int, more, same bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	table := n.options.Configuration
 	var response *peerpb.PullResponse
 	err = n.control.call(address, func(client peerpb.PeerClient) (err error) {
-		// Documents are text: compressed they take a fraction of the bytes,
-		// and they are most of what a change costs.
+		// Documents are text and most of the bytes of a change; gzip reduces
+		// them to a fraction.
 		response, err = client.Pull(ctx, request, grpc.UseCompressor(gzip.Name))
 		return err
 	})
@@ -150,13 +153,13 @@
 	return count, response.GetMore(), response.GetDigest() == table.Digest(), errors.Wrap(err, "peer: adopt configuration")
 }
 
-// have names what a table holds.
+// have lists the objects of a table with their versions.
 //
-// Failure: a host takes in an object before an earlier one written elsewhere,
-// so "newer than my version" would skip the earlier one for good. It shows as
-// digests that still differ after such an answer. Asking object by object has
-// no gaps, and is done only then: the names of all objects are most of the bytes
-// of a change.
+// Failure: a host adopts an object before one with a lower version that was
+// written through another host, so a pull of "newer than my version" would skip
+// that one permanently. The digests then still differ after the pull. A pull by
+// object has no gaps, and is used only in this case, since the list of all
+// objects takes most of the bytes of a change.
 func have(table ConfigurationTable) []*peerpb.ObjectVersion {
 	objects := table.Since(0)
 	list := make([]*peerpb.ObjectVersion, 0, len(objects))
@@ -166,15 +169,15 @@
 	return list
 }
 
-// pullPage returns what the asking host lacks, up to a page.
+// pullPage returns the objects that the requesting host lacks, up to one page.
 func pullPage(table ConfigurationTable, request *peerpb.PullRequest) *peerpb.PullResponse {
 	held := make(map[uint64]uint64, len(request.GetHave()))
 	for _, o := range request.GetHave() {
 		held[o.GetObject()] = o.GetVersion()
 	}
 	response := &peerpb.PullResponse{Version: uint64(table.Version()), Digest: table.Digest()}
-	// A host that is still starting has more to come, whatever this page holds:
-	// who pulls from it must not take the rest for not existing.
+	// While this host is starting its table is incomplete. The requesting host
+	// must not conclude that objects missing from this page do not exist.
 	if c, ok := table.(Completeness); ok {
 		response.More = !c.Complete()
 	}
@@ -206,9 +209,10 @@
 	return objects
 }
 
-// compareMembership asks for the whole membership when a digest goes on
-// differing. News is passed on a bounded number of times and may miss a host;
-// this heals it. While news is under way digests differ for a few seconds.
+// compareMembership requests a full membership sync when digests differ
+// persistently. This is the anti-entropy for gossip, whose retransmissions are
+// bounded and may miss a host. While gossip is in flight digests differ for a
+// few seconds.
 func (n *Node) compareMembership(from Member, digest uint64) {
 	_, mine, _ := n.table.state()
 	if !n.goesOnDiffering(mine, digest) || from.PeerAddress == "" || !n.syncLimit.Allow() {
@@ -216,15 +220,17 @@
 	}
 	select {
 	case n.syncs <- from:
-	default: // one is waiting already
+	default: // another sync is queued
 	}
 }
 
-// goesOnDiffering notes a digest heard, and reports whether it was heard first
-// longer ago than news takes while our own has stayed the same.
+// goesOnDiffering records a received digest, and reports whether it differs and
+// was first received at least newsTime probe intervals ago while this host's own
+// digest stayed the same.
 //
-// Failure: several hosts missed the same news. Their digests match each other,
-// so counting from the last match would never let them ask the rest.
+// Failure: several hosts missed the same update. Their digests match each other,
+// so with a time counted from the last match they would never sync with the
+// others.
 func (n *Node) goesOnDiffering(mine, heard uint64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -244,14 +250,14 @@
 	return time.Since(first) >= newsTime*n.options.ProbeInterval
 }
 
-// mismatched reports whether the last digest heard differed.
+// mismatched reports whether the last digest received differed.
 func (n *Node) mismatched() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.differed
 }
 
-// lacking returns the records that a host with these hashes lacks.
+// lacking returns the records whose hashes are not in have.
 func (n *Node) lacking(have []uint64) []Member {
 	held := make(map[uint64]bool, len(have))
 	for _, hash := range have {
@@ -267,7 +273,8 @@
 	return lacking
 }
 
-// syncWith fetches the membership that the host at address has beyond ours.
+// syncWith fetches the member records that this host lacks from the host at
+// address, and reports whether it answered.
 func (n *Node) syncWith(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
@@ -294,12 +301,13 @@
 	return true
 }
 
-// joinLoop asks the seeds, in random order, until some answer; from the first
-// it pulls the whole configuration, so that a host that boots while the
-// platform is away starts from its peers.
+// joinLoop syncs with the seeds, in random order, until some answer. It pulls
+// the whole configuration from the first, so that a host that starts while the
+// platform is unavailable gets it from its peers.
 //
-// Failure: hosts that start together join by different seeds and form parts
-// that meet only by chance later. More than one seed is therefore asked.
+// Failure: hosts that start together join through different seeds and form
+// separate clusters that find each other only by chance. A host therefore joins
+// through up to joinSeeds seeds.
 func (n *Node) joinLoop(ctx context.Context) error {
 	for {
 		answered := 0
@@ -323,12 +331,12 @@
 	}
 }
 
-// joinAgain fetches the membership once more from a seed.
+// joinAgain syncs the membership once more with a seed.
 //
-// Failure: a fleet starts together. Each host asks its seeds before these know
-// the others, and the news of one of them misses a host. Until digests have
-// differed for long enough, some seconds, it took duties for its own that were
-// another's: one host in a thousand watched the store beside the three that do.
+// Failure: the whole fleet starts at once. Hosts sync with their seeds before
+// these have the other members, and gossip misses a host. Until the digests have
+// differed for some seconds that host takes on duties of others: one host in a
+// thousand watched the store beside the three that should.
 func (n *Node) joinAgain(ctx context.Context) error {
 	if err := sleep.For(ctx, newsTime*n.options.ProbeInterval); err != nil {
 		return err
@@ -365,8 +373,8 @@
 	return member, nil
 }
 
-// Call calls another service of a host, on the connections for requests and
-// records. Errors: ErrUnknownHost, ErrHostGone, and those of f.
+// Call calls another gRPC service of a host over the data connections. Errors:
+// ErrUnknownHost, ErrHostGone, and those of f.
 func (n *Node) Call(host string, f func(grpc.ClientConnInterface) error) error {
 	member, err := n.lookUp(host)
 	if err != nil {
@@ -375,7 +383,7 @@
 	return n.data.callConn(member.PeerAddress, func(c *pooledConn) error { return f(c.conn) })
 }
 
-// callData calls a host on the connections for requests and records.
+// callData calls a host over the data connections.
 func (n *Node) callData(host string, request proto.Message, f func(peerpb.PeerClient) error) error {
 	member, err := n.lookUp(host)
 	if err != nil {
--- a/peer/suspects.go
+++ b/peer/suspects.go
@@ -7,11 +7,11 @@
 	"github.com/papayasail/papayasail/quarantine"
 )
 
-// sourceOfSuspects names in logs where a record of a request came from.
+// sourceOfSuspects is the log value for quarantine records received from peers.
 const sourceOfSuspects = "peer"
 
-// takeSuspects takes in records of requests that crash backend servers, and
-// passes on what is news.
+// takeSuspects merges records of requests that crash backend servers, and
+// starts an early round of gossip if any of them was new.
 func (n *Node) takeSuspects(list []*peerpb.Suspect) {
 	if len(list) > 0 && n.options.Suspects.Merge(suspectsFromProto(list), sourceOfSuspects) {
 		signal(n.kick)
@@ -36,7 +36,7 @@
 	return list
 }
 
-// noSuspects is known to hosts that do not look for such requests.
+// noSuspects is the empty set, for hosts that do not track such requests.
 type noSuspects struct{}
 
 func (noSuspects) News() []quarantine.Record              { return nil }
--- a/peer/suspects_test.go
+++ b/peer/suspects_test.go
@@ -13,8 +13,9 @@
 	"github.com/papayasail/papayasail/quarantine"
 )
 
-// Guards against a host that joins and sends on what all others have quarantined.
-func TestHostThatJoinsIsToldOfQuarantinedRequests(t *testing.T) {
+// Guards against a joining host that forwards requests which all other hosts
+// have quarantined.
+func TestJoiningHostReceivesQuarantinedRequests(t *testing.T) {
 	is := is.New(t)
 	known := quarantine.NewTable(zap.NewNop(), prometheus.NewRegistry())
 	known.Merge([]quarantine.Record{{Fingerprint: 7, Crashes: 2, Left: time.Minute}}, "test")
@@ -25,6 +26,6 @@
 	response, err := (&service{node: n}).Sync(t.Context(), &peerpb.SyncRequest{From: Member{Host: "b"}.toProto(), Suspects: brought})
 	is.NoErr(err)
 	told := suspectsFromProto(response.GetSuspects())
-	is.Equal(len(told), 2) // with what the host that joins has brought
+	is.Equal(len(told), 2) // including the record that the joining host sent
 	is.True(known.Quarantined(8) > time.Minute)
 }
--- a/peer/table.go
+++ b/peer/table.go
@@ -12,49 +12,49 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// newsLimit bounds the member records in one message.
+// newsLimit is the maximum number of gossiped member records in one message.
 const newsLimit = 6
 
 const (
-	// minRetransmits plus the logarithm of the number of members is how often
-	// one record is passed on.
+	// minRetransmits plus the binary logarithm of the number of members is how
+	// many times a host gossips one record.
 	minRetransmits = 4
-	// heardAgain is by how much that falls each time the record comes from
-	// somebody else: then others know it already.
+	// heardAgain is subtracted from the remaining retransmissions each time the
+	// record arrives from another host, since others then have it already.
 	heardAgain = 1
 )
 
-// entry is one member with what only this host knows of it.
+// entry is one member with the local state of this host's failure detector.
 type entry struct {
 	Member
-	since time.Time // when the state was entered here
-	// unconfirmed marks a suspicion that no other host shares. It is neither
-	// passed on nor does it run out.
+	since time.Time // when this host recorded the current state
+	// unconfirmed marks a suspicion that no other host shares. It is not
+	// gossiped and does not expire.
 	unconfirmed bool
-	before      State // state before an unconfirmed suspicion
-	heardAt     time.Time
-	passOn      int // how often the record is still to be passed on
+	before      State     // state before an unconfirmed suspicion
+	heardAt     time.Time // last direct exchange
+	passOn      int       // remaining retransmissions of the record
 }
 
-// table holds the membership. Its methods are safe for concurrent use.
+// table is the membership table. Its methods are safe for concurrent use.
 type table struct {
 	mu sync.Mutex // guards all below; no other lock is taken while it is held
 
 	witness    time.Duration // see witnessed; set before use
 	self       Member
-	entries    map[string]*entry // without self
+	entries    map[string]*entry // by host, without self
 	selfPassOn int
-	superseded uint64 // higher incarnation of our own name, zero for none
-	generation uint64 // rises with every change of a member but its configuration version
+	superseded uint64 // higher incarnation seen under this host's name; zero: none
+	generation uint64 // increases with every change of a member except its configuration version
 	digest     uint64 // of the hosts that are not gone
 }
 
-// merged says what news changed.
+// merged is the result of merging member records.
 type merged struct {
 	changed bool
-	urgent  bool // worth passing on before the next probe
+	urgent  bool // to be gossiped before the next probe
 	moved   []transition
-	doubted []Member // held for suspect or gone here while others hold them for alive
+	doubted []Member // suspect or gone here, but alive or leaving in the received record
 }
 
 // transition is a change of a member's state, for logs and counters.
@@ -69,8 +69,8 @@
 	return t
 }
 
-// merge takes in news of members. Only newer news counts: by incarnation,
-// sequence, then state.
+// merge merges member records into the table. Records are ordered by
+// incarnation, sequence, then state; older ones are ignored.
 func (t *table) merge(news []Member, now time.Time) merged {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,13 +88,14 @@
 	return result
 }
 
-// mergeSelf refutes bad news about this host.
+// mergeSelf merges a record of this host and refutes it if it overrides the
+// host's own.
 //
-// Failure: a host that was frozen or cut off comes back and is held for
-// suspect or gone; callers are kept away and its records count as lost. It
-// shows as news about ourselves with our incarnation and our sequence or a
-// higher one. The next sequence overrides that news everywhere, and only this
-// host may raise it.
+// Failure: after a freeze or a network partition other hosts list this one as
+// suspect or gone, so that callers avoid it and its records count as lost. The
+// received record then has this incarnation and the current sequence or a
+// higher one. The next sequence overrides it on all hosts; only this host
+// raises its sequence.
 func (t *table) mergeSelf(m Member) bool {
 	if m.Incarnation > t.self.Incarnation {
 		t.superseded = max(t.superseded, m.Incarnation)
@@ -141,27 +142,28 @@
 	}
 }
 
-// accused reports whether this host holds a member for suspect or gone and
-// news of the same sequence does not.
+// accused reports whether this host lists the member as suspect or gone while
+// a received record with the same sequence lists it as alive or leaving.
 func (e *entry) accused(news Member) bool {
 	return e.State >= StateSuspect && !e.unconfirmed && news.State <= StateLeaving &&
 		e.Incarnation == news.Incarnation && e.Sequence == news.Sequence
 }
 
-// witnessed reports whether news says that a member is gone, without a
-// suspicion before it, although this host itself heard that member lately.
+// witnessed reports whether a received record declares a member gone that this
+// host does not suspect and has exchanged messages with recently. Such a
+// record is ignored.
 //
-// Failure: a part of the fleet that was cut off comes back and holds all
-// others for gone. It shows as callers elsewhere who lose most addresses for a
-// moment, since its news overrides that of the same sequence. A host that
-// died is suspected first, and that news is taken.
+// Failure: after a network partition heals, a small part of the fleet lists
+// all other hosts as gone. Its records override those of the same sequence, so
+// that callers elsewhere lose most addresses for a moment. A host that really
+// died is suspected first, and that record is accepted.
 func (t *table) witnessed(known *entry, news Member, now time.Time) bool {
 	return news.State == StateGone && known.State <= StateLeaving &&
 		known.Incarnation == news.Incarnation && known.Sequence == news.Sequence &&
 		now.Sub(known.heardAt) < t.witness
 }
 
-// set replaces a member's entry and passes the record on.
+// set replaces a member's entry and schedules its record for gossip.
 func (t *table) set(e *entry) {
 	if old, ok := t.entries[e.Host]; ok {
 		t.digest ^= contribution(old.Member)
@@ -175,8 +177,8 @@
 	}
 }
 
-// contribution is a member's part of the digest. Sequence and suspicion are
-// left out: they change often and settle by themselves.
+// contribution is a member's part of the digest. It leaves out sequence and
+// suspicion, which change often and converge without anti-entropy.
 func contribution(m Member) uint64 {
 	if m.State == StateGone {
 		return 0
@@ -197,8 +199,8 @@
 	return minRetransmits + bits.Len(uint(len(t.entries)))
 }
 
-// heard notes a direct exchange with a member: its configuration version, and
-// the end of a suspicion that only this host had.
+// heard records a direct exchange with a member and its configuration version,
+// and ends an unconfirmed suspicion. It reports whether the entry changed.
 func (t *table) heard(host string, incarnation uint64, version store.Version, now time.Time) (changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -219,8 +221,8 @@
 	return changed
 }
 
-// suspect marks a member that did not answer. Confirmed means that another
-// host could not reach it either.
+// suspect marks a member that did not answer as suspect. Confirmed means that
+// another host could not reach it either.
 func (t *table) suspect(m Member, confirmed bool, now time.Time) (transition, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -239,8 +241,8 @@
 	return moved, true
 }
 
-// expire declares suspects gone after the timeout and forgets the gone after
-// their retention.
+// expire declares suspects gone after the suspicion timeout and deletes gone
+// members after the retention period.
 func (t *table) expire(now time.Time, suspicion, retention time.Duration) []transition {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -261,8 +263,8 @@
 	return moved
 }
 
-// reachable returns the members that are not suspect, in two parts: those
-// heard since a moment, and the others.
+// reachable returns the members that are alive or leaving, in two parts: those
+// with a direct exchange since the given time, and the others.
 func (t *table) reachable(since time.Time) (heard, others []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -278,7 +280,7 @@
 	return heard, others
 }
 
-// leave marks this host itself as leaving or gone.
+// leave sets this host's own state to leaving or gone.
 func (t *table) leave(state State, successor string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -290,8 +292,8 @@
 	t.announceSelf()
 }
 
-// setStoreAway notes whether the platform's store answers this host, and
-// reports whether that is new.
+// setStoreAway records whether the platform's store fails to answer this host,
+// and reports whether the value changed.
 func (t *table) setStoreAway(away bool) (changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -304,8 +306,8 @@
 	return true
 }
 
-// news picks the records that most need passing on, and the one about
-// addressee when it must be refuted.
+// news selects the records with the most remaining retransmissions, and adds
+// the record of addressee if it is suspect or gone, so that it can refute it.
 func (t *table) news(addressee string) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -329,7 +331,8 @@
 	return news
 }
 
-// all returns every record that may be passed on, and their hashes.
+// all returns the records of all other members except unconfirmed suspicions,
+// and their hashes.
 func (t *table) all() (members []Member, hashes []uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -342,7 +345,8 @@
 	return members, hashes
 }
 
-// hearAgain notes records that others passed on and this host has already.
+// hearAgain lowers the remaining retransmissions of records that this host has
+// and that arrived once more from another host.
 func (t *table) hearAgain(news []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -353,8 +357,8 @@
 	}
 }
 
-// quiet stops passing records on that came with a whole membership: whoever
-// lacks them too finds that by the digest.
+// quiet stops the gossip of records that were received in a full sync. Other
+// hosts that lack them detect it by the digest and sync themselves.
 func (t *table) quiet(members []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -365,7 +369,7 @@
 	}
 }
 
-// pending is how many records are still to be passed on.
+// pending returns the number of records with remaining retransmissions.
 func (t *table) pending() (count int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -377,7 +381,8 @@
 	return count
 }
 
-// complete fills in what a host's short record of itself leaves out.
+// complete fills in the fields that Member.short leaves out of a host's record
+// of itself.
 func (t *table) complete(m Member) Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -418,7 +423,8 @@
 	return e.Member, true
 }
 
-// state returns what changes cheaply: generation, digest, superseding incarnation.
+// state returns the generation, the membership digest and the incarnation that
+// supersedes this host (zero: none), without copying the members.
 func (t *table) state() (generation, digest, superseded uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/peer/table_test.go
+++ b/peer/table_test.go
@@ -25,8 +25,8 @@
 	})
 }
 
-// Two hosts show different states of a third for good, because the same news
-// reached them in different orders and more than once.
+// Guards against two hosts that list different states of a third permanently,
+// because they received the same records in other orders or more than once.
 func TestMergeDoesNotDependOnOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
@@ -50,9 +50,9 @@
 	})
 }
 
-// An entry host is held for dead by all, for good, although it serves.
-// Whatever is said of this life of a host, it has the last word.
-func TestHostRefutesAllNewsOfItself(t *testing.T) {
+// Guards against an entry host that serves but stays listed as gone, because it
+// does not refute every record of its own incarnation.
+func TestHostRefutesAllRecordsOfItself(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newTable(Member{Host: "a1", Incarnation: 3, PeerAddress: "x", State: StateAlive})
 		for _, m := range rapid.SliceOfN(genMember([]string{"a1"}), 1, 12).Draw(t, "news") {
@@ -64,8 +64,8 @@
 	})
 }
 
-// A replaced host's old process comes back and serves beside the new one
-// under the same name; callers of its name meet two ledgers.
+// Guards against the old process of a replaced host that returns and serves
+// under the same name, so that its callers reach two ledgers.
 func TestReplacedHostEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -87,9 +87,9 @@
 	})
 }
 
-// A host that came back in time is declared gone all the same: the news of
-// its suspicion had run out, so nobody told it what to refute.
-func TestSuspectIsToldOfItsSuspicion(t *testing.T) {
+// Guards against a host that recovers in time and is still declared gone,
+// because the gossip of its suspicion has ended and it has nothing to refute.
+func TestSuspectReceivesItsSuspicion(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	table := newTable(Member{Host: "a1", Incarnation: 1, PeerAddress: "x", State: StateAlive})
@@ -103,8 +103,8 @@
 	is.Equal(table.news("b1")[0].State, StateSuspect)
 }
 
-// Within a fleet that is larger than the scope, some host's death is seen by
-// nobody, since nobody probes it.
+// Guards against an undetected death in a fleet larger than the scope, because
+// no host probes the dead one.
 func TestEveryHostHasProbers(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -132,7 +132,8 @@
 	}
 }
 
-// BenchmarkNeighbours is one choice of the hosts to probe, at the target size.
+// BenchmarkNeighbours measures one selection of the hosts to probe in a fleet
+// of the target size.
 func BenchmarkNeighbours(b *testing.B) {
 	var members []Member
 	for i := range 390 {
@@ -144,7 +145,7 @@
 	}
 }
 
-func TestGoneIsForgottenAfterRetention(t *testing.T) {
+func TestGoneMemberIsDeletedAfterRetention(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(0, 0)
 	table := newTable(Member{Host: "a1", Incarnation: 1, PeerAddress: "x", State: StateAlive})
