--- a/domain/watchers.go
+++ b/domain/watchers.go
@@ -54,9 +54,9 @@
 	return found
 }
 
-func served(m peer.Member) bool { return !m.StoreAway }
+func served(m peer.Member) bool { return !m.StoreUnreachable }
 
-func turnedAway(m peer.Member) bool { return m.StoreAway }
+func turnedAway(m peer.Member) bool { return m.StoreUnreachable }
 
 // watchersAmong chooses among the members that are eligible.
 func watchersAmong(members []peer.Member, eligible func(peer.Member) bool) []peer.Member {
--- a/domain/watchers_test.go
+++ b/domain/watchers_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func away(m *peer.Member) { m.StoreAway = true }
+func away(m *peer.Member) { m.StoreUnreachable = true }
 
 func TestTurnedAwayWatcherIsReplaced(t *testing.T) {
 	// The store turns a third of the hosts away, a domain's watcher among them.
--- a/peer/large_test.go
+++ b/peer/large_test.go
@@ -96,24 +96,24 @@
 		defer f.stop()
 		f.start(seven...)
 		time.Sleep(10 * time.Second)
-		says := func(away bool) {
+		expectUnreachable := func(unreachable bool) {
 			time.Sleep(time.Second)
 			for _, host := range seven {
-				m, known := f.hosts[host].believes("c2")
+				m, known := f.hosts[host].memberInView("c2")
 				is.True(known)
-				is.Equal(m.StoreAway, away)
+				is.Equal(m.StoreUnreachable, unreachable)
 				is.Equal(m.State, StateAlive)
 			}
 		}
 		f.hosts["c2"].SetStoreAway(true)
-		says(true)
+		expectUnreachable(true)
 		f.hosts["c2"].SetStoreAway(false)
-		says(false)
+		expectUnreachable(false)
 	})
 }
 
-// believes returns a member in the view of a host.
-func (h *fleetHost) believes(host string) (Member, bool) {
+// memberInView returns a member in the view of a host.
+func (h *fleetHost) memberInView(host string) (Member, bool) {
 	for _, m := range h.Members() {
 		if m.Host == host {
 			return m, true
@@ -129,7 +129,7 @@
 	strong := Member{Host: "b1", Incarnation: 1, State: StateAlive, PeerAddress: "y", FailureDomain: "b", Capacity: 800}
 	table := newTable(Member{Host: "a1", Incarnation: 1, PeerAddress: "x", State: StateAlive})
 	table.merge([]Member{strong}, time.Unix(0, 0))
-	strong.Sequence, strong.StoreAway = 1, true
-	is.Equal(table.complete(strong.short()), strong)
+	strong.Sequence, strong.StoreUnreachable = 1, true
+	is.Equal(table.fillIn(strong.short()), strong)
 	is.Equal(memberFromProto(strong.toProto()), strong)
 }
--- a/peer/leaving.go
+++ b/peer/leaving.go
@@ -10,8 +10,9 @@
 )
 
 const (
-	// leavingNewsLimit is the maximum number of backend servers in one message.
-	leavingNewsLimit = 8
+	// leavingPerMessage is the maximum number of backend servers in one
+	// message.
+	leavingPerMessage = 8
 	// leavingRetransmits is how many times a host gossips one server.
 	leavingRetransmits = 12
 	// maxLeaving is how far in the future a mark may end, so that a host with a
@@ -26,8 +27,8 @@
 }
 
 type leavingEntry struct {
-	until  time.Time
-	passOn int // remaining retransmissions
+	until           time.Time
+	retransmitsLeft int // remaining retransmissions
 }
 
 // leavingTable holds the backend servers that are leaving. The latest end time
@@ -52,7 +53,7 @@
 		if s.Server == "" || !until.After(now) || ok && !until.After(known.until) {
 			continue
 		}
-		t.entries[s.Server] = &leavingEntry{until: until, passOn: leavingRetransmits}
+		t.entries[s.Server] = &leavingEntry{until: until, retransmitsLeft: leavingRetransmits}
 		changed = true
 	}
 	return changed
@@ -86,18 +87,18 @@
 	return servers
 }
 
-// news selects servers with remaining retransmissions.
-func (t *leavingTable) news() []*peerpb.LeavingServer {
+// pickUpdates selects servers with remaining retransmissions.
+func (t *leavingTable) pickUpdates() []*peerpb.LeavingServer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var news []*peerpb.LeavingServer
+	var updates []*peerpb.LeavingServer
 	for server, e := range t.entries {
-		if e.passOn > 0 && len(news) < leavingNewsLimit {
-			e.passOn--
-			news = append(news, LeavingServer{server, e.until}.toProto())
+		if e.retransmitsLeft > 0 && len(updates) < leavingPerMessage {
+			e.retransmitsLeft--
+			updates = append(updates, LeavingServer{server, e.until}.toProto())
 		}
 	}
-	return news
+	return updates
 }
 
 func (s LeavingServer) toProto() *peerpb.LeavingServer {
--- a/peer/member.go
+++ b/peer/member.go
@@ -48,8 +48,9 @@
 	// Capacity is the host's CPU capacity in thousandths of a core; zero:
 	// unknown. Fleet-wide duties go to hosts with more capacity.
 	Capacity int
-	// StoreAway reports that the platform's store does not answer the host.
-	StoreAway bool
+	// StoreUnreachable reports that the platform's store does not answer the
+	// host.
+	StoreUnreachable bool
 	// ConfigurationVersion is the newest version in force on the host, as last
 	// received from the host itself; zero: none received yet.
 	ConfigurationVersion store.Version
@@ -95,22 +96,22 @@
 		CallerAddress: m.CallerAddress,
 		Successor:     m.Successor,
 		Capacity:      uint32(m.Capacity),
-		StoreAway:     m.StoreAway,
+		StoreAway:     m.StoreUnreachable,
 	}
 }
 
 func memberFromProto(p *peerpb.Member) Member {
 	return Member{
-		Host:          p.GetHost(),
-		Incarnation:   p.GetIncarnation(),
-		Sequence:      p.GetSequence(),
-		State:         stateFromProto[p.GetState()],
-		FailureDomain: p.GetFailureDomain(),
-		PeerAddress:   p.GetPeerAddress(),
-		CallerAddress: p.GetCallerAddress(),
-		Successor:     p.GetSuccessor(),
-		Capacity:      int(p.GetCapacity()),
-		StoreAway:     p.GetStoreAway(),
+		Host:             p.GetHost(),
+		Incarnation:      p.GetIncarnation(),
+		Sequence:         p.GetSequence(),
+		State:            stateFromProto[p.GetState()],
+		FailureDomain:    p.GetFailureDomain(),
+		PeerAddress:      p.GetPeerAddress(),
+		CallerAddress:    p.GetCallerAddress(),
+		Successor:        p.GetSuccessor(),
+		Capacity:         int(p.GetCapacity()),
+		StoreUnreachable: p.GetStoreAway(),
 	}
 }
 
@@ -125,9 +126,9 @@
 }
 
 // short returns the record without the addresses, failure domain and capacity,
-// which other hosts have already; see table.complete.
+// which other hosts have already; see table.fillIn.
 func (m Member) short() Member {
-	return Member{Host: m.Host, Incarnation: m.Incarnation, Sequence: m.Sequence, State: m.State, StoreAway: m.StoreAway}
+	return Member{Host: m.Host, Incarnation: m.Incarnation, Sequence: m.Sequence, State: m.State, StoreUnreachable: m.StoreUnreachable}
 }
 
 // valid reports whether the record has the fields required to store it.
--- a/peer/node.go
+++ b/peer/node.go
@@ -7,8 +7,8 @@
 // receive, which hosts watch the platform and which host takes over records; it
 // never decides which host may run a request.
 //
-// Locks: table.mu, leavingTable.mu, pool.mu and Node.mu are never nested, except
-// that Node.neighbours takes table.mu while it holds Node.mu.
+// Locks: table.mu, leavingTable.mu, pool.mu and Node.mu are never nested,
+// except that Node.neighbours takes table.mu while it holds Node.mu.
 package peer
 
 import (
@@ -63,23 +63,23 @@
 	data     *pool // forwards and hand-overs, so that they never delay a probe
 	server   *grpc.Server
 
-	kick        chan struct{} // requests an early round of probes
-	pulls       chan Member   // members to pull configuration from
-	syncs       chan Member   // members to sync the membership with
-	doubts      chan Member   // members to probe because others list them as alive
-	notices     chan struct{} // requests a call of the watchers
-	joined      chan struct{} // closed after the first sync with a seed
-	joinedOnce  sync.Once
-	eagerPulls  *rate.Limiter // pulls from hosts with a newer version
-	repairPulls *rate.Limiter // pulls from hosts with another digest and no newer version
-	syncLimit   *rate.Limiter
+	pushSignal   chan struct{} // requests an early round of probes
+	pulls        chan Member   // members to pull configuration from
+	syncs        chan Member   // members to sync the membership with
+	disputes     chan Member   // members to probe because others list them as alive
+	notifySignal chan struct{} // requests a call of the watchers
+	joined       chan struct{} // closed after the first sync with a seed
+	joinedOnce   sync.Once
+	eagerPulls   *rate.Limiter // pulls from hosts with a newer version
+	repairPulls  *rate.Limiter // pulls from hosts with another digest and no newer version
+	syncLimit    *rate.Limiter
 
 	refreshLimit *rate.Limiter
 
-	mu           sync.Mutex           // guards all below
-	digest       uint64               // own membership digest for which otherDigests was collected
-	otherDigests map[uint64]time.Time // other digests received since, with the time of the first receipt
-	differed     bool                 // whether the last digest received differed
+	mu              sync.Mutex           // guards all below
+	digest          uint64               // own membership digest for which otherDigests was collected
+	otherDigests    map[uint64]time.Time // other digests received since, with the time of the first receipt
+	digestsDiffered bool                 // whether the last digest received differed
 
 	watchers map[int]func()
 	watchID  int
@@ -101,12 +101,12 @@
 		leaving:      &leavingTable{entries: make(map[string]*leavingEntry)},
 		control:      newPool(o.Network, c, o.MaxConnections, o.IdleTimeout),
 		data:         newPool(o.Network, c, o.MaxConnections, o.IdleTimeout),
-		kick:         make(chan struct{}, 1),
+		pushSignal:   make(chan struct{}, 1),
 		pulls:        make(chan Member, 1),
 		syncs:        make(chan Member, 1),
 		otherDigests: make(map[uint64]time.Time),
-		doubts:       make(chan Member, doubtsHeld),
-		notices:      make(chan struct{}, 1),
+		disputes:     make(chan Member, maxQueuedDisputes),
+		notifySignal: make(chan struct{}, 1),
 		joined:       make(chan struct{}),
 		eagerPulls:   rate.NewLimiter(rate.Every(o.ProbeInterval/10), 4),
 		repairPulls:  rate.NewLimiter(rate.Every(5*o.ProbeInterval), 1),
@@ -119,7 +119,7 @@
 		prometheus.GaugeOpts{Name: "papayasail_peer_news_pending", Help: "Member records with gossip retransmissions left."},
 		func() float64 { return float64(n.table.pending()) },
 	))
-	n.table.witness = witnessTime * o.ProbeInterval
+	n.table.exchangeWindow = exchangeIntervals * o.ProbeInterval
 	n.server = newServer(n)
 	return n
 }
@@ -142,11 +142,11 @@
 	group.Go(func() error { return n.pushLoop(ctx) })
 	group.Go(func() error { return n.pullLoop(ctx) })
 	group.Go(func() error { return n.joinLoop(ctx) })
-	group.Go(func() error { return n.doubtLoop(ctx) })
+	group.Go(func() error { return n.disputeLoop(ctx) })
 	group.Go(func() error { return n.notifyLoop(ctx) })
 	group.Go(func() error {
 		<-ctx.Done()
-		n.sayGoodbye()
+		n.announceGone()
 		n.server.Stop()
 		n.control.close()
 		n.data.close()
@@ -168,7 +168,7 @@
 
 // Self returns this host's own record.
 func (n *Node) Self() Member {
-	self := n.table.me()
+	self := n.table.localMember()
 	self.ConfigurationVersion = n.options.Configuration.Version()
 	return self
 }
@@ -188,7 +188,7 @@
 // versions, which change with each exchange. Results derived from the members
 // can be cached until it changes.
 func (n *Node) Generation() uint64 {
-	generation, _, _ := n.table.state()
+	generation, _, _ := n.table.summary()
 	return generation
 }
 
@@ -214,23 +214,23 @@
 
 // Announce probes a few peers immediately, so that they receive a change of
 // configuration or of quarantined requests before their next regular probe.
-func (n *Node) Announce() { signal(n.kick) }
+func (n *Node) Announce() { signal(n.pushSignal) }
 
 // Leave announces to the fleet that this host accepts no new work. When Run
 // ends the host is announced as gone, with its successor ("": none).
 func (n *Node) Leave(successor string) {
-	n.table.leave(StateLeaving, successor)
+	n.table.setSelfState(StateLeaving, successor)
 	n.logger.Info("leaving", zap.String("successor", successor))
-	signal(n.kick)
-	signal(n.notices)
+	signal(n.pushSignal)
+	signal(n.notifySignal)
 }
 
 // SetStoreAway announces to the fleet whether the platform's store fails to
 // answer this host.
-func (n *Node) SetStoreAway(away bool) {
-	if n.table.setStoreAway(away) {
-		signal(n.kick)
-		signal(n.notices)
+func (n *Node) SetStoreAway(unreachable bool) {
+	if n.table.setStoreUnreachable(unreachable) {
+		signal(n.pushSignal)
+		signal(n.notifySignal)
 	}
 }
 
@@ -238,8 +238,8 @@
 // the given time. A time before the one already recorded is ignored.
 func (n *Node) MarkLeaving(server string, until time.Time) {
 	if n.leaving.mark([]LeavingServer{{server, until}}, time.Now()) {
-		signal(n.kick)
-		signal(n.notices)
+		signal(n.pushSignal)
+		signal(n.notifySignal)
 	}
 }
 
@@ -275,7 +275,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-n.notices:
+		case <-n.notifySignal:
 		}
 		for _, f := range n.watcherList() {
 			f()
--- a/peer/options.go
+++ b/peer/options.go
@@ -39,7 +39,8 @@
 type ConfigurationTable interface {
 	// Version is the newest version in the table.
 	Version() store.Version
-	// Digest is equal on two hosts that hold the same versions of the same objects.
+	// Digest is equal on two hosts that hold the same versions of the same
+	// objects.
 	Digest() uint64
 	// Since returns the objects newer than a version, in order of version.
 	Since(store.Version) []store.Object
@@ -48,9 +49,9 @@
 	Adopt([]store.Object) (int, error)
 }
 
-// Suspects is the set of requests that crash backend servers, as needed to
+// Quarantine is the set of requests that crash backend servers, as needed to
 // synchronise it between peers. *quarantine.Table implements it.
-type Suspects interface {
+type Quarantine interface {
 	// News returns the records to include in the next gossip message.
 	News() []quarantine.Record
 	// All returns all quarantined requests, for a host that joins.
@@ -78,7 +79,7 @@
 	Seeds         []string // peer addresses contacted on joining
 	Configuration ConfigurationTable
 	Handler       Handler
-	Suspects      Suspects // nil: quarantine records are not exchanged
+	Suspects      Quarantine // nil: quarantine records are not exchanged
 	// Register adds services to the gRPC server for peers; nil: none.
 	Register   func(grpc.ServiceRegistrar)
 	Logger     *zap.Logger
@@ -106,7 +107,7 @@
 	defaults.Set(&o.Self.Incarnation, uint64(time.Now().UnixMilli()))
 	defaults.Set(&o.Seed, hashStrings(o.Self.Host)^o.Self.Incarnation)
 	if o.Suspects == nil {
-		o.Suspects = noSuspects{}
+		o.Suspects = noQuarantine{}
 	}
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -23,8 +23,8 @@
 	// windowBytes is the flow control window. A fixed window also disables the
 	// pings of the bandwidth estimator.
 	windowBytes = 64 << 10
-	// messageBytes is the maximum size of a message: a page of configuration, or
-	// a forwarded request or its response, whose bodies have lower limits.
+	// messageBytes is the maximum size of a message: a page of configuration,
+	// or a forwarded request or its response, whose bodies have lower limits.
 	messageBytes = 32 << 20
 )
 
--- a/peer/probe.go
+++ b/peer/probe.go
@@ -30,28 +30,30 @@
 const (
 	// pushFanout is the number of neighbours probed early for an urgent update.
 	// If each host that receives it does the same, a fraction of
-	// exp(-pushFanout) of the hosts is missed and receives it with a later probe.
+	// exp(-pushFanout) of the hosts is missed and receives it with a later
+	// probe.
 	pushFanout = 4
-	// pushEvery is the maximum number of early rounds in one probe interval.
-	pushEvery = 5
-	// overlappingProbes is the maximum number of concurrent probes.
-	overlappingProbes = 4
-	// lately is the number of probe intervals within which a direct exchange
-	// makes a host a preferred helper for indirect probes.
-	lately = 4
-	// strayEvery is the number of probe intervals between probes of a gone host
-	// or of a seed that is not a member.
-	strayEvery = 20
+	// pushesPerInterval is the maximum number of early rounds in one probe
+	// interval.
+	pushesPerInterval = 5
+	// maxConcurrentProbes is the maximum number of concurrent probes.
+	maxConcurrentProbes = 4
+	// helperExchangeIntervals is the number of probe intervals within which a
+	// direct exchange makes a host a preferred helper for indirect probes.
+	helperExchangeIntervals = 4
+	// reconnectIntervals is the number of probe intervals between probes of a
+	// gone host or of a seed that is not a member.
+	reconnectIntervals = 20
 )
 
 // probeLoop starts the probe of one neighbour in each interval.
 //
 // Failure: many hosts die at once. If each probe had to run into its timeouts
 // before the next starts, suspicions would be raised more slowly than one per
-// interval. Up to overlappingProbes probes therefore run concurrently.
+// interval. Up to maxConcurrentProbes probes therefore run concurrently.
 func (n *Node) probeLoop(ctx context.Context) error {
 	var probes errgroup.Group
-	probes.SetLimit(overlappingProbes)
+	probes.SetLimit(maxConcurrentProbes)
 	defer func() { _ = probes.Wait() }() // they end with ctx
 	ticker := time.NewTicker(n.options.ProbeInterval)
 	defer ticker.Stop()
@@ -68,14 +70,14 @@
 		if target, ok := n.nextTarget(); ok {
 			probes.TryGo(func() error { n.probe(ctx, target); return nil })
 		}
-		if tick%strayEvery == 0 {
-			probes.TryGo(func() error { n.probeStray(ctx); return nil })
+		if tick%reconnectIntervals == 0 {
+			probes.TryGo(func() error { n.reconnect(ctx); return nil })
 		}
 	}
 }
 
 func (n *Node) checkSuperseded() error {
-	if _, _, known := n.table.state(); known != 0 {
+	if _, _, known := n.table.summary(); known != 0 {
 		return &SupersededError{Known: known}
 	}
 	return nil
@@ -83,18 +85,18 @@
 
 func (n *Node) expire() {
 	now := time.Now()
-	moved := n.table.expire(now, n.options.SuspicionTimeout, n.options.GoneRetention)
-	n.report(moved)
-	if n.leaving.expire(now) || len(moved) > 0 {
-		signal(n.notices)
+	transitions := n.table.expire(now, n.options.SuspicionTimeout, n.options.GoneRetention)
+	n.recordTransitions(transitions)
+	if n.leaving.expire(now) || len(transitions) > 0 {
+		signal(n.notifySignal)
 	}
 	n.control.sweep(now)
 	n.data.sweep(now)
 }
 
-// report counts and logs changes of state.
-func (n *Node) report(moved []transition) {
-	for _, t := range moved {
+// recordTransitions counts and logs changes of state.
+func (n *Node) recordTransitions(transitions []transition) {
+	for _, t := range transitions {
 		switch {
 		case t.State == StateSuspect:
 			n.counters.suspicions.WithLabelValues(suspicionRaised).Inc()
@@ -110,7 +112,7 @@
 
 // neighbours returns the hosts in scope that are not gone.
 func (n *Node) neighbours() []Member {
-	generation, _, _ := n.table.state()
+	generation, _, _ := n.table.summary()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.scope != nil && n.scopeAt == generation {
@@ -188,7 +190,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	reached, asked := n.probeByOthers(ctx, target)
+	reached, asked := n.probeIndirectly(ctx, target)
 	if reached {
 		n.counters.probes.WithLabelValues(probeIndirect).Inc()
 		return
@@ -205,15 +207,15 @@
 // helper answers. An unconfirmed suspicion is therefore neither gossiped nor
 // does it expire.
 func (n *Node) suspect(target Member, confirmed bool) {
-	moved, ok := n.table.suspect(target, confirmed, time.Now())
+	change, ok := n.table.suspect(target, confirmed, time.Now())
 	if !ok {
 		return
 	}
 	if !confirmed {
 		n.counters.suspicions.WithLabelValues(suspicionUnconfirmed).Inc()
 	}
-	n.report([]transition{moved})
-	signal(n.notices)
+	n.recordTransitions([]transition{change})
+	signal(n.notifySignal)
 }
 
 func (n *Node) tryExchange(ctx context.Context, target Member) bool {
@@ -231,7 +233,7 @@
 func (n *Node) exchangeOn(ctx context.Context, connections *pool, target Member) (Member, error) {
 	var response *peerpb.ProbeResponse
 	err := connections.call(target.PeerAddress, func(client peerpb.PeerClient) (err error) {
-		response, err = client.Probe(ctx, n.message(target.Host))
+		response, err = client.Probe(ctx, n.newProbe(target.Host))
 		return err
 	})
 	if err != nil {
@@ -240,16 +242,16 @@
 	return n.receive(response), nil
 }
 
-// probeByOthers requests indirect probes of target from helpers. It reports
+// probeIndirectly requests indirect probes of target from helpers. It reports
 // whether one reached target, and whether any helper answered. With one-way
 // loss between two hosts a third still reaches both, so no suspicion is raised.
-func (n *Node) probeByOthers(ctx context.Context, target Member) (reached, asked bool) {
+func (n *Node) probeIndirectly(ctx context.Context, target Member) (reached, asked bool) {
 	helpers := n.helpers(target)
 	ctx, cancel := context.WithTimeout(ctx, 3*n.options.ProbeTimeout)
 	defer cancel()
 	answers := make(chan *peerpb.ProbeIndirectResponse, len(helpers))
 	for _, helper := range helpers {
-		go func() { answers <- n.askHelper(ctx, helper, target) }()
+		go func() { answers <- n.requestIndirectProbe(ctx, helper, target) }()
 	}
 	for range helpers {
 		answer := <-answers
@@ -259,8 +261,8 @@
 		asked = true
 		if answer.GetReached() {
 			cancel()
-			n.take([]Member{memberFromProto(answer.GetMember())})
-			n.table.heard(target.Host, answer.GetMember().GetIncarnation(), 0, time.Now())
+			n.mergeMembers([]Member{memberFromProto(answer.GetMember())})
+			n.table.recordExchange(target.Host, answer.GetMember().GetIncarnation(), 0, time.Now())
 			return true, true
 		}
 	}
@@ -274,13 +276,13 @@
 // cut off too and not answer, so that suspicions are confirmed late and callers
 // receive addresses beyond the partition for longer.
 func (n *Node) helpers(target Member) []Member {
-	heard, others := n.table.reachable(time.Now().Add(-lately * n.options.ProbeInterval))
+	recent, others := n.table.reachable(time.Now().Add(-helperExchangeIntervals * n.options.ProbeInterval))
 	isTarget := func(m Member) bool { return m.Host == target.Host }
-	helpers := n.pick(slices.DeleteFunc(heard, isTarget), n.options.IndirectProbes)
+	helpers := n.pick(slices.DeleteFunc(recent, isTarget), n.options.IndirectProbes)
 	return append(helpers, n.pick(slices.DeleteFunc(others, isTarget), n.options.IndirectProbes-len(helpers))...)
 }
 
-func (n *Node) askHelper(ctx context.Context, helper, target Member) *peerpb.ProbeIndirectResponse {
+func (n *Node) requestIndirectProbe(ctx context.Context, helper, target Member) *peerpb.ProbeIndirectResponse {
 	var response *peerpb.ProbeIndirectResponse
 	err := n.control.call(helper.PeerAddress, func(client peerpb.PeerClient) (err error) {
 		response, err = client.ProbeIndirect(ctx, &peerpb.ProbeIndirectRequest{Host: target.Host, PeerAddress: target.PeerAddress})
@@ -292,21 +294,21 @@
 	return response
 }
 
-// probeStray probes a gone host or a seed that is not a member, so that two
+// reconnect probes a gone host or a seed that is not a member, so that two
 // parts of the fleet reconnect after a partition longer than the suspicion
 // timeout. Gone hosts with a successor are skipped: they left on purpose.
-func (n *Node) probeStray(ctx context.Context) {
-	strays := n.others(func(m Member) bool { return m.State == StateGone && m.Successor == "" })
+func (n *Node) reconnect(ctx context.Context) {
+	targets := n.others(func(m Member) bool { return m.State == StateGone && m.Successor == "" })
 	known := make(map[string]bool)
 	for _, m := range n.table.members() {
 		known[m.PeerAddress] = true
 	}
 	for _, seed := range n.options.Seeds {
 		if !known[seed] {
-			strays = append(strays, Member{PeerAddress: seed})
+			targets = append(targets, Member{PeerAddress: seed})
 		}
 	}
-	for _, m := range n.pick(strays, 1) {
+	for _, m := range n.pick(targets, 1) {
 		// A host that is back is likely one of several. The sync returns the
 		// others, and the members whose state is disputed.
 		if n.tryExchange(ctx, m) {
@@ -318,12 +320,12 @@
 // pushLoop probes a few neighbours early when there is an urgent update: a
 // change of configuration, a leaving backend server or host.
 func (n *Node) pushLoop(ctx context.Context) error {
-	pause := n.options.ProbeInterval / pushEvery
+	pause := n.options.ProbeInterval / pushesPerInterval
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-n.kick:
+		case <-n.pushSignal:
 		}
 		n.push(ctx)
 		if err := sleep.For(ctx, pause); err != nil {
@@ -343,14 +345,14 @@
 	group.Wait()
 }
 
-// sayGoodbye announces to a few neighbours that this host is gone, if it was
+// announceGone announces to a few neighbours that this host is gone, if it was
 // leaving.
-func (n *Node) sayGoodbye() {
-	self := n.table.me()
+func (n *Node) announceGone() {
+	self := n.table.localMember()
 	if self.State != StateLeaving {
 		return
 	}
-	n.table.leave(StateGone, self.Successor)
+	n.table.setSelfState(StateGone, self.Successor)
 	ctx, cancel := context.WithTimeout(context.Background(), n.options.ProbeTimeout)
 	defer cancel()
 	n.push(ctx)
--- a/peer/scope.go
+++ b/peer/scope.go
@@ -77,7 +77,8 @@
 	return lowest(members, n, func(m *Member) uint64 { return ^pairScore(self.Host, m.Host) })
 }
 
-// successors returns the n members that follow self on the ring of hashed names.
+// successors returns the n members that follow self on the ring of hashed
+// names.
 func successors(self Member, members []Member, n int) []Member {
 	start := hashStrings(self.Host)
 	return lowest(members, n, func(m *Member) uint64 { return hashStrings(m.Host) - start })
--- a/peer/server.go
+++ b/peer/server.go
@@ -44,7 +44,7 @@
 func (s *service) Probe(_ context.Context, request *peerpb.ProbeRequest) (*peerpb.ProbeResponse, error) {
 	n := s.node
 	from := n.receive(request)
-	answer := n.message(from.Host)
+	answer := n.newProbe(from.Host)
 	return &peerpb.ProbeResponse{
 		From:                 answer.From,
 		News:                 answer.News,
@@ -71,14 +71,14 @@
 // Sync implements peerpb.PeerServer.
 func (s *service) Sync(_ context.Context, request *peerpb.SyncRequest) (*peerpb.SyncResponse, error) {
 	n := s.node
-	n.take([]Member{memberFromProto(request.GetFrom())})
-	n.takeLeaving(request.GetLeaving())
-	n.takeSuspects(request.GetSuspects())
+	n.mergeMembers([]Member{memberFromProto(request.GetFrom())})
+	n.mergeLeaving(request.GetLeaving())
+	n.mergeQuarantine(request.GetSuspects())
 	return &peerpb.SyncResponse{
-		From:     n.table.me().toProto(),
-		Members:  membersToProto(n.lacking(request.GetHave())),
+		From:     n.table.localMember().toProto(),
+		Members:  membersToProto(n.missingMembers(request.GetHave())),
 		Leaving:  leavingToProto(n.leaving.list(time.Now())),
-		Suspects: suspectsToProto(n.options.Suspects.All()),
+		Suspects: quarantineToProto(n.options.Suspects.All()),
 	}, nil
 }
 
@@ -108,28 +108,28 @@
 	n.counters.forwardBytes.WithLabelValues(direction).Add(float64(proto.Size(message)))
 }
 
-// message returns the content of a probe to addressee, or of the response to
+// newProbe returns the content of a probe to addressee, or of the response to
 // one.
-func (n *Node) message(addressee string) *peerpb.ProbeRequest {
-	_, digest, _ := n.table.state()
+func (n *Node) newProbe(addressee string) *peerpb.ProbeRequest {
+	_, digest, _ := n.table.summary()
 	return &peerpb.ProbeRequest{
-		From:                 n.introduction(addressee).toProto(),
-		News:                 membersToProto(n.table.news(addressee)),
+		From:                 n.senderRecord(addressee).toProto(),
+		News:                 membersToProto(n.table.pickUpdates(addressee)),
 		ConfigurationVersion: uint64(n.options.Configuration.Version()),
 		ConfigurationDigest:  n.options.Configuration.Digest(),
-		Leaving:              n.leaving.news(),
+		Leaving:              n.leaving.pickUpdates(),
 		MembershipDigest:     digest,
-		Suspects:             suspectsToProto(n.options.Suspects.News()),
+		Suspects:             quarantineToProto(n.options.Suspects.News()),
 	}
 }
 
-// introduction returns this host's own record for a probe. The short form is
+// senderRecord returns this host's own record for a probe. The short form is
 // enough for a host that has the full record, which is likely while the digests
 // match.
-func (n *Node) introduction(addressee string) Member {
-	self := n.table.me()
+func (n *Node) senderRecord(addressee string) Member {
+	self := n.table.localMember()
 	to, known := n.table.member(addressee)
-	if self.State != StateAlive || !known || to.State != StateAlive || n.mismatched() {
+	if self.State != StateAlive || !known || to.State != StateAlive || n.lastDigestDiffered() {
 		return self
 	}
 	return self.short()
@@ -148,38 +148,38 @@
 
 // receive processes a probe or its response and returns its sender.
 func (n *Node) receive(m probeMessage) Member {
-	from := n.table.complete(memberFromProto(m.GetFrom()))
-	news := membersFromProto(m.GetNews())
-	n.table.hearAgain(news)
-	n.take(append(news, from))
-	n.takeLeaving(m.GetLeaving())
-	n.takeSuspects(m.GetSuspects())
-	if n.table.heard(from.Host, from.Incarnation, versionOf(m), time.Now()) {
-		signal(n.notices)
+	from := n.table.fillIn(memberFromProto(m.GetFrom()))
+	records := membersFromProto(m.GetNews())
+	n.table.noteDuplicates(records)
+	n.mergeMembers(append(records, from))
+	n.mergeLeaving(m.GetLeaving())
+	n.mergeQuarantine(m.GetSuspects())
+	if n.table.recordExchange(from.Host, from.Incarnation, versionOf(m), time.Now()) {
+		signal(n.notifySignal)
 	}
 	n.compareConfiguration(from, m)
 	n.compareMembership(from, m.GetMembershipDigest())
 	return from
 }
 
-// take merges received member records and triggers the resulting notifications,
-// pushes and probes.
-func (n *Node) take(news []Member) {
-	result := n.table.merge(news, time.Now())
-	n.report(result.moved)
-	n.doubt(result.doubted)
+// mergeMembers merges received member records and triggers the resulting
+// notifications, pushes and probes.
+func (n *Node) mergeMembers(records []Member) {
+	result := n.table.merge(records, time.Now())
+	n.recordTransitions(result.transitions)
+	n.queueDisputes(result.disputed)
 	if result.changed {
-		signal(n.notices)
+		signal(n.notifySignal)
 	}
 	if result.urgent {
-		signal(n.kick)
+		signal(n.pushSignal)
 	}
 }
 
-func (n *Node) takeLeaving(list []*peerpb.LeavingServer) {
+func (n *Node) mergeLeaving(list []*peerpb.LeavingServer) {
 	if len(list) > 0 && n.leaving.mark(leavingFromProto(list), time.Now()) {
-		signal(n.kick)
-		signal(n.notices)
+		signal(n.pushSignal)
+		signal(n.notifySignal)
 	}
 }
 
--- a/peer/spread.go
+++ b/peer/spread.go
@@ -23,17 +23,17 @@
 	pullPageBytes = 2 << 20
 	// pullPages is the maximum number of pages of one pull.
 	pullPages = 64
-	// newsTime is the number of probe intervals within which gossip reaches all
-	// hosts.
-	newsTime = 4
-	// otherDigestsHeld is the number of other digests above which they are
+	// propagationIntervals is the number of probe intervals within which gossip
+	// reaches all hosts.
+	propagationIntervals = 4
+	// maxOtherDigests is the number of other digests above which they are
 	// cleared.
-	otherDigestsHeld = 64
+	maxOtherDigests = 64
 	// joinSeeds is the number of seeds that have to answer on joining.
 	joinSeeds = 3
-	// witnessTime is the number of probe intervals within which a direct
+	// exchangeIntervals is the number of probe intervals within which a direct
 	// exchange is recent: two rounds of the scope.
-	witnessTime = 30
+	exchangeIntervals = 30
 	// pullTimeout is the timeout of one page of a pull or one sync.
 	pullTimeout = 5 * time.Second
 
@@ -115,8 +115,8 @@
 		return 0, nil
 	}
 	n.counters.pulls.WithLabelValues(resultAdopted).Inc()
-	signal(n.kick) // push the change to neighbours
-	signal(n.notices)
+	signal(n.pushSignal) // push the change to neighbours
+	signal(n.notifySignal)
 	return total, nil
 }
 
@@ -124,18 +124,18 @@
 	table := n.options.Configuration
 	if table.Version() > 0 {
 		var same bool
-		count, more, same, err = n.ask(ctx, address, &peerpb.PullRequest{AfterVersion: uint64(table.Version())})
+		count, more, same, err = n.pullObjects(ctx, address, &peerpb.PullRequest{AfterVersion: uint64(table.Version())})
 		if err != nil || more || same {
 			return count, more, err
 		}
 	}
-	rest, more, _, err := n.ask(ctx, address, &peerpb.PullRequest{Have: have(table)})
+	rest, more, _, err := n.pullObjects(ctx, address, &peerpb.PullRequest{Have: heldVersions(table)})
 	return count + rest, more, err
 }
 
-// ask requests one page of objects and adopts it. Same means that the digests
-// of both hosts match afterwards.
-func (n *Node) ask(ctx context.Context, address string, request *peerpb.PullRequest) (count int, more, same bool, err error) {
+// pullObjects requests one page of objects and adopts it. Same means that the
+// digests of both hosts match afterwards.
+func (n *Node) pullObjects(ctx context.Context, address string, request *peerpb.PullRequest) (count int, more, same bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	table := n.options.Configuration
@@ -153,14 +153,14 @@
 	return count, response.GetMore(), response.GetDigest() == table.Digest(), errors.Wrap(err, "peer: adopt configuration")
 }
 
-// have lists the objects of a table with their versions.
+// heldVersions lists the objects of a table with their versions.
 //
 // Failure: a host adopts an object before one with a lower version that was
 // written through another host, so a pull of "newer than my version" would skip
 // that one permanently. The digests then still differ after the pull. A pull by
 // object has no gaps, and is used only in this case, since the list of all
 // objects takes most of the bytes of a change.
-func have(table ConfigurationTable) []*peerpb.ObjectVersion {
+func heldVersions(table ConfigurationTable) []*peerpb.ObjectVersion {
 	objects := table.Since(0)
 	list := make([]*peerpb.ObjectVersion, 0, len(objects))
 	for _, o := range objects {
@@ -214,8 +214,8 @@
 // bounded and may miss a host. While gossip is in flight digests differ for a
 // few seconds.
 func (n *Node) compareMembership(from Member, digest uint64) {
-	_, mine, _ := n.table.state()
-	if !n.goesOnDiffering(mine, digest) || from.PeerAddress == "" || !n.syncLimit.Allow() {
+	_, own, _ := n.table.summary()
+	if !n.digestsDifferPersistently(own, digest) || from.PeerAddress == "" || !n.syncLimit.Allow() {
 		return
 	}
 	select {
@@ -224,53 +224,53 @@
 	}
 }
 
-// goesOnDiffering records a received digest, and reports whether it differs and
-// was first received at least newsTime probe intervals ago while this host's own
-// digest stayed the same.
+// digestsDifferPersistently records a received digest, and reports whether it
+// differs and was first received at least propagationIntervals probe intervals
+// ago while this host's own digest stayed the same.
 //
-// Failure: several hosts missed the same update. Their digests match each other,
-// so with a time counted from the last match they would never sync with the
-// others.
-func (n *Node) goesOnDiffering(mine, heard uint64) bool {
+// Failure: several hosts missed the same update. Their digests match each
+// other, so with a time counted from the last match they would never sync with
+// the others.
+func (n *Node) digestsDifferPersistently(own, received uint64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.differed = mine != heard
-	if n.digest != mine || len(n.otherDigests) > otherDigestsHeld {
-		n.digest = mine
+	n.digestsDiffered = own != received
+	if n.digest != own || len(n.otherDigests) > maxOtherDigests {
+		n.digest = own
 		clear(n.otherDigests)
 	}
-	if !n.differed {
+	if !n.digestsDiffered {
 		return false
 	}
-	first, known := n.otherDigests[heard]
+	first, known := n.otherDigests[received]
 	if !known {
-		n.otherDigests[heard] = time.Now()
+		n.otherDigests[received] = time.Now()
 		return false
 	}
-	return time.Since(first) >= newsTime*n.options.ProbeInterval
+	return time.Since(first) >= propagationIntervals*n.options.ProbeInterval
 }
 
-// mismatched reports whether the last digest received differed.
-func (n *Node) mismatched() bool {
+// lastDigestDiffered reports whether the last digest received differed.
+func (n *Node) lastDigestDiffered() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.differed
+	return n.digestsDiffered
 }
 
-// lacking returns the records whose hashes are not in have.
-func (n *Node) lacking(have []uint64) []Member {
+// missingMembers returns the records whose hashes are not in have.
+func (n *Node) missingMembers(have []uint64) []Member {
 	held := make(map[uint64]bool, len(have))
 	for _, hash := range have {
 		held[hash] = true
 	}
-	var lacking []Member
+	var missing []Member
 	members, hashes := n.table.all()
 	for i, m := range members {
 		if !held[hashes[i]] {
-			lacking = append(lacking, m)
+			missing = append(missing, m)
 		}
 	}
-	return lacking
+	return missing
 }
 
 // syncWith fetches the member records that this host lacks from the host at
@@ -280,8 +280,8 @@
 	defer cancel()
 	_, hashes := n.table.all()
 	request := &peerpb.SyncRequest{
-		From: n.table.me().toProto(), Have: hashes, Leaving: leavingToProto(n.leaving.list(time.Now())),
-		Suspects: suspectsToProto(n.options.Suspects.All()),
+		From: n.table.localMember().toProto(), Have: hashes, Leaving: leavingToProto(n.leaving.list(time.Now())),
+		Suspects: quarantineToProto(n.options.Suspects.All()),
 	}
 	var response *peerpb.SyncResponse
 	err := n.control.call(address, func(client peerpb.PeerClient) (err error) {
@@ -293,10 +293,10 @@
 		return false
 	}
 	members := append(membersFromProto(response.GetMembers()), memberFromProto(response.GetFrom()))
-	n.take(members)
-	n.table.quiet(members)
-	n.takeLeaving(response.GetLeaving())
-	n.takeSuspects(response.GetSuspects())
+	n.mergeMembers(members)
+	n.table.stopRetransmitting(members)
+	n.mergeLeaving(response.GetLeaving())
+	n.mergeQuarantine(response.GetSuspects())
 	n.counters.syncs.WithLabelValues(resultDone).Inc()
 	return true
 }
@@ -322,8 +322,8 @@
 			})
 		}
 		if answered > 0 {
-			signal(n.kick) // introduce this host
-			return n.joinAgain(ctx)
+			signal(n.pushSignal) // introduce this host
+			return n.syncAgain(ctx)
 		}
 		if err := sleep.For(ctx, n.options.ProbeInterval); err != nil {
 			return err
@@ -331,14 +331,14 @@
 	}
 }
 
-// joinAgain syncs the membership once more with a seed.
+// syncAgain syncs the membership once more with a seed.
 //
 // Failure: the whole fleet starts at once. Hosts sync with their seeds before
-// these have the other members, and gossip misses a host. Until the digests have
-// differed for some seconds that host takes on duties of others: one host in a
-// thousand watched the store beside the three that should.
-func (n *Node) joinAgain(ctx context.Context) error {
-	if err := sleep.For(ctx, newsTime*n.options.ProbeInterval); err != nil {
+// these have the other members, and gossip misses a host. Until the digests
+// have differed for some seconds that host takes on duties of others: one host
+// in a thousand watched the store beside the three that should.
+func (n *Node) syncAgain(ctx context.Context) error {
+	if err := sleep.For(ctx, propagationIntervals*n.options.ProbeInterval); err != nil {
 		return err
 	}
 	for _, seed := range n.shuffledSeeds() {
--- a/peer/suspects.go
+++ b/peer/suspects.go
@@ -7,18 +7,18 @@
 	"github.com/papayasail/papayasail/quarantine"
 )
 
-// sourceOfSuspects is the log value for quarantine records received from peers.
-const sourceOfSuspects = "peer"
+// quarantineSource is the log value for quarantine records received from peers.
+const quarantineSource = "peer"
 
-// takeSuspects merges records of requests that crash backend servers, and
+// mergeQuarantine merges records of requests that crash backend servers, and
 // starts an early round of gossip if any of them was new.
-func (n *Node) takeSuspects(list []*peerpb.Suspect) {
-	if len(list) > 0 && n.options.Suspects.Merge(suspectsFromProto(list), sourceOfSuspects) {
-		signal(n.kick)
+func (n *Node) mergeQuarantine(list []*peerpb.Suspect) {
+	if len(list) > 0 && n.options.Suspects.Merge(quarantineFromProto(list), quarantineSource) {
+		signal(n.pushSignal)
 	}
 }
 
-func suspectsFromProto(list []*peerpb.Suspect) []quarantine.Record {
+func quarantineFromProto(list []*peerpb.Suspect) []quarantine.Record {
 	records := make([]quarantine.Record, 0, len(list))
 	for _, p := range list {
 		records = append(records, quarantine.Record{
@@ -28,7 +28,7 @@
 	return records
 }
 
-func suspectsToProto(records []quarantine.Record) []*peerpb.Suspect {
+func quarantineToProto(records []quarantine.Record) []*peerpb.Suspect {
 	list := make([]*peerpb.Suspect, 0, len(records))
 	for _, r := range records {
 		list = append(list, &peerpb.Suspect{Fingerprint: r.Fingerprint, Epoch: r.Epoch, Crashes: r.Crashes, LeftMs: uint32(r.Left.Milliseconds())})
@@ -36,9 +36,9 @@
 	return list
 }
 
-// noSuspects is the empty set, for hosts that do not track such requests.
-type noSuspects struct{}
+// noQuarantine is the empty set, for hosts that do not track such requests.
+type noQuarantine struct{}
 
-func (noSuspects) News() []quarantine.Record              { return nil }
-func (noSuspects) All() []quarantine.Record               { return nil }
-func (noSuspects) Merge([]quarantine.Record, string) bool { return false }
+func (noQuarantine) News() []quarantine.Record              { return nil }
+func (noQuarantine) All() []quarantine.Record               { return nil }
+func (noQuarantine) Merge([]quarantine.Record, string) bool { return false }
--- a/peer/suspects_test.go
+++ b/peer/suspects_test.go
@@ -22,10 +22,10 @@
 	n := New(Options{
 		Self: Member{Host: "a"}, Network: network.New(network.Options{}).Host("10.0.0.1"), Configuration: newTableFake(), Handler: &handlerFake{}, Suspects: known,
 	})
-	brought := suspectsToProto([]quarantine.Record{{Fingerprint: 8, Crashes: 3, Left: time.Hour}})
-	response, err := (&service{node: n}).Sync(t.Context(), &peerpb.SyncRequest{From: Member{Host: "b"}.toProto(), Suspects: brought})
+	sent := quarantineToProto([]quarantine.Record{{Fingerprint: 8, Crashes: 3, Left: time.Hour}})
+	response, err := (&service{node: n}).Sync(t.Context(), &peerpb.SyncRequest{From: Member{Host: "b"}.toProto(), Suspects: sent})
 	is.NoErr(err)
-	told := suspectsFromProto(response.GetSuspects())
-	is.Equal(len(told), 2) // including the record that the joining host sent
+	received := quarantineFromProto(response.GetSuspects())
+	is.Equal(len(received), 2) // including the record that the joining host sent
 	is.True(known.Quarantined(8) > time.Minute)
 }
--- a/peer/table.go
+++ b/peer/table.go
@@ -12,49 +12,51 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// newsLimit is the maximum number of gossiped member records in one message.
-const newsLimit = 6
+// updatesPerMessage is the maximum number of gossiped member records in one
+// message.
+const updatesPerMessage = 6
 
 const (
 	// minRetransmits plus the binary logarithm of the number of members is how
 	// many times a host gossips one record.
 	minRetransmits = 4
-	// heardAgain is subtracted from the remaining retransmissions each time the
-	// record arrives from another host, since others then have it already.
-	heardAgain = 1
+	// duplicateDecrement is subtracted from the remaining retransmissions each
+	// time the record arrives from another host, since others then have it
+	// already.
+	duplicateDecrement = 1
 )
 
 // entry is one member with the local state of this host's failure detector.
 type entry struct {
 	Member
-	since time.Time // when this host recorded the current state
+	stateSince time.Time // when this host recorded the current state
 	// unconfirmed marks a suspicion that no other host shares. It is not
 	// gossiped and does not expire.
-	unconfirmed bool
-	before      State     // state before an unconfirmed suspicion
-	heardAt     time.Time // last direct exchange
-	passOn      int       // remaining retransmissions of the record
+	unconfirmed     bool
+	stateBefore     State     // state before an unconfirmed suspicion
+	lastExchange    time.Time // last direct exchange
+	retransmitsLeft int       // remaining retransmissions of the record
 }
 
 // table is the membership table. Its methods are safe for concurrent use.
 type table struct {
 	mu sync.Mutex // guards all below; no other lock is taken while it is held
 
-	witness    time.Duration // see witnessed; set before use
-	self       Member
-	entries    map[string]*entry // by host, without self
-	selfPassOn int
-	superseded uint64 // higher incarnation seen under this host's name; zero: none
-	generation uint64 // increases with every change of a member except its configuration version
-	digest     uint64 // of the hosts that are not gone
+	exchangeWindow      time.Duration // see refutedByExchange; set before use
+	self                Member
+	entries             map[string]*entry // by host, without self
+	selfRetransmitsLeft int
+	superseded          uint64 // higher incarnation seen under this host's name; zero: none
+	generation          uint64 // increases with every change of a member except its configuration version
+	digest              uint64 // of the hosts that are not gone
 }
 
-// merged is the result of merging member records.
-type merged struct {
-	changed bool
-	urgent  bool // to be gossiped before the next probe
-	moved   []transition
-	doubted []Member // suspect or gone here, but alive or leaving in the received record
+// mergeResult is the result of merging member records.
+type mergeResult struct {
+	changed     bool
+	urgent      bool // to be gossiped before the next probe
+	transitions []transition
+	disputed    []Member // suspect or gone here, but alive or leaving in the received record
 }
 
 // transition is a change of a member's state, for logs and counters.
@@ -71,11 +73,11 @@
 
 // merge merges member records into the table. Records are ordered by
 // incarnation, sequence, then state; older ones are ignored.
-func (t *table) merge(news []Member, now time.Time) merged {
+func (t *table) merge(records []Member, now time.Time) mergeResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var result merged
-	for _, m := range news {
+	var result mergeResult
+	for _, m := range records {
 		if !m.valid() {
 			continue
 		}
@@ -110,19 +112,19 @@
 }
 
 func (t *table) announceSelf() {
-	t.selfPassOn = t.retransmits()
+	t.selfRetransmitsLeft = t.retransmits()
 	t.generation++
 }
 
-func (t *table) mergeOther(m Member, now time.Time, result *merged) {
+func (t *table) mergeOther(m Member, now time.Time, result *mergeResult) {
 	known, ok := t.entries[m.Host]
 	if ok && !m.overrides(known.Member) {
-		if known.accused(m) {
-			result.doubted = append(result.doubted, known.Member)
+		if known.disputedBy(m) {
+			result.disputed = append(result.disputed, known.Member)
 		}
 		return
 	}
-	if ok && t.witnessed(known, m, now) {
+	if ok && t.refutedByExchange(known, m, now) {
 		return
 	}
 	m.ConfigurationVersion = 0
@@ -133,47 +135,47 @@
 			m.ConfigurationVersion = known.ConfigurationVersion
 		}
 	}
-	storeChanged := ok && m.StoreAway != known.StoreAway
-	t.set(&entry{Member: m, since: now})
+	storeChanged := ok && m.StoreUnreachable != known.StoreUnreachable
+	t.set(&entry{Member: m, stateSince: now})
 	result.changed = true
 	result.urgent = result.urgent || storeChanged || m.State == StateLeaving || from == StateLeaving && m.State == StateGone
 	if from != m.State {
-		result.moved = append(result.moved, transition{m, from})
+		result.transitions = append(result.transitions, transition{m, from})
 	}
 }
 
-// accused reports whether this host lists the member as suspect or gone while
-// a received record with the same sequence lists it as alive or leaving.
-func (e *entry) accused(news Member) bool {
-	return e.State >= StateSuspect && !e.unconfirmed && news.State <= StateLeaving &&
-		e.Incarnation == news.Incarnation && e.Sequence == news.Sequence
+// disputedBy reports whether this host lists the member as suspect or gone
+// while a received record with the same sequence lists it as alive or leaving.
+func (e *entry) disputedBy(received Member) bool {
+	return e.State >= StateSuspect && !e.unconfirmed && received.State <= StateLeaving &&
+		e.Incarnation == received.Incarnation && e.Sequence == received.Sequence
 }
 
-// witnessed reports whether a received record declares a member gone that this
-// host does not suspect and has exchanged messages with recently. Such a
-// record is ignored.
+// refutedByExchange reports whether a received record declares a member gone
+// that this host does not suspect and has exchanged messages with recently.
+// Such a record is ignored.
 //
 // Failure: after a network partition heals, a small part of the fleet lists
 // all other hosts as gone. Its records override those of the same sequence, so
 // that callers elsewhere lose most addresses for a moment. A host that really
 // died is suspected first, and that record is accepted.
-func (t *table) witnessed(known *entry, news Member, now time.Time) bool {
-	return news.State == StateGone && known.State <= StateLeaving &&
-		known.Incarnation == news.Incarnation && known.Sequence == news.Sequence &&
-		now.Sub(known.heardAt) < t.witness
+func (t *table) refutedByExchange(known *entry, received Member, now time.Time) bool {
+	return received.State == StateGone && known.State <= StateLeaving &&
+		known.Incarnation == received.Incarnation && known.Sequence == received.Sequence &&
+		now.Sub(known.lastExchange) < t.exchangeWindow
 }
 
 // set replaces a member's entry and schedules its record for gossip.
 func (t *table) set(e *entry) {
 	if old, ok := t.entries[e.Host]; ok {
 		t.digest ^= contribution(old.Member)
-		e.heardAt = old.heardAt
+		e.lastExchange = old.lastExchange
 	}
 	t.entries[e.Host] = e
 	t.digest ^= contribution(e.Member)
 	t.generation++
 	if !e.unconfirmed {
-		e.passOn = t.retransmits()
+		e.retransmitsLeft = t.retransmits()
 	}
 }
 
@@ -199,22 +201,23 @@
 	return minRetransmits + bits.Len(uint(len(t.entries)))
 }
 
-// heard records a direct exchange with a member and its configuration version,
-// and ends an unconfirmed suspicion. It reports whether the entry changed.
-func (t *table) heard(host string, incarnation uint64, version store.Version, now time.Time) (changed bool) {
+// recordExchange records a direct exchange with a member and its configuration
+// version, and ends an unconfirmed suspicion. It reports whether the entry
+// changed.
+func (t *table) recordExchange(host string, incarnation uint64, version store.Version, now time.Time) (changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.entries[host]
 	if !ok || e.Incarnation != incarnation {
 		return false
 	}
-	e.heardAt = now
+	e.lastExchange = now
 	if version > e.ConfigurationVersion {
 		e.ConfigurationVersion = version
 		changed = true
 	}
 	if e.unconfirmed {
-		e.unconfirmed, e.State, e.since = false, e.before, now
+		e.unconfirmed, e.State, e.stateSince = false, e.stateBefore, now
 		t.generation++
 		changed = true
 	}
@@ -233,12 +236,12 @@
 	if e.State == StateSuspect && (!e.unconfirmed || !confirmed) {
 		return transition{}, false
 	}
-	moved := transition{e.Member, e.State}
-	next := &entry{Member: e.Member, since: now, unconfirmed: !confirmed, before: e.State}
+	change := transition{e.Member, e.State}
+	next := &entry{Member: e.Member, stateSince: now, unconfirmed: !confirmed, stateBefore: e.State}
 	next.State = StateSuspect
-	moved.State = StateSuspect
+	change.State = StateSuspect
 	t.set(next)
-	return moved, true
+	return change, true
 }
 
 // expire declares suspects gone after the suspicion timeout and deletes gone
@@ -246,42 +249,42 @@
 func (t *table) expire(now time.Time, suspicion, retention time.Duration) []transition {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var moved []transition
+	var transitions []transition
 	for host, e := range t.entries {
-		age := now.Sub(e.since)
+		age := now.Sub(e.stateSince)
 		switch {
 		case e.State == StateSuspect && !e.unconfirmed && age >= suspicion:
-			next := &entry{Member: e.Member, since: now}
+			next := &entry{Member: e.Member, stateSince: now}
 			next.State = StateGone
 			t.set(next)
-			moved = append(moved, transition{next.Member, StateSuspect})
+			transitions = append(transitions, transition{next.Member, StateSuspect})
 		case e.State == StateGone && age >= retention:
 			delete(t.entries, host)
 			t.generation++
 		}
 	}
-	return moved
+	return transitions
 }
 
 // reachable returns the members that are alive or leaving, in two parts: those
 // with a direct exchange since the given time, and the others.
-func (t *table) reachable(since time.Time) (heard, others []Member) {
+func (t *table) reachable(since time.Time) (recent, others []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.entries {
 		switch {
 		case e.State > StateLeaving:
-		case e.heardAt.After(since):
-			heard = append(heard, e.Member)
+		case e.lastExchange.After(since):
+			recent = append(recent, e.Member)
 		default:
 			others = append(others, e.Member)
 		}
 	}
-	return heard, others
+	return recent, others
 }
 
-// leave sets this host's own state to leaving or gone.
-func (t *table) leave(state State, successor string) {
+// setSelfState sets this host's own state to leaving or gone.
+func (t *table) setSelfState(state State, successor string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.digest ^= contribution(t.self)
@@ -292,43 +295,44 @@
 	t.announceSelf()
 }
 
-// setStoreAway records whether the platform's store fails to answer this host,
-// and reports whether the value changed.
-func (t *table) setStoreAway(away bool) (changed bool) {
+// setStoreUnreachable records whether the platform's store fails to answer this
+// host, and reports whether the value changed.
+func (t *table) setStoreUnreachable(unreachable bool) (changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.self.StoreAway == away {
+	if t.self.StoreUnreachable == unreachable {
 		return false
 	}
-	t.self.StoreAway = away
+	t.self.StoreUnreachable = unreachable
 	t.self.Sequence++
 	t.announceSelf()
 	return true
 }
 
-// news selects the records with the most remaining retransmissions, and adds
-// the record of addressee if it is suspect or gone, so that it can refute it.
-func (t *table) news(addressee string) []Member {
+// pickUpdates selects the records with the most remaining retransmissions, and
+// adds the record of addressee if it is suspect or gone, so that it can refute
+// it.
+func (t *table) pickUpdates(addressee string) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var fresh []*entry
 	for _, e := range t.entries {
-		if e.passOn > 0 && e.Host != addressee {
+		if e.retransmitsLeft > 0 && e.Host != addressee {
 			fresh = append(fresh, e)
 		}
 	}
 	slices.SortFunc(fresh, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(b.passOn, a.passOn), cmp.Compare(a.Host, b.Host))
+		return cmp.Or(cmp.Compare(b.retransmitsLeft, a.retransmitsLeft), cmp.Compare(a.Host, b.Host))
 	})
-	var news []Member
-	for _, e := range fresh[:min(newsLimit, len(fresh))] {
-		e.passOn--
-		news = append(news, e.Member)
+	var updates []Member
+	for _, e := range fresh[:min(updatesPerMessage, len(fresh))] {
+		e.retransmitsLeft--
+		updates = append(updates, e.Member)
 	}
 	if e, ok := t.entries[addressee]; ok && e.State >= StateSuspect && !e.unconfirmed {
-		news = append(news, e.Member)
+		updates = append(updates, e.Member)
 	}
-	return news
+	return updates
 }
 
 // all returns the records of all other members except unconfirmed suspicions,
@@ -345,26 +349,26 @@
 	return members, hashes
 }
 
-// hearAgain lowers the remaining retransmissions of records that this host has
-// and that arrived once more from another host.
-func (t *table) hearAgain(news []Member) {
+// noteDuplicates lowers the remaining retransmissions of records that this host
+// has and that arrived once more from another host.
+func (t *table) noteDuplicates(records []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, m := range news {
+	for _, m := range records {
 		if e, ok := t.entries[m.Host]; ok && e.Member.hash() == m.hash() {
-			e.passOn = max(0, e.passOn-heardAgain)
+			e.retransmitsLeft = max(0, e.retransmitsLeft-duplicateDecrement)
 		}
 	}
 }
 
-// quiet stops the gossip of records that were received in a full sync. Other
-// hosts that lack them detect it by the digest and sync themselves.
-func (t *table) quiet(members []Member) {
+// stopRetransmitting stops the gossip of records that were received in a full
+// sync. Other hosts that lack them detect it by the digest and sync themselves.
+func (t *table) stopRetransmitting(members []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, m := range members {
 		if e, ok := t.entries[m.Host]; ok && !e.overrides(m) {
-			e.passOn = 0
+			e.retransmitsLeft = 0
 		}
 	}
 }
@@ -374,16 +378,16 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.entries {
-		if e.passOn > 0 {
+		if e.retransmitsLeft > 0 {
 			count++
 		}
 	}
 	return count
 }
 
-// complete fills in the fields that Member.short leaves out of a host's record
+// fillIn fills in the fields that Member.short leaves out of a host's record
 // of itself.
-func (t *table) complete(m Member) Member {
+func (t *table) fillIn(m Member) Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.entries[m.Host]
@@ -407,7 +411,7 @@
 	return members
 }
 
-func (t *table) me() Member {
+func (t *table) localMember() Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.self
@@ -423,9 +427,9 @@
 	return e.Member, true
 }
 
-// state returns the generation, the membership digest and the incarnation that
-// supersedes this host (zero: none), without copying the members.
-func (t *table) state() (generation, digest, superseded uint64) {
+// summary returns the generation, the membership digest and the incarnation
+// that supersedes this host (zero: none), without copying the members.
+func (t *table) summary() (generation, digest, superseded uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.generation, t.digest, t.superseded
--- a/peer/table_test.go
+++ b/peer/table_test.go
@@ -57,8 +57,8 @@
 		table := newTable(Member{Host: "a1", Incarnation: 3, PeerAddress: "x", State: StateAlive})
 		for _, m := range rapid.SliceOfN(genMember([]string{"a1"}), 1, 12).Draw(t, "news") {
 			table.merge([]Member{m}, time.Unix(0, 0))
-			if m.overrides(table.me()) || table.me().State != StateAlive {
-				t.Fatalf("%v not refuted by %v", m, table.me())
+			if m.overrides(table.localMember()) || table.localMember().State != StateAlive {
+				t.Fatalf("%v not refuted by %v", m, table.localMember())
 			}
 		}
 	})
@@ -97,10 +97,10 @@
 	b1, _ := table.member("b1")
 	table.suspect(b1, true, now)
 	for table.pending() > 0 {
-		is.Equal(len(table.news("c1")), 1)
+		is.Equal(len(table.pickUpdates("c1")), 1)
 	}
-	is.Equal(len(table.news("c1")), 0)
-	is.Equal(table.news("b1")[0].State, StateSuspect)
+	is.Equal(len(table.pickUpdates("c1")), 0)
+	is.Equal(table.pickUpdates("b1")[0].State, StateSuspect)
 }
 
 // Guards against an undetected death in a fleet larger than the scope, because
