--- a/domain/addresses.go
+++ b/domain/addresses.go
@@ -12,16 +12,20 @@
 )
 
 const (
-	// MaxAddresses bounds one answer; a caller needs a few to fail over.
+	// MaxAddresses is the maximum number of addresses in one answer; a caller
+	// needs a few for failover.
 	MaxAddresses = 8
-	// otherDomains is how many of them, at least, lie outside the caller's
-	// domain when there are any, so that a caller outlives its domain.
+	// otherDomains is the minimum number of addresses outside the caller's
+	// domain, if there are any alive, so that the caller survives the loss of
+	// its domain.
 	otherDomains = 2
-	// KeepHealthy is how long a caller may keep an answer while all is well.
+	// KeepHealthy is how long a caller may cache an answer while no host is
+	// suspect or leaving.
 	KeepHealthy = 30 * time.Second
-	// KeepUnsettled is the same while some host is suspected or leaving.
+	// KeepUnsettled is the same while some host is suspect or leaving.
 	KeepUnsettled = 10 * time.Second
-	// KeepLost is the same while no host but this one is in reach.
+	// KeepLost is the same while some host is suspect or leaving and no host
+	// but the answering one is alive.
 	KeepLost = 5 * time.Second
 )
 
@@ -30,18 +34,18 @@
 	Host          string
 	URL           string
 	FailureDomain string
-	Incarnation   uint64 // of the host's life whose home keys may name
+	Incarnation   uint64 // incarnation of the host for the homes in idempotency keys
 }
 
-// Addresses chooses the entry hosts for one caller, best first: those of the
-// nearest domain, in an order that seed spreads over callers, then those of
-// others by distance. Leaving and gone hosts are left out; suspects come
+// Addresses returns the entry hosts for one caller, best first: those of the
+// nearest domain, in an order that seed varies between callers, then those of
+// other domains by distance. Leaving and gone hosts are omitted; suspects come
 // last.
 //
-// Failure: the answering host is cut off and suspects everybody, or a whole
-// domain is suspected wrongly. It shows as an answer without a live host.
-// Suspects are therefore kept at the end of the list: when all are suspected
-// the answer still names them all.
+// Failure: the answering host is partitioned and suspects all others, or a
+// whole domain is suspected wrongly, so that the answer would contain no live
+// host. Suspects are therefore kept at the end of the list: when all hosts are
+// suspect the answer still contains them.
 func Addresses(members []peer.Member, distances *Distances, callerDomain string, seed uint64) []Address {
 	usable := ranked(members, distances, callerDomain, seed)
 	slices.SortFunc(usable, compareCandidates)
@@ -54,8 +58,8 @@
 	return addresses
 }
 
-// candidate is a usable member with what orders it. Members are large, so
-// only this is sorted.
+// candidate is a usable member with its sort keys. It is sorted in place of the
+// member, which is large.
 type candidate struct {
 	index    int
 	state    peer.State
@@ -86,8 +90,8 @@
 	return cmp.Or(cmp.Compare(a.state, b.state), cmp.Compare(a.distance, b.distance), cmp.Compare(a.score, b.score), cmp.Compare(a.index, b.index))
 }
 
-// withOtherDomains cuts the list to MaxAddresses, the last of them from other
-// domains than the caller's.
+// withOtherDomains truncates the list to MaxAddresses. If it contains too few
+// hosts outside the caller's domain, live ones replace its last entries.
 func withOtherDomains(sorted []candidate) []candidate {
 	if len(sorted) <= MaxAddresses {
 		return sorted
@@ -114,7 +118,8 @@
 	return chosen
 }
 
-// Keep returns how long a caller may keep an answer made from members by self.
+// Keep returns how long a caller may cache an answer that the host self made
+// from members.
 func Keep(members []peer.Member, self string) time.Duration {
 	reachable, unsettled := false, false
 	for _, m := range members {
@@ -134,7 +139,7 @@
 	return KeepHealthy
 }
 
-// score is a host's rendezvous score for a seed.
+// score returns a host's rendezvous score for a seed.
 func score(host string, seed uint64) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(seed)
--- a/domain/distance.go
+++ b/domain/distance.go
@@ -1,5 +1,6 @@
-// Package domain knows the failure domains: how far they are from each other,
-// which entry hosts callers should use, and which of them watch the platform.
+// Package domain makes decisions by failure domain: the distances between
+// domains, the entry hosts that callers should use, and the hosts that watch
+// the platform.
 package domain
 
 import (
@@ -8,13 +9,15 @@
 )
 
 const (
-	// DefaultDistance is assumed between two domains that were never measured.
+	// DefaultDistance is assumed between two domains without a setting or a
+	// round-trip sample.
 	DefaultDistance = 10 * time.Millisecond
-	// learnShare is the weight of one measured round trip: 1/learnShare.
+	// learnShare is the divisor of the moving average: one sample has the
+	// weight 1/learnShare.
 	learnShare = 8
 )
 
-// Pair names two failure domains.
+// Pair is a pair of failure domains.
 type Pair struct {
 	From, To string
 }
@@ -26,8 +29,8 @@
 	return p
 }
 
-// Distances holds the one-way delay between failure domains, from settings
-// or learned from round trips. It is safe for concurrent use.
+// Distances holds the one-way delays between failure domains, from settings or
+// estimated from round trips. It is safe for concurrent use.
 type Distances struct {
 	fixed map[Pair]time.Duration
 
@@ -35,8 +38,8 @@
 	learned map[Pair]time.Duration
 }
 
-// NewDistances takes the distances that the settings give; they are never
-// overridden by what is learned.
+// NewDistances returns distances with fixed values from the settings, which
+// samples never override.
 func NewDistances(settings map[Pair]time.Duration) *Distances {
 	d := &Distances{fixed: make(map[Pair]time.Duration), learned: make(map[Pair]time.Duration)}
 	for pair, delay := range settings {
@@ -45,7 +48,7 @@
 	return d
 }
 
-// Learn takes in a measured round trip between two domains.
+// Learn adds a round-trip sample between two domains to the moving average.
 func (d *Distances) Learn(from, to string, roundTrip time.Duration) {
 	pair := Pair{from, to}.ordered()
 	d.mu.Lock()
@@ -58,8 +61,8 @@
 	d.learned[pair] = known + (roundTrip/2-known)/learnShare
 }
 
-// Between returns the one-way delay between two domains. Within a domain it
-// is zero; a domain that is not known ("") is at DefaultDistance from all.
+// Between returns the one-way delay between two domains. It is zero within a
+// domain and DefaultDistance to or from an unknown domain ("").
 func (d *Distances) Between(from, to string) time.Duration {
 	if from == to && from != "" {
 		return 0
@@ -76,8 +79,8 @@
 	return DefaultDistance
 }
 
-// Near returns those of the domains whose one-way delay from own is at most
-// within, own included: the region in which hosts probe each other.
+// Near returns own and the domains whose one-way delay from own is at most
+// within: the region in which hosts probe each other.
 func (d *Distances) Near(own string, domains []string, within time.Duration) []string {
 	near := []string{own}
 	for _, other := range domains {
--- a/domain/domain_test.go
+++ b/domain/domain_test.go
@@ -50,7 +50,7 @@
 		answer := Addresses(members, distances, "d1", seed)
 		is.Equal(len(answer), MaxAddresses)
 		is.Equal(answer[0].FailureDomain, "d1")
-		is.True(answer[MaxAddresses-1].FailureDomain != "d1") // outlives its domain
+		is.True(answer[MaxAddresses-1].FailureDomain != "d1") // survives the loss of its domain
 		first[answer[0].Host]++
 	}
 	is.Equal(len(first), 20)
@@ -60,8 +60,8 @@
 	is.Equal(Addresses(members, distances, "d1", 1)[0].Incarnation, uint64(7))
 }
 
-// A caller is refused by a leaving host, or waits for a dead one, although
-// others live: the answer named them first.
+// Guards against callers refused by a leaving host or waiting for a dead one,
+// because the answer lists them before live hosts.
 func TestAddressesAvoidLeavingGoneAndSuspect(t *testing.T) {
 	is := is.New(t)
 	members := []peer.Member{
@@ -76,8 +76,8 @@
 	is.Equal(Keep(members, "a1"), KeepUnsettled)
 }
 
-// A caller asks a host that is cut off from all others and is told that there
-// is no address at all, although its own links work.
+// Guards against an answer without addresses from a host that is partitioned
+// from all others, while the caller can reach them.
 func TestAddressesWhenAllAreSuspected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := fleet(3, 3)
@@ -97,7 +97,7 @@
 	})
 }
 
-// BenchmarkAddresses is one answer at the target size.
+// BenchmarkAddresses measures one answer in a fleet of the target size.
 func BenchmarkAddresses(b *testing.B) {
 	members := fleet(10, 39)
 	distances := NewDistances(nil)
@@ -129,10 +129,9 @@
 	is.True(Watches(members, before[1]))
 }
 
-// A change reaches the other domain late: nobody there watches the store,
-// because each host that is cut off for a moment holds all of it for suspect.
-// A host that is cut off itself has to watch too.
-func TestWatchersOfHostCutOff(t *testing.T) {
+// Guards against a domain without a watcher, which receives changes late,
+// because a partitioned host suspects all others and does not watch itself.
+func TestWatchersOfPartitionedHost(t *testing.T) {
 	is := is.New(t)
 	members := fleet(2, 5)
 	for i := range members[1:] {
--- a/domain/near.go
+++ b/domain/near.go
@@ -7,19 +7,22 @@
 )
 
 const (
-	// MostSpread bounds an answer whose addresses callers use evenly.
+	// MostSpread is the maximum number of hosts in an answer from which callers
+	// choose at random.
 	MostSpread = 64
-	// leastSpread is how many hosts an answer names if there are any: with
-	// one alone its death would leave callers without any.
+	// leastSpread is the minimum number of live hosts in the caller's domain
+	// for an answer of that domain only: with one host, its death would leave
+	// callers without an address.
 	leastSpread = 2
 )
 
-// Spread chooses the entry hosts among which callers of a failure domain
-// choose at random: the live ones of their domain, and with fewer than two of
-// those the live ones of all. Suspects are named only when no host is alive:
-// callers do not keep to an order, so a tenth of them would wait for each.
-// Leaving hosts are named when there is nobody else: all are being stopped in
-// turn, and go on serving short requests until they end.
+// Spread returns the entry hosts from which callers of a failure domain choose
+// at random: the live hosts of their domain or, with fewer than two of those,
+// the live hosts of all domains. Suspects are returned only if no host is
+// alive: callers ignore the order, so that with ten hosts a tenth of them would
+// wait for each suspect. Leaving hosts are returned only if there are no
+// others: during a rolling restart of all hosts they serve short requests until
+// they end.
 func Spread(members []peer.Member, callerDomain string) []peer.Member {
 	near := inState(members, peer.StateAlive, callerDomain)
 	if len(near) < leastSpread {
@@ -34,7 +37,8 @@
 	return near[:min(len(near), MostSpread)]
 }
 
-// inState returns the members in a state and, unless it is empty, a failure domain.
+// inState returns the members with a caller address in a state and a failure
+// domain; an empty domain matches all.
 func inState(members []peer.Member, state peer.State, domain string) []peer.Member {
 	return slices.Collect(func(yield func(peer.Member) bool) {
 		for _, m := range members {
--- a/domain/near_test.go
+++ b/domain/near_test.go
@@ -8,7 +8,7 @@
 	"github.com/papayasail/papayasail/peer"
 )
 
-func TestSpreadNamesLiveHostsOfTheCallersDomain(t *testing.T) {
+func TestSpreadReturnsLiveHostsOfTheCallersDomain(t *testing.T) {
 	is := is.New(t)
 	members := append(fleet(2, 3), member("d0-stopping", "d0", peer.StateLeaving), member("d0-dead", "d0", peer.StateSuspect))
 	chosen := Spread(members, "d0")
@@ -19,18 +19,18 @@
 	}
 }
 
-func TestSpreadNamesMoreThanOneHost(t *testing.T) {
-	// One host of the caller's domain is left. Callers choose at random among
-	// the answer; its death would leave them without any.
+func TestSpreadReturnsMoreThanOneHost(t *testing.T) {
+	// Guards against an answer with the only host that is left in the caller's
+	// domain, whose death would leave callers without an address.
 	is := is.New(t)
 	members := append(fleet(1, 3), member("d1-h0", "d1", peer.StateAlive))
 	is.Equal(len(Spread(members, "d1")), 4)
 	is.Equal(len(Spread([]peer.Member{member("a", "d", peer.StateSuspect)}, "d")), 1) // better than none
 }
 
-func TestSpreadNamesLeavingHostsWhenAllLeave(t *testing.T) {
-	// All hosts are stopped in turn and still finish what they have. An answer
-	// without an address would leave callers with nobody to ask for seconds.
+func TestSpreadReturnsLeavingHostsWhenAllLeave(t *testing.T) {
+	// Guards against an answer without addresses for some seconds while all
+	// hosts are stopped in turn and still complete their requests.
 	is := is.New(t)
 	leaving := []peer.Member{member("a", "d", peer.StateLeaving), member("b", "e", peer.StateLeaving)}
 	is.Equal(len(Spread(leaving, "d")), 2)
--- a/domain/watchduty.go
+++ b/domain/watchduty.go
@@ -9,43 +9,46 @@
 	"github.com/papayasail/papayasail/peer"
 )
 
-// awayAfter is how many checks in a row fail before others are told: a store
-// that is slow for a moment must not change all watchers.
+// awayAfter is the number of consecutive failed checks after which the fleet is
+// notified, so that a short slowdown of the store does not replace all
+// watchers.
 const awayAfter = 2
 
-// Fleet is the membership as WatchDuty needs it; *peer.Node is one.
+// Fleet is the membership as needed by WatchDuty. *peer.Node implements it.
 type Fleet interface {
 	Members() []peer.Member
 	Generation() uint64
 	SetStoreAway(away bool)
 }
 
-// WatchDuty is one host's part in watching the platform's store for the fleet.
-// All fields but Active are required.
+// WatchDuty decides whether this host watches the platform's store for the
+// fleet, and checks the store while it does. All fields but Active are
+// required.
 type WatchDuty struct {
 	Host  string
 	Fleet Fleet
-	// Check makes a cheap call that shows whether the store answers.
+	// Check makes a cheap call to the store and returns an error if it fails.
 	Check func(ctx context.Context) error
-	// Returned is called when the store answers again after a check that
-	// failed. It must not block.
+	// Returned is called when the store answers again after a failed check. It
+	// must not block.
 	Returned func()
-	// Active says whether this host may watch yet; nil: always.
+	// Active reports whether this host may watch yet; nil: always.
 	Active func() bool
-	// Interval spaces the checks, Timeout bounds one.
+	// Interval is the time between checks, Timeout that of one check.
 	Interval, Timeout time.Duration
 
 	known atomic.Pointer[watching]
 }
 
-// watching says whether a host follows the store, for a generation of members.
+// watching is a cached decision whether this host watches the store, for one
+// generation of the membership.
 type watching struct {
 	generation uint64
 	is         bool
 }
 
-// Watches reports whether this host watches the store now; the others learn
-// from their peers.
+// Watches reports whether this host currently watches the store. Other hosts
+// receive changes from their peers.
 func (d *WatchDuty) Watches() bool {
 	if d.Active != nil && !d.Active() {
 		return false
@@ -61,14 +64,14 @@
 
 // Run checks the store while this host watches it, until ctx ends.
 //
-// Failure: the store takes calls and never answers them. A watch that began
-// meanwhile waits for its whole time after the store is back, and hears nothing
-// of servers that were replaced. After a check that failed everything is
-// therefore to be listed anew.
+// Failure: the store accepts calls and never answers them. A watch started in
+// that time blocks until its own timeout even when the store is back, and
+// misses servers that were replaced. After a failed check Returned must
+// therefore start a new list of all objects.
 //
-// Failure: the store turns this host away and serves others. It is told to the
-// fleet after awayAfter checks in a row, so that another host watches in its
-// place, and this one goes on checking until the store answers.
+// Failure: the store rejects this host and serves others. After awayAfter
+// consecutive failed checks the fleet is notified, so that another host watches
+// instead, and this one continues to check until the store answers.
 func (d *WatchDuty) Run(ctx context.Context) error {
 	failed := 0
 	for sleep.For(ctx, d.Interval) == nil {
@@ -86,7 +89,7 @@
 	return ctx.Err()
 }
 
-// answers reports whether the store answers a cheap call.
+// answers reports whether Check succeeds within Timeout.
 func (d *WatchDuty) answers(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, d.Timeout)
 	defer cancel()
--- a/domain/watchduty_test.go
+++ b/domain/watchduty_test.go
@@ -27,10 +27,9 @@
 
 func (f *oneHost) SetStoreAway(away bool) { f.away.Store(away) }
 
-func TestStoreThatIsSlowForAMomentChangesNoWatcher(t *testing.T) {
-	// The store misses one check of a host that watches it. Were the fleet told
-	// at once, all watchers would change with each slow second; told never, a
-	// host that is turned away would watch for its domain for good.
+func TestBriefStoreSlowdownKeepsWatchers(t *testing.T) {
+	// Guards against watchers replaced after one failed check, and against a
+	// rejected host that is never reported and watches for its domain forever.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		fleet := &oneHost{}
@@ -40,7 +39,7 @@
 			Host: "a", Fleet: fleet, Interval: time.Second, Timeout: 100 * time.Millisecond, Returned: func() { returned++ },
 			Check: func(ctx context.Context) error {
 				if fails.Load() {
-					<-ctx.Done() // silence
+					<-ctx.Done() // no answer
 					return errors.New("away")
 				}
 				return nil
@@ -62,9 +61,9 @@
 	})
 }
 
-func TestHostThatMayNotWatchYet(t *testing.T) {
-	// A host that starts sees nobody but itself and would watch the store until
-	// it has met the others.
+func TestInactiveHostDoesNotWatch(t *testing.T) {
+	// Guards against a starting host that watches the store until it has
+	// joined, because it is the only member in its view.
 	is := is.New(t)
 	fleet := &oneHost{}
 	active := false
--- a/domain/watchers.go
+++ b/domain/watchers.go
@@ -8,31 +8,33 @@
 )
 
 const (
-	// watchersPerDomain is how many hosts of each failure domain watch the
-	// platform's store: a domain that is cut off from the others goes on
-	// hearing of changes. A second one in each made twice the calls, and a
-	// watcher that the store turns away is replaced.
+	// watchersPerDomain is the number of hosts of each failure domain that
+	// watch the platform's store, so that a partitioned domain still receives
+	// changes. A second watcher would double the calls, and is not needed
+	// because a watcher that the store rejects is replaced.
 	watchersPerDomain = 1
-	// LeastWatchers is how many watch in a fleet of few domains, so that two
-	// hosts may die at once.
+	// LeastWatchers is the minimum number of watchers in a fleet of few
+	// domains, so that two hosts may die at once.
 	LeastWatchers = 3
-	// strongShare is the share of the strongest host's processor from which a
-	// host of the domain counts as strong.
+	// strongShare is the fraction of the capacity of the strongest host among
+	// those ranked from which a host counts as strong.
 	strongShare = 0.5
 
-	// watcherSeed keeps watchers and addresses from choosing the same hosts.
+	// watcherSeed makes the scores independent of those in Addresses, so that
+	// the two do not prefer the same hosts.
 	watcherSeed = 0x77617463
 )
 
-// Watchers chooses the hosts that watch the platform for the fleet: the best
-// live one of each failure domain, and the next best ones until there are
-// LeastWatchers. Two hosts with different views may choose differently; then a
-// few more or fewer watch, and the digests in probes carry changes to the rest.
+// Watchers returns the hosts that watch the platform for the fleet, ordered by
+// name: the first of each failure domain by RankForDuties, and the next ones
+// until there are LeastWatchers. Hosts with different views may choose
+// differently; then a few more or fewer hosts watch, and a digest mismatch in
+// probes still brings changes to all others.
 //
-// Failure: the store turns some hosts away and serves the others, and all
-// watchers of a domain may be among the former. One that says so is replaced
-// while another watcher is served; if none is the store is away, and they go
-// on trying.
+// Failure: the store rejects some hosts, possibly all watchers of a domain, and
+// serves the others. A watcher that reports this is replaced while the store
+// serves another watcher. If it serves none, the store is unavailable and the
+// watchers retry.
 func Watchers(members []peer.Member) []string {
 	standing := watchersAmong(members, func(peer.Member) bool { return true })
 	if slices.ContainsFunc(standing, served) && slices.ContainsFunc(standing, turnedAway) {
@@ -46,9 +48,8 @@
 	return watchers
 }
 
-// Watches reports whether host is to watch the platform. A host that is
-// suspected by nobody but cut off from all others finds itself among the
-// choice of its domain, since it sees no other live host.
+// Watches reports whether host is a watcher. A host that is partitioned from
+// all others is always one in its own view, since it lists no other live host.
 func Watches(members []peer.Member, host string) bool {
 	_, found := slices.BinarySearch(Watchers(members), host)
 	return found
@@ -58,7 +59,7 @@
 
 func turnedAway(m peer.Member) bool { return m.StoreUnreachable }
 
-// watchersAmong chooses among the members that are eligible.
+// watchersAmong chooses watchers from the eligible members.
 func watchersAmong(members []peer.Member, eligible func(peer.Member) bool) []peer.Member {
 	var watchers, next []peer.Member
 	for _, hosts := range byDomain(members) {
@@ -75,11 +76,11 @@
 	return watchers
 }
 
-// byDomain returns the hosts that are not known to be leaving or gone.
+// byDomain groups the alive and suspect hosts by failure domain.
 //
 // Failure: a domain has no live host in this view, for instance because this
-// host is cut off; suspects of such a domain are chosen, so that somebody
-// there watches whatever is true.
+// host is partitioned. Suspects are eligible too, so that such a domain still
+// has a watcher if its hosts are in fact alive.
 func byDomain(members []peer.Member) map[string][]peer.Member {
 	domains := make(map[string][]peer.Member)
 	for _, m := range members {
@@ -90,13 +91,13 @@
 	return domains
 }
 
-// RankForDuties orders hosts by who takes duties for others first: live ones
+// RankForDuties sorts hosts by preference for fleet-wide duties: live ones
 // before suspects, strong ones before weak ones, then by rendezvous score. A
-// change of one host moves the others' duties only if it was first.
+// change of one host reassigns a duty only if that host is or becomes the
+// first.
 //
-// The load it answers: hosts differ by a factor of four in processor. One of
-// the weakest that places the generations of 60 others has none left for its
-// own callers.
+// The CPU capacity of hosts differs by a factor of four. A weak host that
+// places the generations of 60 others has no capacity left for its own callers.
 func RankForDuties(hosts []peer.Member) {
 	strongest := 0
 	for _, m := range hosts {
@@ -112,7 +113,7 @@
 	}
 }
 
-// dutyRank is a host with what orders it.
+// dutyRank is a host with its sort keys.
 type dutyRank struct {
 	peer.Member
 	weak  bool
--- a/domain/watchers_test.go
+++ b/domain/watchers_test.go
@@ -19,9 +19,9 @@
 
 func away(m *peer.Member) { m.StoreUnreachable = true }
 
-func TestTurnedAwayWatcherIsReplaced(t *testing.T) {
-	// The store turns a third of the hosts away, a domain's watcher among them.
-	// Its domain heard of no change for nine seconds.
+func TestRejectedWatcherIsReplaced(t *testing.T) {
+	// Guards against a domain without changes for nine seconds, because the
+	// store rejects a third of the hosts including the watcher of the domain.
 	is := is.New(t)
 	members := fleet(5, 20)
 	before := Watchers(members)
@@ -36,21 +36,21 @@
 	for _, host := range before {
 		mark(members, host, away)
 	}
-	is.Equal(Watchers(members), before) // the store is away for all: others need not try too
+	is.Equal(Watchers(members), before) // the store fails for all watchers: no others are chosen
 }
 
 func TestFewDomainsHaveThreeWatchers(t *testing.T) {
-	// Two hosts may die at once, and a fleet of one or two domains must not
-	// lose all that watch.
+	// Guards against the loss of all watchers of a fleet of one or two domains
+	// when two hosts die at once.
 	is := is.New(t)
 	is.Equal(len(Watchers(fleet(1, 7))), LeastWatchers)
 	is.Equal(len(Watchers(fleet(2, 5))), LeastWatchers)
 	is.Equal(len(Watchers(fleet(1, 2))), 2)
 }
 
-func TestStrongHostsTakeDuties(t *testing.T) {
-	// Hosts of a fifth of a core watched and decided for 60 others, beside
-	// three of nearly a whole one.
+func TestStrongHostsGetDuties(t *testing.T) {
+	// Guards against duties for 60 hosts assigned to hosts with a fifth of a
+	// core while three others have nearly a whole one.
 	is := is.New(t)
 	members := fleet(2, 20)
 	for i := range members {
