--- a/link/network.go
+++ b/link/network.go
@@ -1,4 +1,4 @@
-// Package link opens and watches connections between machines.
+// Package link opens, pools and monitors network connections between machines.
 package link
 
 import (
@@ -9,17 +9,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Network opens connections and listeners. TCP is the real one; tests use an
-// in-memory network that can cut, silence and delay links.
+// Network opens connections and listeners. TCP is the production
+// implementation; tests use an in-memory network that can cut, silence and
+// delay links.
 type Network interface {
 	// Dial connects to address, an IP:port.
 	Dial(ctx context.Context, address string) (net.Conn, error)
-	// Listen accepts connections at address, an IP:port; port 0 picks a free one.
+	// Listen accepts connections at address, an IP:port; port 0 picks a free
+	// one.
 	Listen(address string) (net.Listener, error)
 }
 
-// Refused reports whether a dial found that nothing listens there. A connection
-// that it made is closed.
+// Refused reports whether the result of a dial means that nothing listens at
+// the address. It closes conn if the dial succeeded.
 func Refused(conn net.Conn, err error) bool {
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
@@ -28,7 +30,7 @@
 	return false
 }
 
-// TCP is the Network of the operating system.
+// TCP is the Network of the operating system's TCP stack.
 type TCP struct {
 	Dialer net.Dialer
 	Config net.ListenConfig
--- a/link/pool.go
+++ b/link/pool.go
@@ -11,50 +11,50 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Endpoint is what a connection leads to.
+// Endpoint identifies the remote process of a connection.
 type Endpoint struct {
 	Address string // IP:port
-	// Life tells processes apart that follow each other at the address; zero:
-	// not known.
+	// Life distinguishes successive processes (incarnations) at the address;
+	// zero: unknown.
 	Life int64
 }
 
-// Conn is a connection for exchanges one after another.
+// Conn is a connection for sequential exchanges of request and response.
 type Conn struct {
 	net.Conn
 	Reader  *bufio.Reader
 	to      Endpoint
 	written int64
-	until   time.Time     // it is not used after it
+	until   time.Time     // not reused after this time
 	watched chan struct{} // closed when the watch of the idle connection has ended
-	silent  bool          // the watch saw neither bytes nor an end; read after watched is closed
+	silent  bool          // the watch received neither bytes nor an end; read only after watched is closed
 }
 
-// Written returns how many bytes of the present exchange the link took. Zero
-// is the proof that the other end cannot have run anything.
+// Written returns how many bytes of the current exchange were written to the
+// connection. Zero proves that the remote end has not run anything.
 func (c *Conn) Written() int64 { return c.written }
 
-// Write counts what was taken.
+// Write writes to the connection and counts the bytes written.
 func (c *Conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.written += int64(n)
 	return n, err
 }
 
-// Pool keeps connections whose last exchange ended whole.
+// Pool keeps idle connections whose last exchange was complete.
 //
-// Failure: an idle connection gets an end, or a second answer to the exchange
-// before, while nobody reads it. The next exchange would fail, or take that
-// answer for its own. Idle connections are therefore read all the time, and
-// closed at the first byte or end.
+// Failure: the remote end closes an idle connection, or sends a second response
+// to the previous exchange, while it is not read. The next exchange would fail,
+// or use that response as its own. Idle connections are therefore read
+// continuously, and closed at the first byte or end.
 type Pool struct {
-	// Broke is called when the other end of an idle connection has closed or
-	// broken it before its time; nil: nobody is told. It must not block.
+	// Broke is called when the remote end closes or resets an idle connection
+	// before its idle time ends; nil: not reported. It must not block.
 	Broke func(to Endpoint)
 
 	network Network
-	timeout time.Duration // of opening a connection
-	most    int           // idle ones kept for an endpoint
+	timeout time.Duration // for opening a connection
+	most    int           // maximum number of idle connections for an endpoint
 
 	mu   sync.Mutex // guards idle
 	idle map[Endpoint][]*Conn
@@ -65,7 +65,8 @@
 	return &Pool{network: network, timeout: timeout, most: most, idle: map[Endpoint][]*Conn{}}
 }
 
-// Take returns an idle connection that was usable a moment ago, or nil.
+// Take removes and returns an idle connection on which neither bytes nor an end
+// have arrived, or nil if there is none.
 func (p *Pool) Take(to Endpoint) *Conn {
 	for {
 		conn := p.pop(to)
@@ -95,12 +96,12 @@
 	return last
 }
 
-// reuse ends the watch and reports whether the connection is sound.
+// reuse ends the watch and reports whether the connection is still usable.
 func (c *Conn) reuse() bool {
 	if time.Now().After(c.until) {
 		return false
 	}
-	_ = c.SetReadDeadline(time.Unix(1, 0)) // an error shows in the watch
+	_ = c.SetReadDeadline(time.Unix(1, 0)) // ends the watch, which also sees any error
 	<-c.watched
 	if !c.silent {
 		return false
@@ -109,7 +110,7 @@
 	return c.SetReadDeadline(time.Time{}) == nil
 }
 
-// Dial opens a connection.
+// Dial opens a new connection.
 func (p *Pool) Dial(ctx context.Context, to Endpoint) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
@@ -120,7 +121,8 @@
 	return &Conn{Conn: conn, Reader: bufio.NewReader(conn), to: to}, nil
 }
 
-// Put keeps a connection for up to idleFor, if there is room.
+// Put adds a connection to the pool for up to idleFor. It closes the connection
+// if the pool is full for its endpoint or unread bytes are left.
 func (p *Pool) Put(conn *Conn, idleFor time.Duration) {
 	if conn.Reader.Buffered() > 0 || conn.SetDeadline(time.Time{}) != nil {
 		conn.Close()
@@ -139,7 +141,7 @@
 	go p.watch(conn, idleFor)
 }
 
-// watch reads an idle connection until it is taken again.
+// watch reads an idle connection until it is reused, expires or breaks.
 func (p *Pool) watch(conn *Conn, idleFor time.Duration) {
 	expired := time.AfterFunc(idleFor, func() { p.remove(conn) })
 	defer expired.Stop()
--- a/link/quick.go
+++ b/link/quick.go
@@ -5,16 +5,15 @@
 	"time"
 )
 
-// openTimeout bounds opening a connection; round trips are below 10 ms.
+// openTimeout is the timeout of a dial; round trips take less than 10 ms.
 //
-// Failure: the opening packet is lost, as the other end is just starting. The
-// kernel sends it again after a second, and a host that starts with the others
-// after a loss of power was without configuration for that long.
+// Failure: the SYN packet is lost because the remote end is just starting. The
+// kernel retransmits it after a second, so that a host that starts with the
+// others after a power failure has no configuration for that long.
 const openTimeout = 300 * time.Millisecond
 
-// Quick returns the Network of the operating system with connections that
-// break after silence from the other end, whether data waits for an
-// acknowledgement or not.
+// Quick returns a TCP network whose connections break when the remote end has
+// been silent for the given time, with or without unacknowledged data.
 func Quick(silence time.Duration) TCP {
 	const probes = 3
 	keepAlive := net.KeepAliveConfig{Enable: true, Idle: silence / probes, Interval: max(time.Second, silence/probes), Count: probes - 1}
--- a/link/tcp_linux.go
+++ b/link/tcp_linux.go
@@ -7,11 +7,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// boundSilence makes the kernel give up a connection whose other end has not
-// acknowledged anything for a time.
+// boundSilence sets TCP_USER_TIMEOUT, so that the kernel breaks a connection
+// whose remote end has not acknowledged data for the given time.
 //
-// Failure: a machine without power, or behind a cut, answers nothing. A
-// connection to it hangs for a quarter of an hour, and what waits on it too.
+// Failure: a machine has lost power or is partitioned. Without the option a
+// connection to it hangs for a quarter of an hour, with everything that waits
+// for it.
 func boundSilence(silence time.Duration) func(network, address string, conn syscall.RawConn) error {
 	return func(_, _ string, conn syscall.RawConn) error {
 		var option error
