--- a/domain/addresses.go
+++ b/domain/addresses.go
@@ -19,14 +19,14 @@
 	// domain, if there are any alive, so that the caller survives the loss of
 	// its domain.
 	otherDomains = 2
-	// KeepHealthy is how long a caller may cache an answer while no host is
+	// HealthyTTL is how long a caller may cache an answer while no host is
 	// suspect or leaving.
-	KeepHealthy = 30 * time.Second
-	// KeepUnsettled is the same while some host is suspect or leaving.
-	KeepUnsettled = 10 * time.Second
-	// KeepLost is the same while some host is suspect or leaving and no host
+	HealthyTTL = 30 * time.Second
+	// UnsettledTTL is the same while some host is suspect or leaving.
+	UnsettledTTL = 10 * time.Second
+	// IsolatedTTL is the same while some host is suspect or leaving and no host
 	// but the answering one is alive.
-	KeepLost = 5 * time.Second
+	IsolatedTTL = 5 * time.Second
 )
 
 // Address is an entry host that a caller may use.
@@ -132,11 +132,11 @@
 	}
 	switch {
 	case !reachable && unsettled:
-		return KeepLost
+		return IsolatedTTL
 	case unsettled:
-		return KeepUnsettled
+		return UnsettledTTL
 	}
-	return KeepHealthy
+	return HealthyTTL
 }
 
 // score returns a host's rendezvous score for a seed.
--- a/domain/distance.go
+++ b/domain/distance.go
@@ -12,9 +12,9 @@
 	// DefaultDistance is assumed between two domains without a setting or a
 	// round-trip sample.
 	DefaultDistance = 10 * time.Millisecond
-	// learnShare is the divisor of the moving average: one sample has the
-	// weight 1/learnShare.
-	learnShare = 8
+	// sampleDivisor is the divisor of the moving average: one sample has the
+	// weight 1/sampleDivisor.
+	sampleDivisor = 8
 )
 
 // Pair is a pair of failure domains.
@@ -58,7 +58,7 @@
 		d.learned[pair] = roundTrip / 2
 		return
 	}
-	d.learned[pair] = known + (roundTrip/2-known)/learnShare
+	d.learned[pair] = known + (roundTrip/2-known)/sampleDivisor
 }
 
 // Between returns the one-way delay between two domains. It is zero within a
--- a/domain/domain_test.go
+++ b/domain/domain_test.go
@@ -72,8 +72,8 @@
 	is.Equal(len(answer), 2)
 	is.Equal(answer[0].Host, "b1")
 	is.Equal(answer[1].Host, "a1")
-	is.Equal(Keep(members, "b1"), KeepLost)
-	is.Equal(Keep(members, "a1"), KeepUnsettled)
+	is.Equal(Keep(members, "b1"), IsolatedTTL)
+	is.Equal(Keep(members, "a1"), UnsettledTTL)
 }
 
 // Guards against an answer without addresses from a host that is partitioned
@@ -138,5 +138,5 @@
 		members[i+1].State = peer.StateSuspect
 	}
 	is.True(Watches(members, members[0].Host))
-	is.Equal(len(Watchers(members)), LeastWatchers)
+	is.Equal(len(Watchers(members)), MinWatchers)
 }
--- a/domain/near.go
+++ b/domain/near.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// MostSpread is the maximum number of hosts in an answer from which callers
-	// choose at random.
-	MostSpread = 64
-	// leastSpread is the minimum number of live hosts in the caller's domain
+	// MaxUnorderedHosts is the maximum number of hosts in an answer from which
+	// callers choose at random.
+	MaxUnorderedHosts = 64
+	// minDomainHosts is the minimum number of live hosts in the caller's domain
 	// for an answer of that domain only: with one host, its death would leave
 	// callers without an address.
-	leastSpread = 2
+	minDomainHosts = 2
 )
 
 // Spread returns the entry hosts from which callers of a failure domain choose
@@ -24,17 +24,17 @@
 // others: during a rolling restart of all hosts they serve short requests until
 // they end.
 func Spread(members []peer.Member, callerDomain string) []peer.Member {
-	near := inState(members, peer.StateAlive, callerDomain)
-	if len(near) < leastSpread {
-		near = inState(members, peer.StateAlive, "")
+	hosts := inState(members, peer.StateAlive, callerDomain)
+	if len(hosts) < minDomainHosts {
+		hosts = inState(members, peer.StateAlive, "")
 	}
-	if len(near) == 0 {
-		near = inState(members, peer.StateSuspect, "")
+	if len(hosts) == 0 {
+		hosts = inState(members, peer.StateSuspect, "")
 	}
-	if len(near) == 0 {
-		near = inState(members, peer.StateLeaving, "")
+	if len(hosts) == 0 {
+		hosts = inState(members, peer.StateLeaving, "")
 	}
-	return near[:min(len(near), MostSpread)]
+	return hosts[:min(len(hosts), MaxUnorderedHosts)]
 }
 
 // inState returns the members with a caller address in a state and a failure
--- a/domain/watchduty.go
+++ b/domain/watchduty.go
@@ -9,10 +9,10 @@
 	"github.com/papayasail/papayasail/peer"
 )
 
-// awayAfter is the number of consecutive failed checks after which the fleet is
-// notified, so that a short slowdown of the store does not replace all
-// watchers.
-const awayAfter = 2
+// failedChecksBeforeReport is the number of consecutive failed checks after
+// which the fleet is notified, so that a short slowdown of the store does not
+// replace all watchers.
+const failedChecksBeforeReport = 2
 
 // Fleet is the membership as needed by WatchDuty. *peer.Node implements it.
 type Fleet interface {
@@ -37,14 +37,14 @@
 	// Interval is the time between checks, Timeout that of one check.
 	Interval, Timeout time.Duration
 
-	known atomic.Pointer[watching]
+	cached atomic.Pointer[watchDecision]
 }
 
-// watching is a cached decision whether this host watches the store, for one
-// generation of the membership.
-type watching struct {
+// watchDecision is a cached decision whether this host watches the store, for
+// one generation of the membership.
+type watchDecision struct {
 	generation uint64
-	is         bool
+	watches    bool
 }
 
 // Watches reports whether this host currently watches the store. Other hosts
@@ -54,12 +54,12 @@
 		return false
 	}
 	generation := d.Fleet.Generation()
-	if known := d.known.Load(); known != nil && known.generation == generation {
-		return known.is
+	if known := d.cached.Load(); known != nil && known.generation == generation {
+		return known.watches
 	}
-	next := &watching{generation, Watches(d.Fleet.Members(), d.Host)}
-	d.known.Store(next)
-	return next.is
+	decision := &watchDecision{generation, Watches(d.Fleet.Members(), d.Host)}
+	d.cached.Store(decision)
+	return decision.watches
 }
 
 // Run checks the store while this host watches it, until ctx ends.
@@ -69,9 +69,10 @@
 // misses servers that were replaced. After a failed check Returned must
 // therefore start a new list of all objects.
 //
-// Failure: the store rejects this host and serves others. After awayAfter
-// consecutive failed checks the fleet is notified, so that another host watches
-// instead, and this one continues to check until the store answers.
+// Failure: the store rejects this host and serves others. After
+// failedChecksBeforeReport consecutive failed checks the fleet is notified, so
+// that another host watches instead, and this one continues to check until the
+// store answers.
 func (d *WatchDuty) Run(ctx context.Context) error {
 	failed := 0
 	for sleep.For(ctx, d.Interval) == nil {
@@ -81,7 +82,7 @@
 		} else {
 			failed = 0
 		}
-		d.Fleet.SetStoreAway(failed >= awayAfter)
+		d.Fleet.SetStoreAway(failed >= failedChecksBeforeReport)
 		if before > 0 && failed == 0 {
 			d.Returned()
 		}
--- a/domain/watchduty_test.go
+++ b/domain/watchduty_test.go
@@ -15,8 +15,8 @@
 
 // oneHost is a fleet of one host.
 type oneHost struct {
-	generation atomic.Uint64
-	away       atomic.Bool
+	generation       atomic.Uint64
+	storeUnreachable atomic.Bool
 }
 
 func (f *oneHost) Members() []peer.Member {
@@ -25,7 +25,7 @@
 
 func (f *oneHost) Generation() uint64 { return f.generation.Load() }
 
-func (f *oneHost) SetStoreAway(away bool) { f.away.Store(away) }
+func (f *oneHost) SetStoreAway(unreachable bool) { f.storeUnreachable.Store(unreachable) }
 
 func TestBriefStoreSlowdownKeepsWatchers(t *testing.T) {
 	// Guards against watchers replaced after one failed check, and against a
@@ -49,12 +49,12 @@
 		go func() { _ = duty.Run(ctx) }()
 		fails.Store(true)
 		time.Sleep(1500 * time.Millisecond)
-		is.True(!fleet.away.Load())
+		is.True(!fleet.storeUnreachable.Load())
 		time.Sleep(time.Second)
-		is.True(fleet.away.Load())
+		is.True(fleet.storeUnreachable.Load())
 		fails.Store(false)
 		time.Sleep(1500 * time.Millisecond)
-		is.True(!fleet.away.Load())
+		is.True(!fleet.storeUnreachable.Load())
 		is.Equal(returned, 1)
 		stop()
 		synctest.Wait()
--- a/domain/watchers.go
+++ b/domain/watchers.go
@@ -13,9 +13,9 @@
 	// changes. A second watcher would double the calls, and is not needed
 	// because a watcher that the store rejects is replaced.
 	watchersPerDomain = 1
-	// LeastWatchers is the minimum number of watchers in a fleet of few
+	// MinWatchers is the minimum number of watchers in a fleet of few
 	// domains, so that two hosts may die at once.
-	LeastWatchers = 3
+	MinWatchers = 3
 	// strongShare is the fraction of the capacity of the strongest host among
 	// those ranked from which a host counts as strong.
 	strongShare = 0.5
@@ -27,7 +27,7 @@
 
 // Watchers returns the hosts that watch the platform for the fleet, ordered by
 // name: the first of each failure domain by RankForDuties, and the next ones
-// until there are LeastWatchers. Hosts with different views may choose
+// until there are MinWatchers. Hosts with different views may choose
 // differently; then a few more or fewer hosts watch, and a digest mismatch in
 // probes still brings changes to all others.
 //
@@ -36,12 +36,12 @@
 // serves another watcher. If it serves none, the store is unavailable and the
 // watchers retry.
 func Watchers(members []peer.Member) []string {
-	standing := watchersAmong(members, func(peer.Member) bool { return true })
-	if slices.ContainsFunc(standing, served) && slices.ContainsFunc(standing, turnedAway) {
-		standing = watchersAmong(members, served)
+	chosen := watchersAmong(members, func(peer.Member) bool { return true })
+	if slices.ContainsFunc(chosen, storeReachable) && slices.ContainsFunc(chosen, storeUnreachable) {
+		chosen = watchersAmong(members, storeReachable)
 	}
-	watchers := make([]string, 0, len(standing))
-	for _, m := range standing {
+	watchers := make([]string, 0, len(chosen))
+	for _, m := range chosen {
 		watchers = append(watchers, m.Host)
 	}
 	slices.Sort(watchers)
@@ -49,15 +49,15 @@
 }
 
 // Watches reports whether host is a watcher. A host that is partitioned from
-// all others is always one in its own view, since it lists no other live host.
+// all others chooses itself for its domain, since it lists no other live host.
 func Watches(members []peer.Member, host string) bool {
 	_, found := slices.BinarySearch(Watchers(members), host)
 	return found
 }
 
-func served(m peer.Member) bool { return !m.StoreUnreachable }
+func storeReachable(m peer.Member) bool { return !m.StoreUnreachable }
 
-func turnedAway(m peer.Member) bool { return m.StoreUnreachable }
+func storeUnreachable(m peer.Member) bool { return m.StoreUnreachable }
 
 // watchersAmong chooses watchers from the eligible members.
 func watchersAmong(members []peer.Member, eligible func(peer.Member) bool) []peer.Member {
@@ -69,7 +69,7 @@
 		watchers = append(watchers, hosts[:split]...)
 		next = append(next, hosts[split:]...)
 	}
-	if lacking := LeastWatchers - len(watchers); lacking > 0 {
+	if lacking := MinWatchers - len(watchers); lacking > 0 {
 		RankForDuties(next)
 		watchers = append(watchers, next[:min(lacking, len(next))]...)
 	}
--- a/domain/watchers_test.go
+++ b/domain/watchers_test.go
@@ -9,7 +9,7 @@
 	"github.com/papayasail/papayasail/peer"
 )
 
-func mark(members []peer.Member, host string, change func(*peer.Member)) {
+func modify(members []peer.Member, host string, change func(*peer.Member)) {
 	for i := range members {
 		if members[i].Host == host {
 			change(&members[i])
@@ -17,7 +17,7 @@
 	}
 }
 
-func away(m *peer.Member) { m.StoreUnreachable = true }
+func setStoreUnreachable(m *peer.Member) { m.StoreUnreachable = true }
 
 func TestRejectedWatcherIsReplaced(t *testing.T) {
 	// Guards against a domain without changes for nine seconds, because the
@@ -26,7 +26,7 @@
 	members := fleet(5, 20)
 	before := Watchers(members)
 	is.Equal(len(before), 5)
-	mark(members, before[0], away)
+	modify(members, before[0], setStoreUnreachable)
 	after := Watchers(members)
 	is.Equal(len(after), 5)
 	is.True(!slices.Contains(after, before[0]))
@@ -34,7 +34,7 @@
 		is.True(slices.Contains(after, host))
 	}
 	for _, host := range before {
-		mark(members, host, away)
+		modify(members, host, setStoreUnreachable)
 	}
 	is.Equal(Watchers(members), before) // the store fails for all watchers: no others are chosen
 }
@@ -43,8 +43,8 @@
 	// Guards against the loss of all watchers of a fleet of one or two domains
 	// when two hosts die at once.
 	is := is.New(t)
-	is.Equal(len(Watchers(fleet(1, 7))), LeastWatchers)
-	is.Equal(len(Watchers(fleet(2, 5))), LeastWatchers)
+	is.Equal(len(Watchers(fleet(1, 7))), MinWatchers)
+	is.Equal(len(Watchers(fleet(2, 5))), MinWatchers)
 	is.Equal(len(Watchers(fleet(1, 2))), 2)
 }
 
@@ -57,9 +57,9 @@
 		members[i].Capacity = 192
 	}
 	for _, host := range []string{"d0-h3", "d0-h4", "d1-h5"} {
-		mark(members, host, func(m *peer.Member) { m.Capacity = 800 })
+		modify(members, host, func(m *peer.Member) { m.Capacity = 800 })
 	}
 	is.Equal(Watchers(members), []string{"d0-h3", "d0-h4", "d1-h5"})
-	mark(members, "d1-h5", func(m *peer.Member) { m.State = peer.StateSuspect })
+	modify(members, "d1-h5", func(m *peer.Member) { m.State = peer.StateSuspect })
 	is.True(!slices.Contains(Watchers(members), "d1-h5"))
 }
