--- a/link/pool.go
+++ b/link/pool.go
@@ -22,12 +22,12 @@
 // Conn is a connection for sequential exchanges of request and response.
 type Conn struct {
 	net.Conn
-	Reader  *bufio.Reader
-	to      Endpoint
-	written int64
-	until   time.Time     // not reused after this time
-	watched chan struct{} // closed when the watch of the idle connection has ended
-	silent  bool          // the watch received neither bytes nor an end; read only after watched is closed
+	Reader        *bufio.Reader
+	to            Endpoint
+	written       int64
+	reuseDeadline time.Time     // not reused after this time
+	watchDone     chan struct{} // closed when the watch of the idle connection has ended
+	silent        bool          // the watch received neither bytes nor an end; read only after watchDone is closed
 }
 
 // Written returns how many bytes of the current exchange were written to the
@@ -52,17 +52,17 @@
 	// before its idle time ends; nil: not reported. It must not block.
 	Broke func(to Endpoint)
 
-	network Network
-	timeout time.Duration // for opening a connection
-	most    int           // maximum number of idle connections for an endpoint
+	network     Network
+	dialTimeout time.Duration // for opening a connection
+	maxIdle     int           // maximum number of idle connections for an endpoint
 
 	mu   sync.Mutex // guards idle
 	idle map[Endpoint][]*Conn
 }
 
 // NewPool returns an empty pool.
-func NewPool(network Network, timeout time.Duration, most int) *Pool {
-	return &Pool{network: network, timeout: timeout, most: most, idle: map[Endpoint][]*Conn{}}
+func NewPool(network Network, dialTimeout time.Duration, maxIdle int) *Pool {
+	return &Pool{network: network, dialTimeout: dialTimeout, maxIdle: maxIdle, idle: map[Endpoint][]*Conn{}}
 }
 
 // Take removes and returns an idle connection on which neither bytes nor an end
@@ -98,11 +98,11 @@
 
 // reuse ends the watch and reports whether the connection is still usable.
 func (c *Conn) reuse() bool {
-	if time.Now().After(c.until) {
+	if time.Now().After(c.reuseDeadline) {
 		return false
 	}
 	_ = c.SetReadDeadline(time.Unix(1, 0)) // ends the watch, which also sees any error
-	<-c.watched
+	<-c.watchDone
 	if !c.silent {
 		return false
 	}
@@ -112,7 +112,7 @@
 
 // Dial opens a new connection.
 func (p *Pool) Dial(ctx context.Context, to Endpoint) (*Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, p.timeout)
+	ctx, cancel := context.WithTimeout(ctx, p.dialTimeout)
 	defer cancel()
 	conn, err := p.network.Dial(ctx, to.Address)
 	if err != nil {
@@ -128,10 +128,10 @@
 		conn.Close()
 		return
 	}
-	conn.until = time.Now().Add(idleFor)
-	conn.watched, conn.silent = make(chan struct{}), false
+	conn.reuseDeadline = time.Now().Add(idleFor)
+	conn.watchDone, conn.silent = make(chan struct{}), false
 	p.mu.Lock()
-	if len(p.idle[conn.to]) >= p.most {
+	if len(p.idle[conn.to]) >= p.maxIdle {
 		p.mu.Unlock()
 		conn.Close()
 		return
@@ -146,9 +146,9 @@
 	expired := time.AfterFunc(idleFor, func() { p.remove(conn) })
 	defer expired.Stop()
 	_, err := conn.Reader.Peek(1)
-	silent, watched := errors.Is(err, os.ErrDeadlineExceeded), conn.watched
+	silent, watchDone := errors.Is(err, os.ErrDeadlineExceeded), conn.watchDone
 	conn.silent = silent
-	close(watched) // from here on the connection may be in use again
+	close(watchDone) // from here on the connection may be in use again
 	if silent {
 		return
 	}
--- a/link/quick.go
+++ b/link/quick.go
@@ -18,7 +18,7 @@
 	const probes = 3
 	keepAlive := net.KeepAliveConfig{Enable: true, Idle: silence / probes, Interval: max(time.Second, silence/probes), Count: probes - 1}
 	return TCP{
-		Dialer: net.Dialer{Timeout: openTimeout, KeepAliveConfig: keepAlive, Control: boundSilence(silence)},
-		Config: net.ListenConfig{KeepAliveConfig: keepAlive, Control: boundSilence(silence)},
+		Dialer: net.Dialer{Timeout: openTimeout, KeepAliveConfig: keepAlive, Control: setUserTimeout(silence)},
+		Config: net.ListenConfig{KeepAliveConfig: keepAlive, Control: setUserTimeout(silence)},
 	}
 }
