--- a/peer/probe.go
+++ b/peer/probe.go
@@ -272,9 +272,9 @@
 // helpers returns up to IndirectProbes hosts for an indirect probe of target.
 // Hosts with a recent direct exchange come first.
 //
-// Failure: most of the fleet is cut off. Helpers chosen from all of it would be
-// cut off too and not answer, so that suspicions are confirmed late and callers
-// receive addresses beyond the partition for longer.
+// Failure: this host is partitioned from most of the fleet. Helpers chosen from
+// all of it would be unreachable too, so that suspicions are confirmed late and
+// callers receive addresses beyond the partition for longer.
 func (n *Node) helpers(target Member) []Member {
 	recent, others := n.table.reachable(time.Now().Add(-helperExchangeIntervals * n.options.ProbeInterval))
 	isTarget := func(m Member) bool { return m.Host == target.Host }
