--- a/peer/leaving.go
+++ b/peer/leaving.go
@@ -10,34 +10,36 @@
 )
 
 const (
-	// leavingNewsLimit bounds the backend servers named in one message.
-	leavingNewsLimit = 8
-	// leavingRetransmits is how often one host passes such news on.
+	// leavingPerMessage is the maximum number of backend servers in one
+	// message.
+	leavingPerMessage = 8
+	// leavingRetransmits is how many times a host gossips one server.
 	leavingRetransmits = 12
-	// maxLeaving bounds how far ahead a server can be marked, so that a host
-	// with a wrong clock cannot take a server out for good.
+	// maxLeaving is how far in the future a mark may end, so that a host with a
+	// wrong clock cannot remove a server permanently.
 	maxLeaving = 24 * time.Hour
 )
 
-// LeavingServer is a backend server that takes no new work until a time.
+// LeavingServer is a backend server that accepts no new work until a time.
 type LeavingServer struct {
 	Server string // IP:port
 	Until  time.Time
 }
 
 type leavingEntry struct {
-	until  time.Time
-	passOn int
+	until           time.Time
+	retransmitsLeft int // remaining retransmissions
 }
 
-// leavingTable holds the backend servers that are leaving. A later end wins,
-// so leaving wins over staying whatever the order of the news.
+// leavingTable holds the backend servers that are leaving. The latest end time
+// wins, so that the result does not depend on the order of updates.
 type leavingTable struct {
 	mu      sync.Mutex // guards entries
 	entries map[string]*leavingEntry
 }
 
-// mark notes servers and reports whether any was news.
+// mark records servers and reports whether any of them was new or had a later
+// end time.
 func (t *leavingTable) mark(servers []LeavingServer, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -51,13 +53,14 @@
 		if s.Server == "" || !until.After(now) || ok && !until.After(known.until) {
 			continue
 		}
-		t.entries[s.Server] = &leavingEntry{until: until, passOn: leavingRetransmits}
+		t.entries[s.Server] = &leavingEntry{until: until, retransmitsLeft: leavingRetransmits}
 		changed = true
 	}
 	return changed
 }
 
-// expire forgets servers whose time has run out.
+// expire deletes servers whose end time has passed, and reports whether there
+// were any.
 func (t *leavingTable) expire(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,7 +73,7 @@
 	return len(t.entries) != before
 }
 
-// list returns the servers that are leaving now, ordered by name.
+// list returns the servers that are leaving now, ordered by address.
 func (t *leavingTable) list(now time.Time) []LeavingServer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,18 +87,18 @@
 	return servers
 }
 
-// news picks servers that still need passing on.
-func (t *leavingTable) news() []*peerpb.LeavingServer {
+// pickUpdates selects servers with remaining retransmissions.
+func (t *leavingTable) pickUpdates() []*peerpb.LeavingServer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var news []*peerpb.LeavingServer
+	var updates []*peerpb.LeavingServer
 	for server, e := range t.entries {
-		if e.passOn > 0 && len(news) < leavingNewsLimit {
-			e.passOn--
-			news = append(news, LeavingServer{server, e.until}.toProto())
+		if e.retransmitsLeft > 0 && len(updates) < leavingPerMessage {
+			e.retransmitsLeft--
+			updates = append(updates, LeavingServer{server, e.until}.toProto())
 		}
 	}
-	return news
+	return updates
 }
 
 func (s LeavingServer) toProto() *peerpb.LeavingServer {
--- a/peer/table.go
+++ b/peer/table.go
@@ -12,49 +12,51 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// newsLimit bounds the member records in one message.
-const newsLimit = 6
+// updatesPerMessage is the maximum number of gossiped member records in one
+// message.
+const updatesPerMessage = 6
 
 const (
-	// minRetransmits plus the logarithm of the number of members is how often
-	// one record is passed on.
+	// minRetransmits plus the binary logarithm of the number of members is how
+	// many times a host gossips one record.
 	minRetransmits = 4
-	// heardAgain is by how much that falls each time the record comes from
-	// somebody else: then others know it already.
-	heardAgain = 1
+	// duplicateDecrement is subtracted from the remaining retransmissions each
+	// time the record arrives from another host, since others then have it
+	// already.
+	duplicateDecrement = 1
 )
 
-// entry is one member with what only this host knows of it.
+// entry is one member with the local state of this host's failure detector.
 type entry struct {
 	Member
-	since time.Time // when the state was entered here
-	// unconfirmed marks a suspicion that no other host shares. It is neither
-	// passed on nor does it run out.
-	unconfirmed bool
-	before      State // state before an unconfirmed suspicion
-	heardAt     time.Time
-	passOn      int // how often the record is still to be passed on
+	stateSince time.Time // when this host recorded the current state
+	// unconfirmed marks a suspicion that no other host shares. It is not
+	// gossiped and does not expire.
+	unconfirmed     bool
+	stateBefore     State     // state before an unconfirmed suspicion
+	lastExchange    time.Time // last direct exchange
+	retransmitsLeft int       // remaining retransmissions of the record
 }
 
-// table holds the membership. Its methods are safe for concurrent use.
+// table is the membership table. Its methods are safe for concurrent use.
 type table struct {
 	mu sync.Mutex // guards all below; no other lock is taken while it is held
 
-	witness    time.Duration // see witnessed; set before use
-	self       Member
-	entries    map[string]*entry // without self
-	selfPassOn int
-	superseded uint64 // higher incarnation of our own name, zero for none
-	generation uint64 // rises with every change of a member but its configuration version
-	digest     uint64 // of the hosts that are not gone
+	exchangeWindow      time.Duration // see refutedByExchange; set before use
+	self                Member
+	entries             map[string]*entry // by host, without self
+	selfRetransmitsLeft int
+	superseded          uint64 // higher incarnation seen under this host's name; zero: none
+	generation          uint64 // increases with every change of a member except its configuration version
+	digest              uint64 // of the hosts that are not gone
 }
 
-// merged says what news changed.
-type merged struct {
-	changed bool
-	urgent  bool // worth passing on before the next probe
-	moved   []transition
-	doubted []Member // held for suspect or gone here while others hold them for alive
+// mergeResult is the result of merging member records.
+type mergeResult struct {
+	changed     bool
+	urgent      bool // to be gossiped before the next probe
+	transitions []transition
+	disputed    []Member // suspect or gone here, but alive or leaving in the received record
 }
 
 // transition is a change of a member's state, for logs and counters.
@@ -69,13 +71,13 @@
 	return t
 }
 
-// merge takes in news of members. Only newer news counts: by incarnation,
-// sequence, then state.
-func (t *table) merge(news []Member, now time.Time) merged {
+// merge merges member records into the table. Records are ordered by
+// incarnation, sequence, then state; older ones are ignored.
+func (t *table) merge(records []Member, now time.Time) mergeResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var result merged
-	for _, m := range news {
+	var result mergeResult
+	for _, m := range records {
 		if !m.valid() {
 			continue
 		}
@@ -88,13 +90,14 @@
 	return result
 }
 
-// mergeSelf refutes bad news about this host.
+// mergeSelf merges a record of this host and refutes it if it overrides the
+// host's own.
 //
-// Failure: a host that was frozen or cut off comes back and is held for
-// suspect or gone; callers are kept away and its records count as lost. It
-// shows as news about ourselves with our incarnation and our sequence or a
-// higher one. The next sequence overrides that news everywhere, and only this
-// host may raise it.
+// Failure: after a freeze or a network partition other hosts list this one as
+// suspect or gone, so that callers avoid it and its records count as lost. The
+// received record then has this incarnation and the current sequence or a
+// higher one. The next sequence overrides it on all hosts; only this host
+// raises its sequence.
 func (t *table) mergeSelf(m Member) bool {
 	if m.Incarnation > t.self.Incarnation {
 		t.superseded = max(t.superseded, m.Incarnation)
@@ -109,19 +112,19 @@
 }
 
 func (t *table) announceSelf() {
-	t.selfPassOn = t.retransmits()
+	t.selfRetransmitsLeft = t.retransmits()
 	t.generation++
 }
 
-func (t *table) mergeOther(m Member, now time.Time, result *merged) {
+func (t *table) mergeOther(m Member, now time.Time, result *mergeResult) {
 	known, ok := t.entries[m.Host]
 	if ok && !m.overrides(known.Member) {
-		if known.accused(m) {
-			result.doubted = append(result.doubted, known.Member)
+		if known.disputedBy(m) {
+			result.disputed = append(result.disputed, known.Member)
 		}
 		return
 	}
-	if ok && t.witnessed(known, m, now) {
+	if ok && t.refutedByExchange(known, m, now) {
 		return
 	}
 	m.ConfigurationVersion = 0
@@ -132,51 +135,52 @@
 			m.ConfigurationVersion = known.ConfigurationVersion
 		}
 	}
-	storeChanged := ok && m.StoreAway != known.StoreAway
-	t.set(&entry{Member: m, since: now})
+	storeChanged := ok && m.StoreUnreachable != known.StoreUnreachable
+	t.set(&entry{Member: m, stateSince: now})
 	result.changed = true
 	result.urgent = result.urgent || storeChanged || m.State == StateLeaving || from == StateLeaving && m.State == StateGone
 	if from != m.State {
-		result.moved = append(result.moved, transition{m, from})
+		result.transitions = append(result.transitions, transition{m, from})
 	}
 }
 
-// accused reports whether this host holds a member for suspect or gone and
-// news of the same sequence does not.
-func (e *entry) accused(news Member) bool {
-	return e.State >= StateSuspect && !e.unconfirmed && news.State <= StateLeaving &&
-		e.Incarnation == news.Incarnation && e.Sequence == news.Sequence
+// disputedBy reports whether this host lists the member as suspect or gone
+// while a received record with the same sequence lists it as alive or leaving.
+func (e *entry) disputedBy(received Member) bool {
+	return e.State >= StateSuspect && !e.unconfirmed && received.State <= StateLeaving &&
+		e.Incarnation == received.Incarnation && e.Sequence == received.Sequence
 }
 
-// witnessed reports whether news says that a member is gone, without a
-// suspicion before it, although this host itself heard that member lately.
+// refutedByExchange reports whether a received record declares a member gone
+// that this host does not suspect and has exchanged messages with recently.
+// Such a record is ignored.
 //
-// Failure: a part of the fleet that was cut off comes back and holds all
-// others for gone. It shows as callers elsewhere who lose most addresses for a
-// moment, since its news overrides that of the same sequence. A host that
-// died is suspected first, and that news is taken.
-func (t *table) witnessed(known *entry, news Member, now time.Time) bool {
-	return news.State == StateGone && known.State <= StateLeaving &&
-		known.Incarnation == news.Incarnation && known.Sequence == news.Sequence &&
-		now.Sub(known.heardAt) < t.witness
+// Failure: after a network partition heals, a small part of the fleet lists
+// all other hosts as gone. Its records override those of the same sequence, so
+// that callers elsewhere lose most addresses for a moment. A host that really
+// died is suspected first, and that record is accepted.
+func (t *table) refutedByExchange(known *entry, received Member, now time.Time) bool {
+	return received.State == StateGone && known.State <= StateLeaving &&
+		known.Incarnation == received.Incarnation && known.Sequence == received.Sequence &&
+		now.Sub(known.lastExchange) < t.exchangeWindow
 }
 
-// set replaces a member's entry and passes the record on.
+// set replaces a member's entry and schedules its record for gossip.
 func (t *table) set(e *entry) {
 	if old, ok := t.entries[e.Host]; ok {
 		t.digest ^= contribution(old.Member)
-		e.heardAt = old.heardAt
+		e.lastExchange = old.lastExchange
 	}
 	t.entries[e.Host] = e
 	t.digest ^= contribution(e.Member)
 	t.generation++
 	if !e.unconfirmed {
-		e.passOn = t.retransmits()
+		e.retransmitsLeft = t.retransmits()
 	}
 }
 
-// contribution is a member's part of the digest. Sequence and suspicion are
-// left out: they change often and settle by themselves.
+// contribution is a member's part of the digest. It leaves out sequence and
+// suspicion, which change often and converge without anti-entropy.
 func contribution(m Member) uint64 {
 	if m.State == StateGone {
 		return 0
@@ -197,30 +201,31 @@
 	return minRetransmits + bits.Len(uint(len(t.entries)))
 }
 
-// heard notes a direct exchange with a member: its configuration version, and
-// the end of a suspicion that only this host had.
-func (t *table) heard(host string, incarnation uint64, version store.Version, now time.Time) (changed bool) {
+// recordExchange records a direct exchange with a member and its configuration
+// version, and ends an unconfirmed suspicion. It reports whether the entry
+// changed.
+func (t *table) recordExchange(host string, incarnation uint64, version store.Version, now time.Time) (changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.entries[host]
 	if !ok || e.Incarnation != incarnation {
 		return false
 	}
-	e.heardAt = now
+	e.lastExchange = now
 	if version > e.ConfigurationVersion {
 		e.ConfigurationVersion = version
 		changed = true
 	}
 	if e.unconfirmed {
-		e.unconfirmed, e.State, e.since = false, e.before, now
+		e.unconfirmed, e.State, e.stateSince = false, e.stateBefore, now
 		t.generation++
 		changed = true
 	}
 	return changed
 }
 
-// suspect marks a member that did not answer. Confirmed means that another
-// host could not reach it either.
+// suspect marks a member that did not answer as suspect. Confirmed means that
+// another host could not reach it either.
 func (t *table) suspect(m Member, confirmed bool, now time.Time) (transition, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -231,55 +236,55 @@
 	if e.State == StateSuspect && (!e.unconfirmed || !confirmed) {
 		return transition{}, false
 	}
-	moved := transition{e.Member, e.State}
-	next := &entry{Member: e.Member, since: now, unconfirmed: !confirmed, before: e.State}
+	change := transition{e.Member, e.State}
+	next := &entry{Member: e.Member, stateSince: now, unconfirmed: !confirmed, stateBefore: e.State}
 	next.State = StateSuspect
-	moved.State = StateSuspect
+	change.State = StateSuspect
 	t.set(next)
-	return moved, true
+	return change, true
 }
 
-// expire declares suspects gone after the timeout and forgets the gone after
-// their retention.
+// expire declares suspects gone after the suspicion timeout and deletes gone
+// members after the retention period.
 func (t *table) expire(now time.Time, suspicion, retention time.Duration) []transition {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var moved []transition
+	var transitions []transition
 	for host, e := range t.entries {
-		age := now.Sub(e.since)
+		age := now.Sub(e.stateSince)
 		switch {
 		case e.State == StateSuspect && !e.unconfirmed && age >= suspicion:
-			next := &entry{Member: e.Member, since: now}
+			next := &entry{Member: e.Member, stateSince: now}
 			next.State = StateGone
 			t.set(next)
-			moved = append(moved, transition{next.Member, StateSuspect})
+			transitions = append(transitions, transition{next.Member, StateSuspect})
 		case e.State == StateGone && age >= retention:
 			delete(t.entries, host)
 			t.generation++
 		}
 	}
-	return moved
+	return transitions
 }
 
-// reachable returns the members that are not suspect, in two parts: those
-// heard since a moment, and the others.
-func (t *table) reachable(since time.Time) (heard, others []Member) {
+// reachable returns the members that are alive or leaving, in two parts: those
+// with a direct exchange since the given time, and the others.
+func (t *table) reachable(since time.Time) (recent, others []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.entries {
 		switch {
 		case e.State > StateLeaving:
-		case e.heardAt.After(since):
-			heard = append(heard, e.Member)
+		case e.lastExchange.After(since):
+			recent = append(recent, e.Member)
 		default:
 			others = append(others, e.Member)
 		}
 	}
-	return heard, others
+	return recent, others
 }
 
-// leave marks this host itself as leaving or gone.
-func (t *table) leave(state State, successor string) {
+// setSelfState sets this host's own state to leaving or gone.
+func (t *table) setSelfState(state State, successor string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.digest ^= contribution(t.self)
@@ -290,46 +295,48 @@
 	t.announceSelf()
 }
 
-// setStoreAway notes whether the platform's store answers this host, and
-// reports whether that is new.
-func (t *table) setStoreAway(away bool) (changed bool) {
+// setStoreUnreachable records whether the platform's store fails to answer this
+// host, and reports whether the value changed.
+func (t *table) setStoreUnreachable(unreachable bool) (changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.self.StoreAway == away {
+	if t.self.StoreUnreachable == unreachable {
 		return false
 	}
-	t.self.StoreAway = away
+	t.self.StoreUnreachable = unreachable
 	t.self.Sequence++
 	t.announceSelf()
 	return true
 }
 
-// news picks the records that most need passing on, and the one about
-// addressee when it must be refuted.
-func (t *table) news(addressee string) []Member {
+// pickUpdates selects the records with the most remaining retransmissions, and
+// adds the record of addressee if it is suspect or gone, so that it can refute
+// it.
+func (t *table) pickUpdates(addressee string) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var fresh []*entry
 	for _, e := range t.entries {
-		if e.passOn > 0 && e.Host != addressee {
+		if e.retransmitsLeft > 0 && e.Host != addressee {
 			fresh = append(fresh, e)
 		}
 	}
 	slices.SortFunc(fresh, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(b.passOn, a.passOn), cmp.Compare(a.Host, b.Host))
+		return cmp.Or(cmp.Compare(b.retransmitsLeft, a.retransmitsLeft), cmp.Compare(a.Host, b.Host))
 	})
-	var news []Member
-	for _, e := range fresh[:min(newsLimit, len(fresh))] {
-		e.passOn--
-		news = append(news, e.Member)
+	var updates []Member
+	for _, e := range fresh[:min(updatesPerMessage, len(fresh))] {
+		e.retransmitsLeft--
+		updates = append(updates, e.Member)
 	}
 	if e, ok := t.entries[addressee]; ok && e.State >= StateSuspect && !e.unconfirmed {
-		news = append(news, e.Member)
+		updates = append(updates, e.Member)
 	}
-	return news
+	return updates
 }
 
-// all returns every record that may be passed on, and their hashes.
+// all returns the records of all other members except unconfirmed suspicions,
+// and their hashes.
 func (t *table) all() (members []Member, hashes []uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -342,43 +349,45 @@
 	return members, hashes
 }
 
-// hearAgain notes records that others passed on and this host has already.
-func (t *table) hearAgain(news []Member) {
+// noteDuplicates lowers the remaining retransmissions of records that this host
+// has and that arrived once more from another host.
+func (t *table) noteDuplicates(records []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, m := range news {
+	for _, m := range records {
 		if e, ok := t.entries[m.Host]; ok && e.Member.hash() == m.hash() {
-			e.passOn = max(0, e.passOn-heardAgain)
+			e.retransmitsLeft = max(0, e.retransmitsLeft-duplicateDecrement)
 		}
 	}
 }
 
-// quiet stops passing records on that came with a whole membership: whoever
-// lacks them too finds that by the digest.
-func (t *table) quiet(members []Member) {
+// stopRetransmitting stops the gossip of records that were received in a full
+// sync. Other hosts that lack them detect it by the digest and sync themselves.
+func (t *table) stopRetransmitting(members []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, m := range members {
 		if e, ok := t.entries[m.Host]; ok && !e.overrides(m) {
-			e.passOn = 0
+			e.retransmitsLeft = 0
 		}
 	}
 }
 
-// pending is how many records are still to be passed on.
+// pending returns the number of records with remaining retransmissions.
 func (t *table) pending() (count int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.entries {
-		if e.passOn > 0 {
+		if e.retransmitsLeft > 0 {
 			count++
 		}
 	}
 	return count
 }
 
-// complete fills in what a host's short record of itself leaves out.
-func (t *table) complete(m Member) Member {
+// fillIn fills in the fields that Member.short leaves out of a host's record
+// of itself.
+func (t *table) fillIn(m Member) Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.entries[m.Host]
@@ -402,7 +411,7 @@
 	return members
 }
 
-func (t *table) me() Member {
+func (t *table) localMember() Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.self
@@ -418,8 +427,9 @@
 	return e.Member, true
 }
 
-// state returns what changes cheaply: generation, digest, superseding incarnation.
-func (t *table) state() (generation, digest, superseded uint64) {
+// summary returns the generation, the membership digest and the incarnation
+// that supersedes this host (zero: none), without copying the members.
+func (t *table) summary() (generation, digest, superseded uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.generation, t.digest, t.superseded
