--- a/fleet/table.go
+++ b/fleet/table.go
@@ -15,7 +15,7 @@
 	msgLeaving      = "backend server takes no new work"
 	msgAdded        = "backend server added"
 	msgDoubtful     = "backend server is doubtful"
-	msgTrusted      = "backend server is no longer doubtful"
+	msgTrusted      = "backend server is trusted again"
 	msgRestarted    = "backend server has started again under its id"
 	msgInvalidEntry = "backend server is not named by its entry any more"
 
--- a/gatewayhost/freshness.go
+++ b/gatewayhost/freshness.go
@@ -14,7 +14,7 @@
 
 const (
 	msgRelist        = "store answers again: what it has is listed anew"
-	msgWatchesBehind = "watches missed changes in the store; listing all objects again"
+	msgWatchesBehind = "watches have missed changes of the store: what it has is listed anew"
 	msgBehind        = "host is behind an allocator and could not catch up"
 
 	// confirmTimeout bounds a store call that verifies that the configuration is
--- a/gatewayhost/quarantine.go
+++ b/gatewayhost/quarantine.go
@@ -18,7 +18,7 @@
 
 const (
 	msgQuarantineStored     = "quarantined requests stored"
-	msgQuarantineNotStored  = "storing quarantined requests failed; retrying"
+	msgQuarantineNotStored  = "quarantined requests not stored; tried again"
 	msgQuarantineUnreadable = "stored quarantined requests cannot be read"
 
 	// quarantineName is the name of the single object of its kind.
