--- a/allocation/cold_test.go
+++ b/allocation/cold_test.go
@@ -14,8 +14,8 @@
 	"github.com/papayasail/papayasail/placement"
 )
 
-// Replayed load: one of three failure domains is restored with six cold engines, brief generations
-// arrive at three times the usual rate, and a third of the hosts cannot reach the allocator.
+// Replayed load: domain d0 is back with six cold engines, d1 has four warm ones, three times as many
+// brief generations arrive as d1 can run, and a third of the hosts cannot reach the allocator.
 const (
 	coldEngines   = 6
 	warmEngines   = 4
--- a/routing/policy_forecast_test.go
+++ b/routing/policy_forecast_test.go
@@ -313,8 +313,8 @@
 	is.Equal(limit.bound(), minRunningLimit+limitIncrease)
 }
 
-// Guards against overfilled engines after a host starts: only short generations
-// have ended yet, and the running long ones must not be estimated as short.
+// Guards against overfilled engines after a host starts: ten short generations have
+// ended, and the twenty long ones still running must not be estimated as short.
 func TestUnfinishedGenerationsCountAsLong(t *testing.T) {
 	is := is.New(t)
 	var running [lengthBuckets]float64
