--- a/entryhost/announcer.go
+++ b/entryhost/announcer.go
@@ -7,24 +7,23 @@
 	"github.com/papayasail/papayasail/backend"
 )
 
-// renewBefore is how long before its end the word that a server is leaving is
-// given again.
+// renewBefore is how long before its expiry a leaving announcement is renewed.
 const renewBefore = 15 * time.Second
 
-// leavingNews takes news that a backend server is leaving.
+// leavingNews publishes to peers that a backend server is leaving.
 type leavingNews interface {
 	MarkLeaving(server string, until time.Time)
 }
 
-// announcer tells peers which backend servers are leaving: at once when a
-// server begins to leave, and again before the news runs out. Without the
-// damping every load report would move the end of the news a little and send
-// it round the fleet again.
+// announcer announces to peers which backend servers are leaving: at once when a
+// server starts to leave, and again before the announcement expires. It limits
+// the rate since otherwise every load report would extend the expiry slightly
+// and cause another announcement to the whole fleet.
 type announcer struct {
 	news leavingNews
 
 	mu    sync.Mutex           // guards given
-	given map[string]time.Time // until when, by address
+	given map[string]time.Time // expiry of the last announcement, by address
 }
 
 func newAnnouncer(news leavingNews) *announcer {
@@ -37,7 +36,7 @@
 	}
 }
 
-// due returns the marks that peers have to hear now.
+// due returns the marks that must be announced now and records them.
 func (a *announcer) due(marks []backend.LeavingMark, now time.Time) []backend.LeavingMark {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/entryhost/caller.go
+++ b/entryhost/caller.go
@@ -15,7 +15,7 @@
 	"github.com/papayasail/papayasail/record"
 )
 
-// callerService answers callers' questions for addresses.
+// callerService implements the generated service for callers.
 type callerService struct{ host *Host }
 
 var _ caller.Service = (*callerService)(nil)
@@ -31,7 +31,8 @@
 	return ctx, nil
 }
 
-// startingProblem answers a token that this host may only not know yet.
+// startingProblem is the response to a token that this host may not have received
+// yet, since its configuration is incomplete.
 func startingProblem() *caller.Problem {
 	retryAfter := time.Second.Milliseconds()
 	reason := string(contract.ReasonNoConfiguration)
@@ -43,8 +44,8 @@
 
 const unauthorizedType = "urn:papayasail:unauthorized"
 
-// AddressesEndpoint answers with the entry hosts to use. The order is random
-// within equally near ones, so that callers spread.
+// AddressesEndpoint returns the entry hosts to use. The order is random among
+// equally near hosts, so that callers spread over them.
 func (s *callerService) AddressesEndpoint(_ context.Context, payload *caller.AddressesPayload) (*caller.Addresses, error) {
 	h := s.host
 	from := h.settings.FailureDomain
--- a/entryhost/duty.go
+++ b/entryhost/duty.go
@@ -10,8 +10,8 @@
 	"github.com/papayasail/papayasail/order"
 )
 
-// newDuty returns the duty of giving orders to engines, for which the hosts
-// that watch the store contend.
+// newDuty returns the duty of sending orders to engines. The hosts that watch
+// the store contend for its lease.
 func (h *Host) newDuty() *order.Duty {
 	engines := backend.NewClient(h.options.Network, backend.ClientOptions{ControlTimeout: orderTimeout, OrderToken: h.settings.OrderToken})
 	return order.New(order.Options{
@@ -21,14 +21,14 @@
 	})
 }
 
-// orderTimeout is the longest that an engine may take to carry out an order,
-// such as to load a model.
+// orderTimeout is the maximum time for an engine to execute an order, such as
+// loading a model.
 const orderTimeout = 30 * time.Second
 
-// contends reports whether this host tries for the lease of orders.
+// contends reports whether this host contends for the lease of the order duty.
 func (h *Host) contends() bool { return !h.leaving.Load() && h.watch.Watches() }
 
-// refresh brings the documents up to date with the store.
+// refresh reads all documents from the store and applies them.
 func (h *Host) refresh(ctx context.Context) error {
 	objects, revision, err := h.options.Store.List(ctx, configuration.Kind)
 	if err != nil {
--- a/entryhost/eventkeys_test.go
+++ b/entryhost/eventkeys_test.go
@@ -11,8 +11,8 @@
 
 var eventIDs = regexp.MustCompile(`(?m)^id: ?(\S+)`)
 
-// generate asks one host for an outlook, from behind an event id if one is
-// given, and returns status and body.
+// generate requests a generation of outlook from host i, or resumes one after the
+// event ID last, and returns status and body.
 func (s *site) generate(i int, last string) (int, string) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+hostIP(i)+":7480/v1/services/outlook/generations", strings.NewReader(`{"prompt":"p","stop_after":20}`))
 	s.is.NoErr(err)
@@ -25,7 +25,7 @@
 	return response.StatusCode, body
 }
 
-// Guards against streams that cannot be taken up while the event key is replaced host by host.
+// Guards against streams that cannot be resumed while the event key is rotated host by host.
 func TestEventKeyIsRotatedWithoutAFlagDay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 1)
@@ -43,9 +43,9 @@
 		for _, c := range []struct{ from, at, status int }{
 			{0, 1, 200}, {0, 2, 200}, {1, 2, 200}, {2, 1, 200}, {2, 3, 200}, {3, 2, 200}, {0, 3, 400}, {3, 0, 400},
 		} {
-			const seen = 8 // events that the caller has
+			const seen = 8 // events received by the caller
 			var ids [][]string
-			for tries := 0; len(ids) <= seen; tries++ { // lengths are drawn, some are shorter
+			for tries := 0; len(ids) <= seen; tries++ { // lengths are random; some are shorter
 				if tries == 20 {
 					t.Fatalf("no generation of more than %d events", seen)
 				}
@@ -55,10 +55,10 @@
 			}
 			resumed, rest := s.generate(c.at, ids[seen-1][1])
 			if resumed != c.status {
-				t.Fatalf("event id of host %d at host %d: %d %s", c.from, c.at, resumed, rest)
+				t.Fatalf("event ID of host %d resumed at host %d: %d %s", c.from, c.at, resumed, rest)
 			}
 			if resumed == http.StatusOK && len(eventIDs.FindAllString(rest, -1)) != len(ids)-seen {
-				t.Fatalf("event id of host %d at host %d: %d events of %d came", c.from, c.at, len(eventIDs.FindAllString(rest, -1)), len(ids)-seen)
+				t.Fatalf("event ID of host %d resumed at host %d: got %d events, want %d", c.from, c.at, len(eventIDs.FindAllString(rest, -1)), len(ids)-seen)
 			}
 		}
 	})
--- a/entryhost/homes.go
+++ b/entryhost/homes.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	// maxHolders bounds how many hosts are asked for the records of a life
-	// that is over.
+	// maxHolders is the maximum number of hosts queried for the records of an
+	// incarnation that has ended.
 	maxHolders     = 8
 	homeRetryAfter = 2 * time.Second
-	// askTimeout bounds one question to another host; the host answers within
-	// answerWithin, if only that the request still runs.
+	// askTimeout is the timeout of one query to another host. That host answers
+	// within answerWithin, even if only that the request still runs.
 	askTimeout     = 2 * time.Second
 	answerWithin   = askTimeout - 500*time.Millisecond
-	maxAskFailures = 2 // questions in a row without answer
+	maxAskFailures = 2 // consecutive queries without a response
 )
 
-// peers is what homes needs of the membership.
+// peers is the part of the membership that homes uses.
 type peers interface {
 	Members() []peer.Member
 	Forward(ctx context.Context, host string, request *peerpb.ForwardRequest) (*peerpb.ForwardResponse, error)
 }
 
-// runner runs a request whose home is here.
+// runner runs a request whose home is this host.
 type runner interface {
 	RunOnce(ctx context.Context, key record.Key, request *peerpb.ForwardRequest) record.Answer
 }
 
-// homes finds the home of a key and has the request run there, and nowhere
-// else: if the home cannot be reached the answer is "unknown", never a run
-// at another host. It implements relay.Homes.
+// homes forwards a request to the home of its key, the only host that may run
+// it: if the home cannot be reached the outcome is "unknown"; the request never
+// runs at another host. It implements relay.Homes.
 type homes struct {
 	self   string
 	ledger *record.Ledger
@@ -64,12 +64,13 @@
 	return h.askHolders(ctx, members, key, request)
 }
 
-// ask passes a request to another host and asks again while it runs there.
+// ask forwards a request to another host and repeats this while the request runs
+// there.
 //
-// Guards against a connection between hosts that has gone silent: a request
-// or its answer on it never arrives, and waiting shows nothing. A question is
-// therefore short, and after one without answer the next goes over a fresh
-// connection. Asking again is safe: the key makes it the same request.
+// Each query has a short timeout, and after one without a response the next uses
+// a new connection: a connection between hosts can stop delivering data without
+// being closed, so that waiting longer would not help. Repeating the query is
+// safe, since the key makes it idempotent.
 func (h *homes) ask(ctx context.Context, host string, request *peerpb.ForwardRequest) (record.Answer, error) {
 	for failed := 0; ; {
 		short, stop := context.WithTimeout(ctx, askTimeout)
@@ -89,7 +90,7 @@
 	}
 }
 
-// mayLive reports whether the life that a key names may still go on.
+// mayLive reports whether the incarnation in a key may still be running.
 func (h *homes) mayLive(member peer.Member, home record.Home) bool {
 	return member.Host != h.self && member.Incarnation <= home.Incarnation && member.State != peer.StateGone
 }
@@ -102,9 +103,9 @@
 	return members[i], true
 }
 
-// askHolders looks for the host that took over the records of a life that is
-// over. Successors are chosen in the same order as they are asked, so a few
-// questions find it although nobody keeps a list.
+// askHolders queries the hosts that may have taken over the records of an
+// incarnation that has ended. Successors are selected in the same order in which
+// they are queried here, so a few queries find the holder without a directory.
 func (h *homes) askHolders(ctx context.Context, members []peer.Member, key record.Key, request *peerpb.ForwardRequest) record.Answer {
 	holders := ranked(members, h.self, key.Home.Life(), mayHold)
 	var failed error
@@ -118,30 +119,29 @@
 		}
 	}
 	if failed != nil {
-		return record.Answer{Refusal: unreachable(failed)} // that one may hold them
+		return record.Answer{Refusal: unreachable(failed)} // the host that failed may have the records
 	}
 	if member, ok := find(members, key.Home.Host); ok && member.Incarnation <= key.Home.Incarnation {
-		return record.Answer{Refusal: unreachable(nil)} // it may be cut off and come back
+		return record.Answer{Refusal: unreachable(nil)} // the home may be partitioned and return
 	}
 	return record.Answer{Refusal: contract.Unknown(contract.ReasonHomeGone, 0, "the entry host that could tell is gone").WithStatus(410)}
 }
 
-// successors returns the hosts that may take over the records of a life, in
-// order.
+// successors returns the hosts that may take over the records of an incarnation,
+// in order of preference.
 func successors(members []peer.Member, self, life string) []peer.Member {
 	return ranked(members, self, life, func(m peer.Member) bool { return m.State == peer.StateAlive })
 }
 
-// mayHold reports whether a host may hold records that were handed over. One
-// that is leaving holds them until it has handed them on.
+// mayHold reports whether a host may have records that were handed over to it. A
+// leaving host has them until it has handed them over to another host.
 //
-// Guards against a final "unknown" too early: the holder stops itself, is no
-// longer asked, and the caller hears that the home is gone although the records
-// are on their way to the next holder.
+// If leaving hosts were not queried, the caller would receive a final "unknown"
+// (home gone) while the records are being moved to the next holder.
 func mayHold(member peer.Member) bool { return member.State != peer.StateGone }
 
-// ranked orders hosts by rendezvous hashing for the records of a life. The host
-// itself is left out.
+// ranked returns the wanted hosts other than self, ordered by rendezvous hashing
+// for the records of an incarnation.
 func ranked(members []peer.Member, self, life string, wanted func(peer.Member) bool) []peer.Member {
 	type candidate struct {
 		member peer.Member
@@ -181,8 +181,9 @@
 	return answer.Refusal != nil && answer.Refusal.Reason == contract.ReasonNotHolder
 }
 
-// Forward serves a request that another host passed here. It implements
-// peer.Handler and never passes a request on, so requests cannot go round.
+// Forward serves a request that another host forwarded to this one. It implements
+// peer.Handler. It never forwards the request again, so there are no forwarding
+// loops.
 func (h *homes) Forward(ctx context.Context, request *peerpb.ForwardRequest) *peerpb.ForwardResponse {
 	ctx, stop := context.WithTimeout(ctx, answerWithin)
 	defer stop()
@@ -201,7 +202,8 @@
 	return h.local.RunOnce(ctx, key, request)
 }
 
-// HandOver takes over the records of a stopping host. It implements peer.Handler.
+// HandOver adopts a page of the records of a stopping host. It implements
+// peer.Handler.
 func (h *homes) HandOver(_ context.Context, page *peerpb.HandOverRequest) error {
 	return h.ledger.Adopt(page)
 }
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -32,9 +32,9 @@
 	msgStopping = "stopping"
 	msgStopped  = "stopped"
 
-	msgSuperseded    = "replaced by another host of this name"
-	msgNotHandedOver = "records not handed over"
-	msgAnswersCutOff = "answers cut off at the end of the host"
+	msgSuperseded    = "superseded by another host with the same name"
+	msgNotHandedOver = "handing over records to a successor failed"
+	msgAnswersCutOff = "responses cut off at shutdown"
 )
 
 // Host is one entry host.
@@ -61,15 +61,15 @@
 	server     *http.Server
 	inFlight   *gauge
 
-	live     atomic.Int64 // entry hosts, as far as this one knows
-	refusing atomic.Bool  // no new work
-	leaving  atomic.Bool  // not ready
-	closing  atomic.Bool  // records handed over
+	live     atomic.Int64 // number of live entry hosts in the membership
+	refusing atomic.Bool  // new work is refused
+	leaving  atomic.Bool  // reported as not ready
+	closing  atomic.Bool  // records have been handed over
 	stop     context.CancelFunc
 	stopped  chan struct{} // closed when Run has returned
 }
 
-// New puts a host together. Run starts it.
+// New returns a host that is not yet running. Run starts it.
 func New(options Options) (*Host, error) {
 	if options.Store == nil {
 		return nil, errNoStore
@@ -111,9 +111,10 @@
 	return h, nil
 }
 
-// acceptanceParser checks documents that are to be accepted: where the
-// settings name the failure domains, a document may name no other. What is
-// accepted already stays in force, whatever the settings of a host say.
+// acceptanceParser returns the parser for documents to be accepted: if the
+// settings list the failure domains, a document must not refer to any other.
+// Documents that are already accepted remain in force regardless of the
+// settings.
 func acceptanceParser(s *settings.Settings) configuration.Parser {
 	var references contract.References
 	if len(s.Distances) > 0 {
@@ -140,8 +141,8 @@
 	return domain.NewDistances(fixed)
 }
 
-// signer signs event ids with the event key and checks them with the previous
-// ones too.
+// signer returns a signer that signs event IDs with the event key and verifies
+// them with the current and the previous event keys.
 func (h *Host) signer() *relay.Signer {
 	return relay.NewSigner(append([][]byte{h.settings.EventKey}, h.settings.PreviousEventKeys...)...)
 }
@@ -178,22 +179,22 @@
 	})
 }
 
-// regionRadius is the one-way delay up to which failure domains count as one
-// region, whose hosts probe each other.
+// regionRadius is the maximum one-way delay between failure domains of one
+// region. The hosts of a region probe each other.
 const regionRadius = 5 * time.Millisecond
 
-// peerTable is the configuration as peers spread it.
+// peerTable adapts the configuration to peer.ConfigurationTable.
 type peerTable struct{ *configuration.Table }
 
-// Adopt implements peer.ConfigurationTable. Documents that cannot be read are
-// counted by the table.
+// Adopt implements peer.ConfigurationTable. It returns no error, since the table
+// counts documents that cannot be parsed.
 func (t peerTable) Adopt(objects []store.Object) (int, error) {
 	changed, _ := t.Table.Adopt(objects)
 	return changed, nil
 }
 
-// countLive keeps the number of live hosts, which each routing decision needs;
-// a copy of the membership for each would cost more than the decision.
+// countLive updates the number of live hosts. Each routing decision needs it, and
+// copying the membership each time would cost more than the decision itself.
 func (h *Host) countLive() {
 	live := int64(0)
 	for _, member := range h.node.Members() {
@@ -204,11 +205,12 @@
 	h.live.Store(live)
 }
 
-// share is this host's part of each limit that a document states for the
-// whole fleet.
+// share returns this host's share of each limit that a document sets for the whole
+// fleet.
 func (h *Host) share() float64 { return 1 / float64(max(h.live.Load(), 1)) }
 
-// pollsPerSecond is the rate of load questions, by the number of live hosts.
+// pollsPerSecond returns the rate of load polls, by default from the number of
+// live hosts.
 func (h *Host) pollsPerSecond() float64 {
 	if h.options.PollsPerSecond > 0 {
 		return h.options.PollsPerSecond
@@ -216,11 +218,12 @@
 	return backend.PollsPerSecond(int(h.live.Load()))
 }
 
-// followsStore reports whether this host watches the documents in the store:
-// one of the few that watch, or the one that gives orders.
+// followsStore reports whether this host watches the documents in the store: it
+// is one of the few watchers, or has the lease of the order duty.
 func (h *Host) followsStore() bool { return h.watch.Watches() || h.duty.Holding() }
 
-// connect wires changes of one part to the parts that follow it.
+// connect registers the callbacks by which changes of one component reach the
+// others.
 func (h *Host) connect() {
 	h.table.Subscribe(func() {
 		h.pool.Update(h.table.Documents())
@@ -230,8 +233,9 @@
 	})
 	h.hostList.changed = func() { h.hostList.apply(h.table.Documents()) }
 	announcer := newAnnouncer(h.node)
-	// Drains spread as configuration. Spread as news too, a drain that was
-	// ended would go on until the news runs out.
+	// Operators' drains are distributed with the configuration. If they were
+	// announced to peers too, a drain would outlast its end until the
+	// announcement expires.
 	h.pool.OnChange(func() { announcer.announce(h.pool.Leaving(backend.SourceOperator), time.Now()) })
 	h.node.Watch(h.countLive)
 	h.node.Watch(func() {
@@ -241,8 +245,7 @@
 	})
 }
 
-// takeDrains follows the drains and evacuations that operators have put in
-// force.
+// takeDrains applies the operators' drains and evacuations in force to the pool.
 func (h *Host) takeDrains() {
 	for _, document := range h.table.Documents() {
 		for _, server := range document.BackendServers {
@@ -263,7 +266,8 @@
 	backend.Mismatch:    backend.FailureMismatch,
 }
 
-// observeBackend tells the pool how an exchange with a backend server went.
+// observeBackend records the result of an exchange with a backend server in the
+// pool.
 func (h *Host) observeBackend(address string, err error) {
 	if err == nil {
 		h.pool.Succeeded(address)
@@ -278,7 +282,8 @@
 	}
 }
 
-// Run serves until Stop has finished or ctx ends, which cuts everything off.
+// Run serves until Stop has finished or ctx is done. When ctx is done, requests in
+// flight are cut off.
 func (h *Host) Run(ctx context.Context) error {
 	ctx, h.stop = context.WithCancel(ctx)
 	defer close(h.stopped)
@@ -305,11 +310,12 @@
 	return group.Wait()
 }
 
-// runNode takes part in the membership. A host that was replaced under its
-// name takes no new work, and ends when what runs here has finished.
+// runNode runs the membership node. A host that was superseded by another host
+// with its name refuses new work and ends when its requests in flight have
+// finished.
 //
-// Guards against a host that froze, was replaced and woke up: its streams are
-// alive, and to end at once would cut them off.
+// It does not end at once since the streams of a host that was paused, superseded
+// and resumed are still alive and would be cut off.
 func (h *Host) runNode(ctx context.Context) error {
 	err := h.node.Run(ctx)
 	var superseded *peer.SupersededError
--- a/entryhost/host_test.go
+++ b/entryhost/host_test.go
@@ -48,7 +48,7 @@
 	})
 }
 
-// Guards against tokens lost, doubled or made anew when an entry host dies in a stream.
+// Guards against tokens lost, duplicated or generated again when an entry host crashes during a stream.
 func TestEntryHostDiesMidStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 3)
@@ -74,8 +74,8 @@
 	})
 }
 
-// Two narratives stream when their entry host is told to stop. Both must run
-// to their end through it, and only then may it go.
+// Guards against streams cut off by a graceful stop of their entry host: it must
+// end only after they are complete.
 func TestGracefulStopCutsNothingOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 3)
@@ -93,7 +93,8 @@
 	})
 }
 
-// A wrong or missing token gets 401 and nothing else is said.
+// Guards against information in responses to a wrong or missing token: they must
+// contain nothing but the 401 problem.
 func TestWrongTokenSaysNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 1)
@@ -111,7 +112,7 @@
 	})
 }
 
-// Guards against work placed on a server that only the host list says is leaving.
+// Guards against work placed on a server that only the host list reports as leaving.
 func TestHostListTakesServerOutEverywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 4)
@@ -143,7 +144,7 @@
 	})
 }
 
-// Guards against streams that freeze on a silent connection to a live engine.
+// Guards against streams that hang when a connection to a live engine no longer delivers data.
 func TestSilentConnectionToEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 1)
@@ -159,13 +160,13 @@
 		}()
 		began := time.Now()
 		s.is.Equal(s.readAll(stream), 200)
-		// The engine goes on meanwhile: 0.5 s of tokens, the pause, the rest at once.
+		// The engine continues meanwhile: 0.5 s of tokens, the gap, then the rest at once.
 		s.is.True(time.Since(began) < time.Second+contract.DefaultGapDeadline)
 		s.is.Equal(len(s.engines[0].Runs())+len(s.engines[1].Runs()), 1)
 	})
 }
 
-// Guards against memory held for good by callers that read nothing.
+// Guards against memory that is never released when callers read nothing.
 func TestCallerThatReadsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 1)
@@ -184,7 +185,7 @@
 	})
 }
 
-// Guards against generations lost to an engine that freezes before their first token.
+// Guards against generations lost on an engine that stalls before their first token.
 func TestEngineFreezesBeforeFirstToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 1)
@@ -208,7 +209,7 @@
 	})
 }
 
-// Guards against a model that several hosts order, or none once its engine has died.
+// Guards against a model loaded by several hosts at once, or by none after its engine crashed.
 func TestModelIsPlacedAndMovesWhenItsEngineDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSiteOf(t, 3, engine.Config{})
@@ -237,7 +238,7 @@
 	})
 }
 
-// Guards against second runs and long waits when a connection between hosts goes silent.
+// Guards against duplicate runs and long waits when a connection between hosts no longer delivers data.
 func TestSilentConnectionBetweenHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 2)
@@ -252,8 +253,8 @@
 	})
 }
 
-// A call takes longer than the hosts wait for each other. The desk must get
-// its answer all the same, through the host that is not the home.
+// Guards against a failed call when it takes longer than the forwarding timeout
+// between hosts and its caller uses a host that is not the home.
 func TestLongForwardedCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 2)
@@ -266,7 +267,7 @@
 	})
 }
 
-// Guards against accepted changes that wait for the store to come back.
+// Guards against accepted changes that do not spread during a store outage.
 func TestAcceptedChangeSpreadsWithoutTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 4)
@@ -286,8 +287,8 @@
 	})
 }
 
-// An operator drains an engine and ends the drain. New work must stay away
-// from it within 3 s on every host, and come back within 3 s of the end.
+// Guards against hosts that miss the start or the end of an operator's drain: each
+// must take effect on every host within 3 s.
 func TestDrainBeginsAndEndsEverywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 4)
@@ -305,7 +306,7 @@
 	})
 }
 
-// Guards against hosts that miss the begin or the end of an evacuation.
+// Guards against hosts that miss the start or the end of an evacuation.
 func TestEvacuationBeginsAndEndsEverywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 4)
@@ -327,7 +328,7 @@
 	})
 }
 
-// Guards against repeats of a call that nobody can tell whether it ran.
+// Guards against a second run of a call whose outcome is unknown when its caller repeats it.
 func TestUnknownStaysUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 1)
@@ -342,7 +343,7 @@
 	})
 }
 
-// Guards against refusals while no engine has the new version of a model yet.
+// Guards against refusals during a rolling update while no engine has the new model version yet.
 func TestModelRollRefusesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSiteOf(t, 2, engine.Config{Models: []string{"basin@3"}, LoadTime: 5 * time.Second})
@@ -365,7 +366,7 @@
 	})
 }
 
-// Guards against "not run" from a host that knows no service yet.
+// Guards against "not run" for a request that ran, from a host without a configuration.
 func TestRepeatAtHostWithoutConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 2)
@@ -383,7 +384,7 @@
 	})
 }
 
-// Guards against leaving engines unseen by hosts that rarely ask for load.
+// Guards against leaving engines that go undetected by hosts that rarely poll the load.
 func TestLoadReportsComeWithStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSiteWith(t, 1, engine.Config{Models: []string{"basin@3"}, StreamReports: 8}, 0.001)
--- a/entryhost/hostlist.go
+++ b/entryhost/hostlist.go
@@ -13,8 +13,8 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// HostKind is the kind of the platform's objects that list the hosts of
-// backend servers: one object a host, named by its IP, with a HostEntry.
+// HostKind is the kind of the platform's objects that list the hosts of backend
+// servers: one object per host, named by its IP, whose value is a HostEntry.
 const HostKind = "host"
 
 // HostEntry is the value of an object of HostKind.
@@ -22,17 +22,17 @@
 	State string `json:"state"` // HostLive or HostLeaving
 }
 
-// States of a HostEntry. Of a host that is not on the list nothing is known.
+// States of a HostEntry. The state of a host that is not on the list is unknown.
 const (
 	HostLive    = "live"
 	HostLeaving = "leaving"
 )
 
-const hostListPause = time.Second // between checks whether this host watches
+const hostListPause = time.Second // between checks whether this host watches the store
 
-// hostList follows the platform's list of hosts into the pool. The list lags
-// behind reality, so it only ever takes servers out: what it says of a host
-// that lives ends its own word about it and nobody else's.
+// hostList applies the platform's list of hosts to the pool. The list lags behind
+// the actual state, so it can only mark servers as leaving: a live entry clears
+// the mark that came from the list, but no mark from another source.
 type hostList struct {
 	store  store.Store
 	pool   *backend.Pool
@@ -41,14 +41,14 @@
 	changed func()
 
 	mu      sync.Mutex      // guards leaving
-	leaving map[string]bool // IPs of hosts that are leaving
+	leaving map[string]bool // IPs of leaving hosts
 }
 
 func newHostList(store store.Store, pool *backend.Pool, active func() bool) *hostList {
 	return &hostList{store: store, pool: pool, active: active, changed: func() {}, leaving: make(map[string]bool)}
 }
 
-// run follows the list until ctx ends.
+// run lists and watches the hosts until ctx is done.
 func (l *hostList) run(ctx context.Context) {
 	var backoff store.Backoff
 	for ctx.Err() == nil {
@@ -57,21 +57,21 @@
 			continue
 		}
 		if l.follow(ctx, &backoff) != nil {
-			_ = backoff.Wait(ctx) // the loop ends with ctx
+			_ = backoff.Wait(ctx) // on error the loop ends, since ctx is done
 		}
 	}
 }
 
-// follow lists the hosts and then watches them until an error, or until this
-// host is no longer one that watches.
+// follow lists the hosts and then watches them until an error occurs or this
+// host no longer watches the store.
 func (l *hostList) follow(ctx context.Context, backoff *store.Backoff) error {
 	hosts, revision, err := l.store.List(ctx, HostKind)
 	if err != nil {
 		return err
 	}
 	l.replace(hosts)
-	// Another host watches from now on, and its word reaches this one as a
-	// peer's; a mark that stayed here would never end.
+	// From now on another host watches the list and announces leaving servers
+	// to its peers. The marks set here would never be cleared.
 	defer l.replace(nil)
 	for l.active() {
 		backoff.Reset()
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// replace takes a whole list: a host that is no longer on it, leaves no mark.
+// replace applies a complete list: marks of hosts that are not on it are cleared.
 func (l *hostList) replace(hosts []store.Object) {
 	l.mu.Lock()
 	clear(l.leaving)
@@ -106,8 +106,8 @@
 	l.changed()
 }
 
-// apply marks the servers of documents that stand on leaving hosts. It is
-// called when the documents or the list have changed.
+// apply marks the servers in documents that run on leaving hosts and clears the
+// marks of the others. It is called when the documents or the list have changed.
 func (l *hostList) apply(documents []*contract.Document) {
 	for _, document := range documents {
 		for _, server := range document.BackendServers {
--- a/entryhost/http.go
+++ b/entryhost/http.go
@@ -26,12 +26,12 @@
 const (
 	readHeaderTimeout = 10 * time.Second
 	idleTimeout       = 2 * time.Minute
-	controlTimeout    = 30 * time.Second // for one write of an answer that is not relayed
+	controlTimeout    = 30 * time.Second // write timeout of a response that is not relayed
 )
 
 var collectorsOnce sync.Once
 
-// registerCollectors registers the counters that all hosts of a process share.
+// registerCollectors registers the metrics that all hosts in a process share.
 func registerCollectors() {
 	collectorsOnce.Do(func() {
 		prometheus.MustRegister(backend.Collectors()...)
@@ -40,13 +40,13 @@
 	})
 }
 
-// handler serves callers, operators, metrics and health on one address.
+// handler returns the handler for callers, operators, metrics and health checks.
 func (h *Host) handler() http.Handler {
 	mux := goahttp.NewMuxer()
 	decoder, encoder := goahttp.RequestDecoder, goahttp.ResponseEncoder
 	callers := callerserver.New(caller.NewEndpoints(&callerService{h}), mux, decoder, encoder, nil, asProblem)
-	// The two data routes are in the design; the generated handlers are
-	// replaced because they set no write deadline and ignore write errors.
+	// The handlers generated for the two data routes are replaced, since they
+	// set no write deadline and ignore write errors.
 	callers.Generate = h.counted(func(w http.ResponseWriter, r *http.Request) {
 		h.relay.Generate(w, r, mux.Vars(r)["service"])
 	})
@@ -63,8 +63,8 @@
 	return withDeadline(bearerOnly(mux))
 }
 
-// withDeadline starts every request with a fresh write deadline: one that a
-// stream has set on its connection would end the next answer on it early.
+// withDeadline sets a new write deadline at the start of every request: a deadline
+// that a stream has set on the connection would cut off the next response.
 func withDeadline(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(controlTimeout))
@@ -72,8 +72,8 @@
 	})
 }
 
-// bearerOnly drops credentials of other schemes: the generated code takes the
-// token behind any scheme's name.
+// bearerOnly removes credentials of schemes other than Bearer: the generated code
+// accepts the token with any scheme.
 func bearerOnly(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if relay.BearerToken(r) == "" {
@@ -83,7 +83,7 @@
 	})
 }
 
-// counted keeps the host up until the request has ended.
+// counted counts the request as in flight, so that a stopping host waits for it.
 func (h *Host) counted(next http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h.inFlight.enter()
@@ -92,13 +92,13 @@
 	})
 }
 
-// callPath returns the path of an exact call as the caller escaped it.
+// callPath returns the path of an exact call with the caller's escaping.
 func callPath(r *http.Request, service string) string {
 	return strings.TrimPrefix(r.URL.EscapedPath(), "/v1/services/"+service+"/call")
 }
 
-// readyz answers 200 when this host takes work: it has a configuration and is
-// not leaving.
+// readyz responds with status 200 if this host has a configuration and is not
+// leaving, and with 503 otherwise.
 func (h *Host) readyz(w http.ResponseWriter, _ *http.Request) {
 	if h.leaving.Load() || h.table.Version() == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -107,13 +107,13 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// problemBody is the problem document of an error of the generated code.
+// problemBody is the problem document for an error of the generated code.
 type problemBody struct {
 	relay.Problem
 	Findings []findingBody `json:"findings,omitempty"`
 }
 
-// findingBody is one mistake in a document.
+// findingBody is one error in a document.
 type findingBody struct {
 	File    string `json:"file"`
 	Line    int    `json:"line"`
@@ -124,7 +124,7 @@
 // StatusCode implements goahttp.Statuser.
 func (p problemBody) StatusCode() int { return p.Status }
 
-// asProblem turns errors of the generated code into problem documents: those
+// asProblem converts errors of the generated code into problem documents: errors
 // of the design, and requests that cannot be decoded.
 func asProblem(_ context.Context, err error) goahttp.Statuser {
 	var ofOperator *operator.Problem
--- a/entryhost/operator.go
+++ b/entryhost/operator.go
@@ -41,8 +41,8 @@
 
 const storeRetryAfter = 2 * time.Second
 
-// operatorProblem renders an error of the operators' interface. Its class is
-// also its reason.
+// operatorProblem returns an error of the operators' interface. The class is also
+// used as its reason.
 func operatorProblem(class string, status int, detail string, retryAfter time.Duration) *operator.Problem {
 	p := &operator.Problem{Name: class, Type: "urn:papayasail:" + class, Title: class, Status: status, Outcome: "not_run", Reason: class}
 	if detail != "" {
@@ -55,7 +55,7 @@
 	return p
 }
 
-// problemOf maps errors of the configuration packages.
+// problemOf converts an error of the configuration packages into a problem.
 func problemOf(err error) error {
 	var list findings.List
 	switch {
@@ -82,8 +82,8 @@
 	return accepted(result, err, p.Service, p.ChangeID)
 }
 
-// accepted renders the result of a change. A lost race is a conflict that
-// says who won.
+// accepted returns the response to a change. If another change was accepted first,
+// it returns a conflict that names that change and its author.
 func accepted(result configuration.Result, err error, name, changeID string) (*operator.Accepted, error) {
 	if err != nil && result.Outcome != configuration.Unknown {
 		return nil, problemOf(err)
@@ -101,7 +101,7 @@
 	return answer, nil
 }
 
-// Get implements operator.Service. It answers from what is in force here.
+// Get implements operator.Service. It returns the document in force on this host.
 func (s *operatorService) Get(_ context.Context, p *operator.GetPayload) (*operator.GetResult, error) {
 	source, version, ok := s.host.table.Source(p.Service)
 	if !ok {
@@ -163,7 +163,7 @@
 }
 
 // Evacuate implements operator.Service. A failure domain without any backend
-// server is most likely misspelt; evacuations of such may be ended only.
+// server is most likely misspelt: its evacuation can be ended but not started.
 func (s *operatorService) Evacuate(ctx context.Context, p *operator.EvacuatePayload) (*operator.Accepted, error) {
 	if !p.End && !s.host.hasServersIn(p.FailureDomain) {
 		return nil, operatorProblem("not_found", http.StatusNotFound, fmt.Sprintf("no backend server is in failure domain %q", p.FailureDomain), 0)
--- a/entryhost/operator_organisation.go
+++ b/entryhost/operator_organisation.go
@@ -45,7 +45,8 @@
 	return acceptedOrganisation(result, err, p.Name, p.ChangeID)
 }
 
-// acceptedOrganisation is accepted with an organisation's way to settle.
+// acceptedOrganisation is like accepted, but with the command that settles a
+// change of an organisation.
 func acceptedOrganisation(result configuration.Result, err error, name, changeID string) (*operator.Accepted, error) {
 	answer, err := accepted(result, err, name, changeID)
 	if err == nil && answer.Settle != nil {
@@ -55,8 +56,8 @@
 	return answer, err
 }
 
-// ListOrganisations implements operator.Service. Pages bound what one answer
-// takes of the host's memory.
+// ListOrganisations implements operator.Service. Paging limits the memory that one
+// response takes on the host.
 func (s *operatorService) ListOrganisations(_ context.Context, p *operator.ListOrganisationsPayload) ([]*operator.OrganisationInfo, error) {
 	infos := []*operator.OrganisationInfo{}
 	if p.Name != nil {
--- a/entryhost/options.go
+++ b/entryhost/options.go
@@ -1,6 +1,5 @@
-// Package entryhost puts one entry host together: the interfaces towards
-// callers and operators, relay, routing, configuration, membership and the
-// order of a graceful stop.
+// Package entryhost assembles an entry host: the HTTP interfaces for callers and
+// operators, relay, routing, configuration, membership and the graceful stop.
 package entryhost
 
 import (
@@ -16,31 +15,31 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// DefaultPolicy is the routing policy in force unless Options name another.
+// DefaultPolicy is the routing policy used if Options.Policy is empty.
 const DefaultPolicy = routing.PolicyForecast
 
-// Options of a Host.
+// Options configures a Host.
 type Options struct {
 	Settings *settings.Settings // required
 	Network  link.Network       // default: TCP
 	Store    store.Store        // required
 	Policy   string             // routing policy, default DefaultPolicy
-	Logger   *zap.Logger        // default: none
+	Logger   *zap.Logger        // default: no logging
 	Registry *prometheus.Registry
 	// AnnounceDelay is the time between the announcement that the host is
-	// leaving and its refusing new work, so that address answers get ahead
-	// of it. Default 500 ms.
+	// leaving and the refusal of new work. In this time address responses
+	// cease to contain the host. Default 500 ms.
 	AnnounceDelay time.Duration
-	// BackendSilence is the longest silence on a stream from an engine before
-	// a fresh connection is tried. Default 5 s.
+	// BackendSilence is the maximum time without a byte on a stream from an
+	// engine before a new connection is tried. Default 5 s.
 	BackendSilence time.Duration
-	ProbeInterval  time.Duration // of the membership; default from Settings
-	// PollsPerSecond is the rate of load questions to backend servers. Default:
-	// by the number of live entry hosts.
+	ProbeInterval  time.Duration // of the membership probes; default from Settings
+	// PollsPerSecond is the rate of load polls to backend servers. Default:
+	// derived from the number of live entry hosts.
 	PollsPerSecond float64
 }
 
-var errNoStore = errors.New("entry host: options name no store")
+var errNoStore = errors.New("entry host: Options.Store is not set")
 
 const (
 	defaultAnnounceDelay  = 500 * time.Millisecond
--- a/entryhost/options_test.go
+++ b/entryhost/options_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestHostWithoutStoreIsRefused(t *testing.T) {
-	// A program forgets to hand the store in. The host started, and ended with
-	// its first call to the store.
+	// Guards against a host without a store that starts and fails at its first
+	// call to the store.
 	is := is.New(t)
 	_, err := New(Options{})
 	is.True(errors.Is(err, errNoStore))
--- a/entryhost/organisations.go
+++ b/entryhost/organisations.go
@@ -7,11 +7,11 @@
 	"github.com/papayasail/papayasail/settings"
 )
 
-// organisations knows organisations from the settings and the configuration in
-// force. It implements relay.Organisations. Nothing is cached: a token that
-// was removed is refused from the moment at which the change is in force here.
+// organisations looks up organisations in the settings and in the configuration
+// in force. It implements relay.Organisations. It does not cache: a removed token
+// is refused as soon as the change is in force on this host.
 type organisations struct {
-	fixed *settings.Tokens // the settings win where both know a token
+	fixed *settings.Tokens // take precedence if both contain a token
 	table *configuration.Table
 }
 
@@ -32,8 +32,8 @@
 	return name != ""
 }
 
-// clash tells whether an organisation may not be put in force because the
-// settings or the configuration have its name or one of its tokens.
+// clash returns an error if the settings contain the organisation's name or one
+// of its tokens, or if it conflicts with the configuration in force.
 func (o organisations) clash(asked configuration.Organisation) error {
 	if o.fixed.HasOrganisation(asked.Name) {
 		return errors.Mark(errors.Newf("organisation %s stands in this entry host's settings; remove it there first", asked.Name), configuration.ErrOrganisation)
--- a/entryhost/organisations_test.go
+++ b/entryhost/organisations_test.go
@@ -17,7 +17,7 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// spreadTime is how long a change may take to every entry host.
+// spreadTime is the maximum time until a change has reached every entry host.
 const spreadTime = 5 * time.Second
 
 var opsToken = "ops-token"
@@ -34,7 +34,8 @@
 	return s.operator(i).PutOrganisation(context.Background(), payload)
 }
 
-// statuses asks each host for addresses and for a reading with a token.
+// statuses requests addresses and a reading from each host with a token and
+// returns the status codes.
 func (s *site) statuses(token string) string {
 	var all string
 	for i := range s.hosts {
@@ -52,10 +53,10 @@
 const (
 	served  = "200 200 200 200 200 200 "
 	refused = "401 401 401 401 401 401 "
-	others  = "200 404 200 404 200 404 " // may call, but not this service
+	others  = "200 404 200 404 200 404 " // valid token, but not for this service
 )
 
-// Guards against tokens that some hosts take and others do not.
+// Guards against tokens that only some hosts accept.
 func TestOrganisationIsTheSameOnEveryHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 3)
@@ -66,7 +67,7 @@
 		s.is.Equal(joined.Outcome, "accepted")
 		time.Sleep(spreadTime)
 		s.is.Equal(s.statuses("first"), served)
-		s.is.Equal(s.statuses(testToken), served) // of the settings
+		s.is.Equal(s.statuses(testToken), served) // from the settings
 
 		both, err := s.putOrganisation(1, "c2", "seyhan", joined.Version, nil, "second", "first")
 		s.is.NoErr(err)
@@ -84,7 +85,7 @@
 	})
 }
 
-// Guards against organisations lost, or changes half made, while the store is away.
+// Guards against organisations lost or changes half applied during a store outage.
 func TestOrganisationsGoOnWithoutTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 3)
@@ -103,7 +104,7 @@
 	})
 }
 
-// Guards against 401 for valid tokens from a host that knows no organisations yet.
+// Guards against 401 for valid tokens from a host that has not yet received the organisations.
 func TestStartingHostDoesNotCallTokensWrong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 2)
@@ -125,7 +126,7 @@
 	})
 }
 
-// Guards against two holders of one token.
+// Guards against one token that belongs to two organisations or operators.
 func TestOrganisationThatClashesIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 1)
--- a/entryhost/quarantine_test.go
+++ b/entryhost/quarantine_test.go
@@ -15,14 +15,14 @@
 
 const riskyServers = 9
 
-// crashingServers are servers that each end under a call to /crash, or under a
-// generation whose prompt is "crash".
+// crashingServers are servers that crash on a call to /crash or on a generation
+// whose prompt is "crash".
 type crashingServers struct {
-	mu    sync.Mutex // guards below
+	mu    sync.Mutex // guards ended
 	ended int
 }
 
-// serveRisky adds the service risky, which has such servers.
+// serveRisky adds the service risky, whose servers crash on these requests.
 func (s *site) serveRisky(kind string) *crashingServers {
 	c := &crashingServers{}
 	document := "service: risky\nowner: hydrology\n" + kind + "\nbackend_servers:\n"
@@ -32,9 +32,9 @@
 		server := &http.Server{}
 		server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set(backend.HeaderRequestID, r.Header.Get(backend.HeaderRequestID))
-			body, _ := io.ReadAll(r.Body) // what cannot be read crashes nothing
+			body, _ := io.ReadAll(r.Body) // an unreadable body crashes nothing
 			if r.URL.Path != "/crash" && !strings.Contains(string(body), `"prompt":"crash"`) {
-				_, _ = io.WriteString(w, "{}") // a caller that is gone shows in the next read
+				_, _ = io.WriteString(w, "{}") // a closed connection is detected by the next read
 				return
 			}
 			c.mu.Lock()
@@ -56,7 +56,7 @@
 	return c.ended
 }
 
-// askRisky sends a request to one host and returns status and body.
+// askRisky sends a request for the service risky to host i and returns status and body.
 func (s *site) askRisky(i int, method, path, content string) (int, string) {
 	request, err := http.NewRequest(method, "http://"+hostIP(i)+":7480/v1/services/risky/"+path, strings.NewReader(content))
 	s.is.NoErr(err)
@@ -65,7 +65,7 @@
 	return response.StatusCode, body
 }
 
-// Guards against a call that ends one server after the other, as its caller
+// Guards against a call that crashes one server after another because its caller
 // repeats it at each host.
 func TestCallThatCrashesServersIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -85,8 +85,8 @@
 	})
 }
 
-// Guards against a generation that ends one engine after the other, by tries of
-// the entry host and repeats of the caller.
+// Guards against a generation that crashes one engine after another through
+// retries by the entry host and repeats by the caller.
 func TestGenerationThatCrashesEnginesIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 3)
--- a/entryhost/site_test.go
+++ b/entryhost/site_test.go
@@ -46,8 +46,8 @@
 `
 )
 
-// site is a whole site in memory: a store, two engines, a plain service and
-// entry hosts, to run in a synctest bubble.
+// site is an in-memory deployment for a synctest bubble: a store, two engines, a
+// plain service and entry hosts.
 type site struct {
 	is      *is.I
 	fabric  *network.Fabric
@@ -56,12 +56,12 @@
 	plain   *plain.Service
 	hosts   []*Host
 	stops   []func()
-	polls   float64      // load questions of a host a second; 0: the default
+	polls   float64      // load polls per second of each host; 0 for the default
 	killed  map[int]bool // hosts whose machine was killed
-	keys    string       // event keys in the settings of hosts that start
+	keys    string       // event keys in the settings of hosts started from now on
 }
 
-// testKey is the event key of hosts that a test gives no other.
+// testKey is the default event key.
 var testKey = strings.Repeat("ab", 32)
 
 func hostIP(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) }
@@ -101,7 +101,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = serve(listener) // ends with Close
+		_ = serve(listener) // returns after Close
 	}()
 	s.stops = append(s.stops, func() { _ = closer(); <-done })
 }
@@ -115,7 +115,7 @@
 
 func (s *site) start(i, of int) { s.startAt(i, of, hostIP(i)) }
 
-// startAt starts the host with a number at an IP that need not be its own.
+// startAt starts host i at an IP that may differ from hostIP(i).
 func (s *site) startAt(i, of int, ip string) {
 	var peers []string
 	for j := range of {
@@ -150,7 +150,7 @@
 	})
 }
 
-// kill kills the machine of an entry host: its connections and listeners go.
+// kill kills the machine of an entry host with its connections and listeners.
 func (s *site) kill(i int) {
 	s.killed[i] = true
 	s.fabric.Kill(hostIP(i))
@@ -163,7 +163,8 @@
 	time.Sleep(recordedRunsEnd)
 }
 
-// recordedRunsEnd is how long a generation that runs for its record may go on after its host was closed.
+// recordedRunsEnd is how long a generation that runs for its record may continue
+// after its host was closed.
 const recordedRunsEnd = time.Minute
 
 func (s *site) caller(seeds ...string) *caller.Client {
@@ -172,8 +173,8 @@
 	return client
 }
 
-// readAll reads a stream to its end and checks that each token is there once,
-// in order and from one generation.
+// readAll reads a stream to its end, checks that each token arrives once, in order
+// and from an engine of the site, and returns the number of tokens.
 func (s *site) readAll(stream *caller.Stream) int {
 	for n := 0; ; n++ {
 		token, err := stream.Next()
@@ -197,7 +198,7 @@
 	return false
 }
 
-// do sends one request over a connection of its own.
+// do sends one request over a new connection.
 func (s *site) do(request *http.Request) (*http.Response, string) {
 	transport := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 		return s.fabric.Host(callerIP).Dial(ctx, address)
@@ -210,8 +211,8 @@
 	return response, string(body)
 }
 
-// acknowledge sends an alarm acknowledgement with a key to one host and
-// returns status and body.
+// acknowledge sends an alarm acknowledgement with a key to host i and returns
+// status and body.
 func (s *site) acknowledge(i int, key string) string {
 	request, err := http.NewRequest(http.MethodPost, "http://"+hostIP(i)+":7480/v1/services/gauges/call/alarms/7/ack", strings.NewReader("seen"))
 	s.is.NoErr(err)
@@ -221,7 +222,7 @@
 	return fmt.Sprintf("%d %s", response.StatusCode, body)
 }
 
-// inFlight returns how many data requests a host serves.
+// inFlight returns the number of data requests in flight at a host.
 func (s *site) inFlight(host *Host) int {
 	host.inFlight.mu.Lock()
 	defer host.inFlight.mu.Unlock()
--- a/entryhost/stop.go
+++ b/entryhost/stop.go
@@ -11,10 +11,10 @@
 	"github.com/papayasail/papayasail/peer/peerpb"
 )
 
-// Stop stops the host gracefully: it leaves the address answer, then refuses
-// new work ("not run"), lets all that runs finish, hands over its records and
-// ends Run. When ctx ends first, what still runs is cut off; its callers can
-// take their streams up elsewhere.
+// Stop stops the host gracefully: the host is withdrawn from address responses,
+// refuses new work ("not run"), waits for the work in flight, hands over its
+// records and ends Run. If ctx is done first, the remaining requests are cut
+// off; their callers can resume streams at another host.
 func (h *Host) Stop(ctx context.Context) error {
 	h.logger.Info(msgStopping)
 	h.leaving.Store(true)
@@ -24,8 +24,8 @@
 	h.ledger.Close()
 	h.awaitWork(ctx)
 	h.handOver(ctx)
-	// A repeat that came in during the hand-over may be reading its stream;
-	// later ones are sent elsewhere.
+	// A repeated request that arrived during the hand-over may still be reading
+	// its stream; later ones are referred to other hosts.
 	h.closing.Store(true)
 	h.awaitWork(ctx)
 	h.finishAnswers(ctx)
@@ -35,21 +35,21 @@
 	return ctx.Err()
 }
 
-// awaitWork waits until nothing runs any more, or ctx ends.
+// awaitWork waits until no work is in flight or ctx is done.
 func (h *Host) awaitWork(ctx context.Context) {
 	select {
 	case <-h.ledger.Idle():
 	case <-ctx.Done():
 	}
 	select {
-	case <-h.inFlight.zero(): // nothing new starts, so it stays zero
+	case <-h.inFlight.zero(): // no new work starts, so the count stays zero
 	case <-ctx.Done():
 	}
 }
 
-// finishAnswers takes no connection any more and waits until all answers are
-// out. A request is no longer in flight once its answer is made, of which a part
-// may still be in the server's buffer.
+// finishAnswers stops accepting connections and waits until all responses are
+// sent. A request no longer counts as in flight once its response is complete,
+// but part of the response may still be in the server's write buffer.
 func (h *Host) finishAnswers(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, answersTimeout)
 	defer cancel()
@@ -59,19 +59,20 @@
 }
 
 const (
-	// answersTimeout bounds the wait for callers that are slow to read.
+	// answersTimeout limits the wait for callers that read slowly.
 	answersTimeout = 5 * time.Second
 
-	handOverTimeout = 8 * time.Second // for all lives
+	handOverTimeout = 8 * time.Second // for the records of all incarnations
 	pageTimeout     = time.Second     // for one page
 	pageTries       = 2
 )
 
-// handOver passes the records to the first successor that takes all of them.
+// handOver sends the records of each incarnation to the first successor that
+// accepts all of them.
 //
-// Guards against a repeat after the stop: without the records its caller would
-// hear "unknown" where the answer is known. The ledger is closed, so nothing
-// can start any more and the records are final.
+// Without the records, the caller of a request repeated after the stop would
+// receive "unknown" although the outcome is known. The ledger is closed, so no
+// request can start and the records are final.
 func (h *Host) handOver(ctx context.Context) {
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), handOverTimeout)
 	defer stop()
@@ -86,9 +87,9 @@
 	}
 }
 
-// handOverTo passes the pages of one life to a host. A page without answer is
-// sent again, over a fresh connection: the old one may have gone silent. A
-// page that arrives twice changes nothing.
+// handOverTo sends the pages of one incarnation to a host. A page without a
+// response is sent again over a new connection, since the old one may no longer
+// deliver data. Receiving a page twice has no further effect.
 func (h *Host) handOverTo(ctx context.Context, host string, pages []*peerpb.HandOverRequest) error {
 	for _, page := range pages {
 		var err error
@@ -107,9 +108,9 @@
 	return nil
 }
 
-// gauge counts requests in flight.
+// gauge is the number of requests in flight.
 type gauge struct {
-	mu    sync.Mutex // guards both below
+	mu    sync.Mutex // guards the fields below
 	count int
 	empty chan struct{} // closed while count is zero
 }
@@ -137,7 +138,7 @@
 	}
 }
 
-// zero returns a channel that is closed when nothing is in flight.
+// zero returns a channel that is closed while no request is in flight.
 func (g *gauge) zero() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/entryhost/stop_test.go
+++ b/entryhost/stop_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Guards against second runs when all entry hosts are restarted one after another.
+// Guards against duplicate runs during a rolling restart of all entry hosts.
 func TestRollingRestartKeepsRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 4)
@@ -31,14 +31,14 @@
 	})
 }
 
-// Guards against records lost when the connection to their successor is silent.
+// Guards against records lost when the connection to the successor no longer delivers data.
 func TestHandOverOverSilentConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 2)
 		defer s.close()
 		key := s.hosts[0].ledger.Home().String() + ".ack-1"
 		s.is.Equal(s.acknowledge(0, key), "200 POST /alarms/7/ack: seen")
-		// Opens the connection for data from the first host to the second.
+		// Opens the data connection from the first host to the second.
 		s.is.Equal(s.acknowledge(0, s.hosts[1].ledger.Home().String()+".ack-2"), "200 POST /alarms/7/ack: seen")
 		s.fabric.SilenceOpen(hostIP(0), hostIP(1))
 		s.is.NoErr(s.hosts[0].Stop(context.Background()))
@@ -46,7 +46,7 @@
 	})
 }
 
-// Guards against streams cut off at a host that hears it was replaced.
+// Guards against streams cut off at a host that detects that it was superseded.
 func TestReplacedHostFinishesWhatRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 3)
@@ -59,12 +59,12 @@
 		request.Header.Set("Authorization", "Bearer "+testToken)
 		streamed := make(chan string)
 		go func() {
-			defer close(streamed) // also where it fails
+			defer close(streamed) // also on failure
 			_, body := s.do(request)
 			streamed <- body
 		}()
 		time.Sleep(time.Second)
-		s.killed[0] = true // its Run ends with an error
+		s.killed[0] = true // its Run returns an error
 		s.startAt(0, 3, "10.0.0.9")
 		time.Sleep(3 * time.Second)
 		for _, other := range []string{hostIP(1), hostIP(2), "10.0.0.9"} {
@@ -76,7 +76,7 @@
 	})
 }
 
-// Guards against answers that are cut off as the host that has made them ends.
+// Guards against responses cut off in the write buffer when the host stops.
 func TestAnswersGoOutBeforeTheHostEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 1)
@@ -86,14 +86,14 @@
 		defer conn.Close()
 		go func() {
 			home, body := s.hosts[0].ledger.Home().String(), strings.Repeat("x", 1000)
-			for i := 0; ; i++ { // until answers that nobody reads fill the connection
+			for i := 0; ; i++ { // until unread responses fill the connection
 				if _, err := fmt.Fprintf(conn, "POST /v1/services/gauges/call/alarms/7/ack HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer %s\r\nIdempotency-Key: %s.ack-%d\r\nContent-Length: %d\r\n\r\n%s", testToken, home, i, len(body), body); err != nil {
 					return
 				}
 			}
 		}()
 		time.Sleep(time.Second)
-		s.is.Equal(s.inFlight(s.hosts[0]), 0) // the last answer is made, and not out
+		s.is.Equal(s.inFlight(s.hosts[0]), 0) // the last response is complete but not yet sent
 		go func() { _ = s.hosts[0].Stop(context.Background()) }()
 		time.Sleep(s.hosts[0].options.AnnounceDelay + time.Second)
 		whole, reader := 0, bufio.NewReader(conn)
--- a/entryhost/watch.go
+++ b/entryhost/watch.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	// storeCheckInterval spaces a watcher's checks of the store: half a call a
-	// second of the four that a host may make.
+	// storeCheckInterval is the time between a watcher's checks of the store:
+	// 0.5 of the 4 calls per second that a host may make.
 	storeCheckInterval = 2 * time.Second
-	// storeCheckTimeout bounds one; the store answers in milliseconds.
+	// storeCheckTimeout is the timeout of one check; the store normally answers
+	// within milliseconds.
 	storeCheckTimeout = time.Second
-	// absentDocument is the name of no document.
+	// absentDocument is a name that no document has.
 	absentDocument = "-"
 )
 
@@ -28,7 +29,8 @@
 	}
 }
 
-// checkStore asks the store for a document that there is not.
+// checkStore reads a document that does not exist. It returns nil if the store
+// reports that.
 func (h *Host) checkStore(ctx context.Context) error {
 	_, err := h.options.Store.Get(ctx, configuration.Kind, absentDocument)
 	if errors.Is(err, store.ErrNoObject) {
