--- a/entryhost/announcer.go
+++ b/entryhost/announcer.go
@@ -10,8 +10,8 @@
 // renewBefore is how long before its expiry a leaving announcement is renewed.
 const renewBefore = 15 * time.Second
 
-// leavingNews publishes to peers that a backend server is leaving.
-type leavingNews interface {
+// leavingPublisher publishes to peers that a backend server is leaving.
+type leavingPublisher interface {
 	MarkLeaving(server string, until time.Time)
 }
 
@@ -20,19 +20,19 @@
 // the rate since otherwise every load report would extend the expiry slightly
 // and cause another announcement to the whole fleet.
 type announcer struct {
-	news leavingNews
+	publisher leavingPublisher
 
-	mu    sync.Mutex           // guards given
-	given map[string]time.Time // expiry of the last announcement, by address
+	mu        sync.Mutex           // guards announced
+	announced map[string]time.Time // expiry of the last announcement, by address
 }
 
-func newAnnouncer(news leavingNews) *announcer {
-	return &announcer{news: news, given: make(map[string]time.Time)}
+func newAnnouncer(publisher leavingPublisher) *announcer {
+	return &announcer{publisher: publisher, announced: make(map[string]time.Time)}
 }
 
 func (a *announcer) announce(marks []backend.LeavingMark, now time.Time) {
 	for _, mark := range a.due(marks, now) {
-		a.news.MarkLeaving(mark.Address, mark.Until)
+		a.publisher.MarkLeaving(mark.Address, mark.Until)
 	}
 }
 
@@ -42,15 +42,15 @@
 	defer a.mu.Unlock()
 	var due []backend.LeavingMark
 	for _, mark := range marks {
-		if until, given := a.given[mark.Address]; given && until.Sub(now) > renewBefore {
+		if until, ok := a.announced[mark.Address]; ok && until.Sub(now) > renewBefore {
 			continue
 		}
-		a.given[mark.Address] = mark.Until
+		a.announced[mark.Address] = mark.Until
 		due = append(due, mark)
 	}
-	for address, until := range a.given {
+	for address, until := range a.announced {
 		if until.Before(now) {
-			delete(a.given, address)
+			delete(a.announced, address)
 		}
 	}
 	return due
--- a/entryhost/caller.go
+++ b/entryhost/caller.go
@@ -22,7 +22,7 @@
 
 // JWTAuth implements caller.Auther.
 func (s *callerService) JWTAuth(ctx context.Context, token string, _ *security.JWTScheme) (context.Context, error) {
-	if !s.host.organisations().knows(token) {
+	if !s.host.organisations().isValidToken(token) {
 		if token != "" && !s.host.table.Complete() {
 			return ctx, startingProblem()
 		}
--- a/entryhost/duty.go
+++ b/entryhost/duty.go
@@ -10,13 +10,13 @@
 	"github.com/papayasail/papayasail/order"
 )
 
-// newDuty returns the duty of sending orders to engines. The hosts that watch
-// the store contend for its lease.
-func (h *Host) newDuty() *order.Duty {
+// newOrderDuty returns the duty of sending orders to engines. The hosts that
+// watch the store contend for its lease.
+func (h *Host) newOrderDuty() *order.Duty {
 	engines := backend.NewClient(h.options.Network, backend.ClientOptions{ControlTimeout: orderTimeout, OrderToken: h.settings.OrderToken})
 	return order.New(order.Options{
 		Host: h.settings.Host, FailureDomain: h.settings.FailureDomain, Store: h.options.Store, Engine: engines,
-		Documents: h.table, Leaving: h.serverLeaving, Contend: h.contends, Refresh: h.refresh,
+		Documents: h.table, Leaving: h.serverLeaving, Contend: h.contends, Refresh: h.refreshDocuments,
 		LoadsPerMinute: float64(h.settings.Limits.LoadsPerMinute), Longest: orderTimeout, Logger: h.logger,
 	})
 }
@@ -26,10 +26,10 @@
 const orderTimeout = 30 * time.Second
 
 // contends reports whether this host contends for the lease of the order duty.
-func (h *Host) contends() bool { return !h.leaving.Load() && h.watch.Watches() }
+func (h *Host) contends() bool { return !h.leaving.Load() && h.watchDuty.Watches() }
 
-// refresh reads all documents from the store and applies them.
-func (h *Host) refresh(ctx context.Context) error {
+// refreshDocuments reads all documents from the store and applies them.
+func (h *Host) refreshDocuments(ctx context.Context) error {
 	objects, revision, err := h.options.Store.List(ctx, configuration.Kind)
 	if err != nil {
 		return err
--- a/entryhost/eventkeys_test.go
+++ b/entryhost/eventkeys_test.go
@@ -26,17 +26,17 @@
 }
 
 // Guards against streams that cannot be resumed while the event key is rotated host by host.
-func TestEventKeyIsRotatedWithoutAFlagDay(t *testing.T) {
+func TestEventKeyRotationHostByHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 1)
 		defer s.close()
 		fresh := strings.Repeat("cd", 32)
 		for i, keys := range []string{
-			"event_key: " + testKey + "\nprevious_event_keys: [{event_key: " + fresh + "}]", // first step
-			"event_key: " + fresh + "\nprevious_event_keys: [{event_key: " + testKey + "}]", // second step
+			"event_key: " + testEventKey + "\nprevious_event_keys: [{event_key: " + fresh + "}]", // first step
+			"event_key: " + fresh + "\nprevious_event_keys: [{event_key: " + testEventKey + "}]", // second step
 			"event_key: " + fresh, // last step
 		} {
-			s.keys = keys
+			s.eventKeys = keys
 			s.start(i+1, 4)
 		}
 		time.Sleep(5 * time.Second)
--- a/entryhost/homes.go
+++ b/entryhost/homes.go
@@ -18,11 +18,11 @@
 	// incarnation that has ended.
 	maxHolders     = 8
 	homeRetryAfter = 2 * time.Second
-	// askTimeout is the timeout of one query to another host. That host answers
-	// within answerWithin, even if only that the request still runs.
-	askTimeout     = 2 * time.Second
-	answerWithin   = askTimeout - 500*time.Millisecond
-	maxAskFailures = 2 // consecutive queries without a response
+	// queryTimeout is the timeout of one query to another host. That host answers
+	// within replyTimeout, even if only that the request still runs.
+	queryTimeout     = 2 * time.Second
+	replyTimeout     = queryTimeout - 500*time.Millisecond
+	maxQueryFailures = 2 // consecutive queries without a response
 )
 
 // peers is the part of the membership that homes uses.
@@ -52,32 +52,32 @@
 		return h.local.RunOnce(ctx, key, request)
 	}
 	members := h.peers.Members()
-	if member, ok := find(members, key.Home.Host); ok && h.mayLive(member, key.Home) {
-		answer, err := h.ask(ctx, member.Host, request)
+	if member, ok := findMember(members, key.Home.Host); ok && h.mayBeRunning(member, key.Home) {
+		answer, err := h.query(ctx, member.Host, request)
 		if err != nil {
-			return record.Answer{Refusal: unreachable(err)}
+			return record.Answer{Refusal: homeUnreachable(err)}
 		}
 		if !notHolder(answer) {
 			return answer
 		}
 	}
-	return h.askHolders(ctx, members, key, request)
+	return h.queryHolders(ctx, members, key, request)
 }
 
-// ask forwards a request to another host and repeats this while the request runs
-// there.
+// query forwards a request to another host and repeats this while the request
+// runs there.
 //
 // Each query has a short timeout, and after one without a response the next uses
 // a new connection: a connection between hosts can stop delivering data without
 // being closed, so that waiting longer would not help. Repeating the query is
 // safe, since the key makes it idempotent.
-func (h *homes) ask(ctx context.Context, host string, request *peerpb.ForwardRequest) (record.Answer, error) {
+func (h *homes) query(ctx context.Context, host string, request *peerpb.ForwardRequest) (record.Answer, error) {
 	for failed := 0; ; {
-		short, stop := context.WithTimeout(ctx, askTimeout)
+		short, stop := context.WithTimeout(ctx, queryTimeout)
 		response, err := h.peers.Forward(short, host, request)
 		stop()
 		if err != nil {
-			if failed++; failed >= maxAskFailures || ctx.Err() != nil {
+			if failed++; failed >= maxQueryFailures || ctx.Err() != nil {
 				return record.Answer{}, err
 			}
 			continue
@@ -90,12 +90,12 @@
 	}
 }
 
-// mayLive reports whether the incarnation in a key may still be running.
-func (h *homes) mayLive(member peer.Member, home record.Home) bool {
+// mayBeRunning reports whether the incarnation in a key may still be running.
+func (h *homes) mayBeRunning(member peer.Member, home record.Home) bool {
 	return member.Host != h.self && member.Incarnation <= home.Incarnation && member.State != peer.StateGone
 }
 
-func find(members []peer.Member, host string) (peer.Member, bool) {
+func findMember(members []peer.Member, host string) (peer.Member, bool) {
 	i := slices.IndexFunc(members, func(m peer.Member) bool { return m.Host == host })
 	if i < 0 {
 		return peer.Member{}, false
@@ -103,14 +103,14 @@
 	return members[i], true
 }
 
-// askHolders queries the hosts that may have taken over the records of an
+// queryHolders queries the hosts that may have taken over the records of an
 // incarnation that has ended. Successors are selected in the same order in which
 // they are queried here, so a few queries find the holder without a directory.
-func (h *homes) askHolders(ctx context.Context, members []peer.Member, key record.Key, request *peerpb.ForwardRequest) record.Answer {
+func (h *homes) queryHolders(ctx context.Context, members []peer.Member, key record.Key, request *peerpb.ForwardRequest) record.Answer {
 	holders := ranked(members, h.self, key.Home.Life(), mayHold)
 	var failed error
 	for _, holder := range holders[:min(len(holders), maxHolders)] {
-		answer, err := h.ask(ctx, holder.Host, request)
+		answer, err := h.query(ctx, holder.Host, request)
 		if err == nil && !notHolder(answer) {
 			return answer
 		}
@@ -119,18 +119,18 @@
 		}
 	}
 	if failed != nil {
-		return record.Answer{Refusal: unreachable(failed)} // the host that failed may have the records
+		return record.Answer{Refusal: homeUnreachable(failed)} // the host that failed may have the records
 	}
-	if member, ok := find(members, key.Home.Host); ok && member.Incarnation <= key.Home.Incarnation {
-		return record.Answer{Refusal: unreachable(nil)} // the home may be partitioned and return
+	if member, ok := findMember(members, key.Home.Host); ok && member.Incarnation <= key.Home.Incarnation {
+		return record.Answer{Refusal: homeUnreachable(nil)} // the home may be partitioned and return
 	}
 	return record.Answer{Refusal: contract.Unknown(contract.ReasonHomeGone, 0, "the entry host that could tell is gone").WithStatus(410)}
 }
 
 // successors returns the hosts that may take over the records of an incarnation,
 // in order of preference.
-func successors(members []peer.Member, self, life string) []peer.Member {
-	return ranked(members, self, life, func(m peer.Member) bool { return m.State == peer.StateAlive })
+func successors(members []peer.Member, self, incarnation string) []peer.Member {
+	return ranked(members, self, incarnation, func(m peer.Member) bool { return m.State == peer.StateAlive })
 }
 
 // mayHold reports whether a host may have records that were handed over to it. A
@@ -140,20 +140,20 @@
 // (home gone) while the records are being moved to the next holder.
 func mayHold(member peer.Member) bool { return member.State != peer.StateGone }
 
-// ranked returns the wanted hosts other than self, ordered by rendezvous hashing
+// ranked returns the eligible hosts other than self, ordered by rendezvous hashing
 // for the records of an incarnation.
-func ranked(members []peer.Member, self, life string, wanted func(peer.Member) bool) []peer.Member {
+func ranked(members []peer.Member, self, incarnation string, eligible func(peer.Member) bool) []peer.Member {
 	type candidate struct {
 		member peer.Member
 		rank   uint64
 	}
-	var live []candidate
+	var candidates []candidate
 	for _, member := range members {
-		if member.Host != self && wanted(member) {
-			live = append(live, candidate{member, xxhash.Sum64String(life + "/" + member.Host)})
+		if member.Host != self && eligible(member) {
+			candidates = append(candidates, candidate{member, xxhash.Sum64String(incarnation + "/" + member.Host)})
 		}
 	}
-	slices.SortFunc(live, func(a, b candidate) int {
+	slices.SortFunc(candidates, func(a, b candidate) int {
 		switch {
 		case a.rank > b.rank:
 			return -1
@@ -162,14 +162,14 @@
 		}
 		return 0
 	})
-	ordered := make([]peer.Member, len(live))
-	for i, r := range live {
+	ordered := make([]peer.Member, len(candidates))
+	for i, r := range candidates {
 		ordered[i] = r.member
 	}
 	return ordered
 }
 
-func unreachable(err error) *contract.Refusal {
+func homeUnreachable(err error) *contract.Refusal {
 	return contract.Unknown(contract.ReasonHomeUnreachable, homeRetryAfter, "the key's entry host cannot be reached; repeat with the same key").WithCause(err)
 }
 
@@ -185,13 +185,13 @@
 // peer.Handler. It never forwards the request again, so there are no forwarding
 // loops.
 func (h *homes) Forward(ctx context.Context, request *peerpb.ForwardRequest) *peerpb.ForwardResponse {
-	ctx, stop := context.WithTimeout(ctx, answerWithin)
+	ctx, stop := context.WithTimeout(ctx, replyTimeout)
 	defer stop()
-	answer := h.forwarded(ctx, request)
+	answer := h.handleForwarded(ctx, request)
 	return answer.ToProto()
 }
 
-func (h *homes) forwarded(ctx context.Context, request *peerpb.ForwardRequest) record.Answer {
+func (h *homes) handleForwarded(ctx context.Context, request *peerpb.ForwardRequest) record.Answer {
 	key, err := record.ParseKey(request.GetKey())
 	if err != nil {
 		return record.Answer{Refusal: contract.NotRun(contract.ReasonKeyInvalid, 0, err.Error()).WithStatus(400)}
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -44,10 +44,10 @@
 	tokens     *settings.Tokens
 	logger     *zap.Logger
 	table      *configuration.Table
-	watcher    *replica.Follower
-	watch      *domain.WatchDuty
+	follower   *replica.Follower
+	watchDuty  *domain.WatchDuty
 	hostList   *hostList
-	duty       *order.Duty
+	orderDuty  *order.Duty
 	acceptor   *configuration.Acceptor
 	node       *peer.Node
 	distances  *domain.Distances
@@ -59,14 +59,14 @@
 	quarantine *quarantine.Table
 	relay      *relay.Relay
 	server     *http.Server
-	inFlight   *gauge
+	inFlight   *inFlightCounter
 
-	live     atomic.Int64 // number of live entry hosts in the membership
-	refusing atomic.Bool  // new work is refused
-	leaving  atomic.Bool  // reported as not ready
-	closing  atomic.Bool  // records have been handed over
-	stop     context.CancelFunc
-	stopped  chan struct{} // closed when Run has returned
+	liveHosts atomic.Int64 // number of live entry hosts in the membership
+	refusing  atomic.Bool  // new work is refused
+	leaving   atomic.Bool  // reported as not ready
+	closing   atomic.Bool  // records have been handed over
+	stop      context.CancelFunc
+	stopped   chan struct{} // closed when Run has returned
 }
 
 // New returns a host that is not yet running. Run starts it.
@@ -78,14 +78,14 @@
 	h := &Host{
 		options: o, settings: o.Settings, tokens: o.Settings.Tokens(), logger: o.Logger,
 		table: configuration.NewTable(contract.ParseDocument), distances: distancesOf(o.Settings),
-		pool: backend.NewPool(backend.PoolOptions{Logger: o.Logger}), inFlight: newGauge(), stopped: make(chan struct{}),
+		pool: backend.NewPool(backend.PoolOptions{Logger: o.Logger}), inFlight: newInFlightCounter(), stopped: make(chan struct{}),
 		client: backend.NewClient(o.Network, backend.ClientOptions{Silence: o.BackendSilence}),
 	}
 	h.acceptor = configuration.NewAcceptor(o.Store, acceptanceParser(o.Settings))
 	h.acceptor.Seen = func(object store.Object) { h.table.Adopt([]store.Object{object}) }
-	h.acceptor.Clash = h.organisations().clash
+	h.acceptor.Clash = h.organisations().checkConflict
 	h.ledger = newLedger(o.Settings)
-	scheduler, err := routing.New(routing.Options{Pool: h.pool, Policy: o.Policy, Host: o.Settings.Host, Share: h.share})
+	scheduler, err := routing.New(routing.Options{Pool: h.pool, Policy: o.Policy, Host: o.Settings.Host, Share: h.limitShare})
 	if err != nil {
 		return nil, err
 	}
@@ -101,13 +101,13 @@
 	h.node = h.newNode(homes)
 	homes.peers = h.node
 	h.relay.SetHomes(homes)
-	h.watch = h.newWatchDuty()
-	h.hostList = newHostList(o.Store, h.pool, h.watch.Watches)
-	h.duty = h.newDuty()
-	h.watcher = &replica.Follower{Store: o.Store, Kind: configuration.Kind, Table: h.table.Table, Logger: o.Logger, Active: h.followsStore}
+	h.watchDuty = h.newWatchDuty()
+	h.hostList = newHostList(o.Store, h.pool, h.watchDuty.Watches)
+	h.orderDuty = h.newOrderDuty()
+	h.follower = &replica.Follower{Store: o.Store, Kind: configuration.Kind, Table: h.table.Table, Logger: o.Logger, Active: h.followsStore}
 	h.server = &http.Server{Handler: h.handler(), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
 	registerCollectors()
-	h.connect()
+	h.subscribe()
 	return h, nil
 }
 
@@ -193,21 +193,22 @@
 	return changed, nil
 }
 
-// countLive updates the number of live hosts. Each routing decision needs it, and
-// copying the membership each time would cost more than the decision itself.
-func (h *Host) countLive() {
+// updateLiveHosts updates the number of live hosts. Each routing decision needs
+// it, and copying the membership each time would cost more than the decision
+// itself.
+func (h *Host) updateLiveHosts() {
 	live := int64(0)
 	for _, member := range h.node.Members() {
 		if member.State == peer.StateAlive {
 			live++
 		}
 	}
-	h.live.Store(live)
+	h.liveHosts.Store(live)
 }
 
-// share returns this host's share of each limit that a document sets for the whole
-// fleet.
-func (h *Host) share() float64 { return 1 / float64(max(h.live.Load(), 1)) }
+// limitShare returns this host's share of each limit that a document sets for the
+// whole fleet.
+func (h *Host) limitShare() float64 { return 1 / float64(max(h.liveHosts.Load(), 1)) }
 
 // pollsPerSecond returns the rate of load polls, by default from the number of
 // live hosts.
@@ -215,19 +216,19 @@
 	if h.options.PollsPerSecond > 0 {
 		return h.options.PollsPerSecond
 	}
-	return backend.PollsPerSecond(int(h.live.Load()))
+	return backend.PollsPerSecond(int(h.liveHosts.Load()))
 }
 
 // followsStore reports whether this host watches the documents in the store: it
 // is one of the few watchers, or has the lease of the order duty.
-func (h *Host) followsStore() bool { return h.watch.Watches() || h.duty.Holding() }
+func (h *Host) followsStore() bool { return h.watchDuty.Watches() || h.orderDuty.Holding() }
 
-// connect registers the callbacks by which changes of one component reach the
+// subscribe registers the callbacks by which changes of one component reach the
 // others.
-func (h *Host) connect() {
+func (h *Host) subscribe() {
 	h.table.Subscribe(func() {
 		h.pool.Update(h.table.Documents())
-		h.takeDrains()
+		h.applyDrains()
 		h.hostList.apply(h.table.Documents())
 		h.node.Announce()
 	})
@@ -237,7 +238,7 @@
 	// announced to peers too, a drain would outlast its end until the
 	// announcement expires.
 	h.pool.OnChange(func() { announcer.announce(h.pool.Leaving(backend.SourceOperator), time.Now()) })
-	h.node.Watch(h.countLive)
+	h.node.Watch(h.updateLiveHosts)
 	h.node.Watch(func() {
 		for _, server := range h.node.LeavingServers() {
 			h.pool.MarkLeaving(server.Server, backend.SourcePeer, server.Until)
@@ -245,8 +246,8 @@
 	})
 }
 
-// takeDrains applies the operators' drains and evacuations in force to the pool.
-func (h *Host) takeDrains() {
+// applyDrains applies the operators' drains and evacuations in force to the pool.
+func (h *Host) applyDrains() {
 	for _, document := range h.table.Documents() {
 		for _, server := range document.BackendServers {
 			if h.table.Drained(server.Address) || h.table.Evacuated(server.FailureDomain) {
@@ -297,11 +298,11 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return h.serve(listener) })
 	group.Go(func() error { return h.runNode(ctx) })
-	group.Go(func() error { return ended(h.watcher.Run(ctx)) })
-	group.Go(func() error { return ended(h.watch.Run(ctx)) })
+	group.Go(func() error { return ignoreCanceled(h.follower.Run(ctx)) })
+	group.Go(func() error { return ignoreCanceled(h.watchDuty.Run(ctx)) })
 	group.Go(func() error { h.poller.Run(ctx); return nil })
 	group.Go(func() error { h.hostList.run(ctx); return nil })
-	group.Go(func() error { return ended(h.duty.Run(ctx)) })
+	group.Go(func() error { return ignoreCanceled(h.orderDuty.Run(ctx)) })
 	group.Go(func() error {
 		<-ctx.Done()
 		return h.server.Close()
@@ -346,7 +347,7 @@
 	return err
 }
 
-func ended(err error) error {
+func ignoreCanceled(err error) error {
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
--- a/entryhost/host_test.go
+++ b/entryhost/host_test.go
@@ -20,7 +20,7 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-func TestWholePath(t *testing.T) {
+func TestEndToEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 3)
 		defer s.close()
@@ -95,7 +95,7 @@
 
 // Guards against information in responses to a wrong or missing token: they must
 // contain nothing but the 401 problem.
-func TestWrongTokenSaysNothing(t *testing.T) {
+func TestWrongTokenRevealsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 1)
 		defer s.close()
@@ -212,7 +212,7 @@
 // Guards against a model loaded by several hosts at once, or by none after its engine crashed.
 func TestModelIsPlacedAndMovesWhenItsEngineDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSiteOf(t, 3, engine.Config{})
+		s := newSiteWithEngines(t, 3, engine.Config{})
 		defer s.close()
 		client := s.caller(hostIP(0) + ":7480")
 		defer client.Close()
@@ -248,7 +248,7 @@
 		s.fabric.SilenceOpen(hostIP(0), hostIP(1))
 		began := time.Now()
 		s.is.Equal(s.acknowledge(1, home+".ack-2"), "200 POST /alarms/7/ack: seen")
-		s.is.True(time.Since(began) < 2*askTimeout)
+		s.is.True(time.Since(began) < 2*queryTimeout)
 		s.is.Equal(s.plain.RunsByKey()[home+".ack-2"], 1)
 	})
 }
@@ -260,7 +260,7 @@
 		s := newSite(t, 2)
 		defer s.close()
 		s.plain.Next(plain.Late)
-		s.plain.LateBy(3 * askTimeout)
+		s.plain.LateBy(3 * queryTimeout)
 		key := s.hosts[0].ledger.Home().String() + ".ack-1"
 		s.is.Equal(s.acknowledge(1, key), "200 POST /alarms/7/ack: seen")
 		s.is.Equal(s.plain.RunsByKey()[key], 1)
@@ -329,7 +329,7 @@
 }
 
 // Guards against a second run of a call whose outcome is unknown when its caller repeats it.
-func TestUnknownStaysUnknown(t *testing.T) {
+func TestUnknownOutcomeIsFinal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 1)
 		defer s.close()
@@ -344,9 +344,9 @@
 }
 
 // Guards against refusals during a rolling update while no engine has the new model version yet.
-func TestModelRollRefusesNothing(t *testing.T) {
+func TestModelUpdateRefusesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSiteOf(t, 2, engine.Config{Models: []string{"basin@3"}, LoadTime: 5 * time.Second})
+		s := newSiteWithEngines(t, 2, engine.Config{Models: []string{"basin@3"}, LoadTime: 5 * time.Second})
 		defer s.close()
 		client := s.caller(hostIP(0) + ":7480")
 		defer client.Close()
@@ -387,7 +387,7 @@
 // Guards against leaving engines that go undetected by hosts that rarely poll the load.
 func TestLoadReportsComeWithStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSiteWith(t, 1, engine.Config{Models: []string{"basin@3"}, StreamReports: 8}, 0.001)
+		s := newSiteWithPolls(t, 1, engine.Config{Models: []string{"basin@3"}, StreamReports: 8}, 0.001)
 		defer s.close()
 		client := s.caller(hostIP(0) + ":7480")
 		defer client.Close()
--- a/entryhost/hostlist.go
+++ b/entryhost/hostlist.go
@@ -28,7 +28,7 @@
 	HostLeaving = "leaving"
 )
 
-const hostListPause = time.Second // between checks whether this host watches the store
+const hostListCheckInterval = time.Second // between checks whether this host watches the store
 
 // hostList applies the platform's list of hosts to the pool. The list lags behind
 // the actual state, so it can only mark servers as leaving: a live entry clears
@@ -53,32 +53,32 @@
 	var backoff store.Backoff
 	for ctx.Err() == nil {
 		if !l.active() {
-			_ = sleep.For(ctx, hostListPause)
+			_ = sleep.For(ctx, hostListCheckInterval)
 			continue
 		}
-		if l.follow(ctx, &backoff) != nil {
+		if l.listAndWatch(ctx, &backoff) != nil {
 			_ = backoff.Wait(ctx) // on error the loop ends, since ctx is done
 		}
 	}
 }
 
-// follow lists the hosts and then watches them until an error occurs or this
+// listAndWatch lists the hosts and then watches them until an error occurs or this
 // host no longer watches the store.
-func (l *hostList) follow(ctx context.Context, backoff *store.Backoff) error {
+func (l *hostList) listAndWatch(ctx context.Context, backoff *store.Backoff) error {
 	hosts, revision, err := l.store.List(ctx, HostKind)
 	if err != nil {
 		return err
 	}
 	l.replace(hosts)
 	// From now on another host watches the list and announces leaving servers
-	// to its peers. The marks set here would never be cleared.
+	// to its peers. The marks set here would otherwise never be cleared.
 	defer l.replace(nil)
 	for l.active() {
 		backoff.Reset()
 		if hosts, revision, err = l.store.Watch(ctx, HostKind, revision); err != nil {
 			return err
 		}
-		l.take(hosts)
+		l.update(hosts)
 	}
 	return nil
 }
@@ -88,10 +88,10 @@
 	l.mu.Lock()
 	clear(l.leaving)
 	l.mu.Unlock()
-	l.take(hosts)
+	l.update(hosts)
 }
 
-func (l *hostList) take(hosts []store.Object) {
+func (l *hostList) update(hosts []store.Object) {
 	l.mu.Lock()
 	for _, host := range hosts {
 		var entry HostEntry
--- a/entryhost/http.go
+++ b/entryhost/http.go
@@ -47,10 +47,10 @@
 	callers := callerserver.New(caller.NewEndpoints(&callerService{h}), mux, decoder, encoder, nil, asProblem)
 	// The handlers generated for the two data routes are replaced, since they
 	// set no write deadline and ignore write errors.
-	callers.Generate = h.counted(func(w http.ResponseWriter, r *http.Request) {
+	callers.Generate = h.trackInFlight(func(w http.ResponseWriter, r *http.Request) {
 		h.relay.Generate(w, r, mux.Vars(r)["service"])
 	})
-	callers.Call = h.counted(func(w http.ResponseWriter, r *http.Request) {
+	callers.Call = h.trackInFlight(func(w http.ResponseWriter, r *http.Request) {
 		service := mux.Vars(r)["service"]
 		h.relay.Call(w, r, service, callPath(r, service))
 	})
@@ -83,8 +83,9 @@
 	})
 }
 
-// counted counts the request as in flight, so that a stopping host waits for it.
-func (h *Host) counted(next http.HandlerFunc) http.Handler {
+// trackInFlight counts a request as in flight, so that a stopping host waits for
+// it.
+func (h *Host) trackInFlight(next http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h.inFlight.enter()
 		defer h.inFlight.leave()
@@ -127,25 +128,25 @@
 // asProblem converts errors of the generated code into problem documents: errors
 // of the design, and requests that cannot be decoded.
 func asProblem(_ context.Context, err error) goahttp.Statuser {
-	var ofOperator *operator.Problem
-	var ofCaller *caller.Problem
+	var operatorErr *operator.Problem
+	var callerErr *caller.Problem
 	switch {
-	case errors.As(err, &ofOperator):
-		return operatorBody(ofOperator)
-	case errors.As(err, &ofCaller):
+	case errors.As(err, &operatorErr):
+		return operatorBody(operatorErr)
+	case errors.As(err, &callerErr):
 		return problemBody{Problem: relay.Problem{
-			Name: ofCaller.Name, Type: ofCaller.Type, Title: ofCaller.Title, Status: ofCaller.Status, Outcome: ofCaller.Outcome, Reason: ofCaller.Reason, RetryAfterMS: milliseconds(ofCaller.RetryAfterMs),
+			Name: callerErr.Name, Type: callerErr.Type, Title: callerErr.Title, Status: callerErr.Status, Outcome: callerErr.Outcome, Reason: callerErr.Reason, RetryAfterMS: milliseconds(callerErr.RetryAfterMs),
 		}}
 	}
 	refusal := contract.NotRun(contract.ReasonBadRequest, 0, err.Error()).WithStatus(http.StatusBadRequest)
 	return problemBody{Problem: relay.ProblemOf(refusal)}
 }
 
-func milliseconds(given *int64) int64 {
-	if given == nil {
+func milliseconds(value *int64) int64 {
+	if value == nil {
 		return 0
 	}
-	return *given
+	return *value
 }
 
 func operatorBody(p *operator.Problem) problemBody {
--- a/entryhost/operator.go
+++ b/entryhost/operator.go
@@ -187,7 +187,7 @@
 	h.node.Refresh(ctx)
 	status := &operator.HostStatus{
 		Host: h.settings.Host, ConfigurationVersion: uint64(h.table.Version()), Services: h.services(),
-		BackendServers: h.backendServers(), Members: h.members(), StoreReachable: h.watcher.Reachable(),
+		BackendServers: h.backendServers(), Members: h.members(), StoreReachable: h.follower.Reachable(),
 	}
 	return status, nil
 }
--- a/entryhost/organisations_test.go
+++ b/entryhost/organisations_test.go
@@ -51,9 +51,9 @@
 }
 
 const (
-	served  = "200 200 200 200 200 200 "
-	refused = "401 401 401 401 401 401 "
-	others  = "200 404 200 404 200 404 " // valid token, but not for this service
+	served     = "200 200 200 200 200 200 "
+	refused    = "401 401 401 401 401 401 "
+	notAllowed = "200 404 200 404 200 404 " // valid token, but not for this service
 )
 
 // Guards against tokens that only some hosts accept.
@@ -76,7 +76,7 @@
 		rotated, err := s.putOrganisation(2, "c3", "seyhan", both.Version, []string{outlook}, "second")
 		s.is.NoErr(err)
 		time.Sleep(spreadTime)
-		s.is.Equal(s.statuses("first")+s.statuses("second"), refused+others)
+		s.is.Equal(s.statuses("first")+s.statuses("second"), refused+notAllowed)
 
 		_, err = s.operator(1).RemoveOrganisation(t.Context(), &operator.RemoveOrganisationPayload{Token: &opsToken, Name: "seyhan", ExpectVersion: rotated.Version, ChangeID: "c4"})
 		s.is.NoErr(err)
@@ -86,7 +86,7 @@
 }
 
 // Guards against organisations lost or changes half applied during a store outage.
-func TestOrganisationsGoOnWithoutTheStore(t *testing.T) {
+func TestOrganisationsSurviveStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 3)
 		defer s.close()
@@ -105,7 +105,7 @@
 }
 
 // Guards against 401 for valid tokens from a host that has not yet received the organisations.
-func TestStartingHostDoesNotCallTokensWrong(t *testing.T) {
+func TestStartingHostDoesNotRejectTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 2)
 		defer s.close()
@@ -127,7 +127,7 @@
 }
 
 // Guards against one token that belongs to two organisations or operators.
-func TestOrganisationThatClashesIsRefused(t *testing.T) {
+func TestConflictingOrganisationIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 1)
 		defer s.close()
--- a/entryhost/quarantine_test.go
+++ b/entryhost/quarantine_test.go
@@ -18,8 +18,8 @@
 // crashingServers are servers that crash on a call to /crash or on a generation
 // whose prompt is "crash".
 type crashingServers struct {
-	mu    sync.Mutex // guards ended
-	ended int
+	mu      sync.Mutex // guards ended
+	crashes int
 }
 
 // serveRisky adds the service risky, whose servers crash on these requests.
@@ -38,7 +38,7 @@
 				return
 			}
 			c.mu.Lock()
-			c.ended++
+			c.crashes++
 			c.mu.Unlock()
 			_ = server.Close()
 			panic(http.ErrAbortHandler)
@@ -53,11 +53,12 @@
 func (c *crashingServers) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ended
+	return c.crashes
 }
 
-// askRisky sends a request for the service risky to host i and returns status and body.
-func (s *site) askRisky(i int, method, path, content string) (int, string) {
+// requestRisky sends a request for the service risky to host i and returns status
+// and body.
+func (s *site) requestRisky(i int, method, path, content string) (int, string) {
 	request, err := http.NewRequest(method, "http://"+hostIP(i)+":7480/v1/services/risky/"+path, strings.NewReader(content))
 	s.is.NoErr(err)
 	request.Header.Set("Authorization", "Bearer "+testToken)
@@ -73,14 +74,14 @@
 		defer s.close()
 		servers := s.serveRisky("kind: plain")
 		for i := range 9 {
-			s.askRisky(i%3, http.MethodGet, "call/crash", "")
+			s.requestRisky(i%3, http.MethodGet, "call/crash", "")
 			time.Sleep(time.Second)
 		}
 		s.is.True(servers.count() <= 3)
-		status, body := s.askRisky(0, http.MethodGet, "call/crash", "")
+		status, body := s.requestRisky(0, http.MethodGet, "call/crash", "")
 		s.is.Equal(status, http.StatusServiceUnavailable)
 		s.is.True(strings.Contains(body, `"outcome":"not_run"`) && strings.Contains(body, `"reason":"quarantined"`))
-		status, _ = s.askRisky(1, http.MethodGet, "call/harmless", "")
+		status, _ = s.requestRisky(1, http.MethodGet, "call/harmless", "")
 		s.is.Equal(status, http.StatusOK)
 	})
 }
@@ -95,7 +96,7 @@
 model: {name: basin, version: "3", max_tokens: 4096, idempotent: true}`)
 		body := ""
 		for i := range 9 {
-			_, body = s.askRisky(i%3, http.MethodPost, "generations", `{"prompt":"crash"}`)
+			_, body = s.requestRisky(i%3, http.MethodPost, "generations", `{"prompt":"crash"}`)
 			time.Sleep(time.Second)
 		}
 		s.is.True(servers.count() > 0)
--- a/entryhost/site_test.go
+++ b/entryhost/site_test.go
@@ -49,33 +49,33 @@
 // site is an in-memory deployment for a synctest bubble: a store, two engines, a
 // plain service and entry hosts.
 type site struct {
-	is      *is.I
-	fabric  *network.Fabric
-	store   *store.Memory
-	engines []*engine.Engine
-	plain   *plain.Service
-	hosts   []*Host
-	stops   []func()
-	polls   float64      // load polls per second of each host; 0 for the default
-	killed  map[int]bool // hosts whose machine was killed
-	keys    string       // event keys in the settings of hosts started from now on
+	is             *is.I
+	fabric         *network.Fabric
+	store          *store.Memory
+	engines        []*engine.Engine
+	plain          *plain.Service
+	hosts          []*Host
+	stops          []func()
+	pollsPerSecond float64      // load polls per second of each host; 0 for the default
+	killed         map[int]bool // hosts whose machine was killed
+	eventKeys      string       // event keys in the settings of hosts started from now on
 }
 
-// testKey is the default event key.
-var testKey = strings.Repeat("ab", 32)
+// testEventKey is the default event key.
+var testEventKey = strings.Repeat("ab", 32)
 
 func hostIP(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) }
 
 func newSite(t *testing.T, hosts int) *site {
-	return newSiteOf(t, hosts, engine.Config{Models: []string{"basin@3"}})
+	return newSiteWithEngines(t, hosts, engine.Config{Models: []string{"basin@3"}})
 }
 
-func newSiteOf(t *testing.T, hosts int, engines engine.Config) *site {
-	return newSiteWith(t, hosts, engines, 0)
+func newSiteWithEngines(t *testing.T, hosts int, engines engine.Config) *site {
+	return newSiteWithPolls(t, hosts, engines, 0)
 }
 
-func newSiteWith(t *testing.T, hosts int, engines engine.Config, polls float64) *site {
-	s := &site{polls: polls, killed: make(map[int]bool), is: is.New(t), fabric: network.New(network.Options{}), store: store.NewMemory(), keys: "event_key: " + testKey, plain: plain.New(plain.Config{Name: "plain-1"})}
+func newSiteWithPolls(t *testing.T, hosts int, engines engine.Config, polls float64) *site {
+	s := &site{pollsPerSecond: polls, killed: make(map[int]bool), is: is.New(t), fabric: network.New(network.Options{}), store: store.NewMemory(), eventKeys: "event_key: " + testEventKey, plain: plain.New(plain.Config{Name: "plain-1"})}
 	for i := range 2 {
 		engines.Name, engines.Seed = fmt.Sprintf("engine-%d", i+1), uint64(i)
 		e := engine.New(engines)
@@ -113,12 +113,12 @@
 	s.is.Equal(result.Outcome, configuration.Accepted)
 }
 
-func (s *site) start(i, of int) { s.startAt(i, of, hostIP(i)) }
+func (s *site) start(i, total int) { s.startAt(i, total, hostIP(i)) }
 
 // startAt starts host i at an IP that may differ from hostIP(i).
-func (s *site) startAt(i, of int, ip string) {
+func (s *site) startAt(i, total int, ip string) {
 	var peers []string
-	for j := range of {
+	for j := range total {
 		peers = append(peers, fmt.Sprintf("%q", hostIP(j)+":7481"))
 	}
 	parsed, err := settings.Parse("test.yaml", []byte(fmt.Sprintf(`
@@ -133,10 +133,10 @@
   - {name: akarsu, token_sha256: %s}
 operators:
   - {name: ops, token_sha256: %s}
-`, i+1, ip, ip, strings.Join(peers, ", "), s.keys,
+`, i+1, ip, ip, strings.Join(peers, ", "), s.eventKeys,
 		settings.HashToken(testToken), settings.HashToken("ops-token"))))
 	s.is.NoErr(err)
-	host, err := New(Options{Settings: parsed, Network: s.fabric.Host(ip), Store: s.store, PollsPerSecond: s.polls})
+	host, err := New(Options{Settings: parsed, Network: s.fabric.Host(ip), Store: s.store, PollsPerSecond: s.pollsPerSecond})
 	s.is.NoErr(err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -183,11 +183,11 @@
 		}
 		s.is.NoErr(err)
 		s.is.Equal(token.Index, n)
-		s.is.True(s.ownToken(token))
+		s.is.True(s.isEngineToken(token))
 	}
 }
 
-func (s *site) ownToken(token caller.Token) bool {
+func (s *site) isEngineToken(token caller.Token) bool {
 	for _, e := range s.engines {
 		for _, run := range e.Runs() {
 			if token.Text == engine.TokenText(run.GenerationID, token.Index) {
--- a/entryhost/stop.go
+++ b/entryhost/stop.go
@@ -42,7 +42,7 @@
 	case <-ctx.Done():
 	}
 	select {
-	case <-h.inFlight.zero(): // no new work starts, so the count stays zero
+	case <-h.inFlight.idle(): // no new work starts, so the count stays zero
 	case <-ctx.Done():
 	}
 }
@@ -76,8 +76,8 @@
 func (h *Host) handOver(ctx context.Context) {
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), handOverTimeout)
 	defer stop()
-	for life, pages := range h.ledger.Pages() {
-		for _, successor := range successors(h.node.Members(), h.settings.Host, life) {
+	for incarnation, pages := range h.ledger.Pages() {
+		for _, successor := range successors(h.node.Members(), h.settings.Host, incarnation) {
 			err := h.handOverTo(ctx, successor.Host, pages)
 			if err == nil {
 				break
@@ -108,39 +108,39 @@
 	return nil
 }
 
-// gauge is the number of requests in flight.
-type gauge struct {
+// inFlightCounter counts the requests in flight.
+type inFlightCounter struct {
 	mu    sync.Mutex // guards the fields below
 	count int
 	empty chan struct{} // closed while count is zero
 }
 
-func newGauge() *gauge {
+func newInFlightCounter() *inFlightCounter {
 	empty := make(chan struct{})
 	close(empty)
-	return &gauge{empty: empty}
+	return &inFlightCounter{empty: empty}
 }
 
-func (g *gauge) enter() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.count == 0 {
-		g.empty = make(chan struct{})
+func (c *inFlightCounter) enter() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.count == 0 {
+		c.empty = make(chan struct{})
 	}
-	g.count++
+	c.count++
 }
 
-func (g *gauge) leave() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.count--; g.count == 0 {
-		close(g.empty)
+func (c *inFlightCounter) leave() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.count--; c.count == 0 {
+		close(c.empty)
 	}
 }
 
-// zero returns a channel that is closed while no request is in flight.
-func (g *gauge) zero() <-chan struct{} {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.empty
+// idle returns a channel that is closed while no request is in flight.
+func (c *inFlightCounter) idle() <-chan struct{} {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.empty
 }
