--- a/backend/pool_snapshot.go
+++ b/backend/pool_snapshot.go
@@ -8,43 +8,43 @@
 	"github.com/papayasail/papayasail/contract"
 )
 
-// Server is one backend server as a snapshot shows it. It never changes.
+// Server is one backend server in a snapshot. It is immutable.
 type Server struct {
 	contract.BackendServer
 	State      State
-	Model      string // version of the service's model that it has, name@version; plain: empty
+	Model      string // version of the service's model that it has loaded, name@version; empty for a plain service
 	Load       LoadReport
-	ReportedAt time.Time // when Load was received; zero: never
-	ReadySince time.Time // start of its slow start; zero: long ago
+	ReportedAt time.Time // when Load was received; zero if never
+	ReadySince time.Time // start of its slow start; zero if none
 }
 
-// Snapshot is the immutable view of one service's backend servers, shared by
-// all who ask for it until something changes.
+// Snapshot is an immutable view of one service's backend servers. Callers of
+// Pool.Snapshot share it until the state changes.
 type Snapshot struct {
 	Document *contract.Document
-	// Servers stand in the document's order.
+	// Servers are in the document's order.
 	Servers []*Server
-	// Layout rises when the list of servers changes, not with their state.
+	// Layout increases when the list of servers changes, not with their state.
 	Layout uint64
-	// SlowStart is the length of a slow start.
+	// SlowStart is the duration of a slow start.
 	SlowStart time.Duration
 
-	expires time.Time // when a state changes by itself; zero: never
+	expires time.Time // when a state next changes with time; zero if it does not
 }
 
-// Ramp returns the share of its full work that a server may get at a moment:
-// 1, or less while it starts slowly. Without the ramp a server that comes back
-// empty draws all new work at once and fails under it.
+// Ramp returns the share of its full load that a server may get at time now: 1,
+// or less during its slow start. Without the ramp a server that returns empty
+// would attract all new work at once and be overloaded.
 func (s *Snapshot) Ramp(server *Server, now time.Time) float64 {
 	if server.ReadySince.IsZero() || s.SlowStart <= 0 {
 		return 1
 	}
-	const least = 0.1
+	const minShare = 0.1
 	share := float64(now.Sub(server.ReadySince)) / float64(s.SlowStart)
-	return min(1, max(least, share))
+	return min(1, max(minShare, share))
 }
 
-func (s *Snapshot) holds(address string) bool {
+func (s *Snapshot) contains(address string) bool {
 	for _, server := range s.Servers {
 		if server.Address == address {
 			return true
@@ -53,7 +53,7 @@
 	return false
 }
 
-// Snapshot returns the view of a service, nil if it is not in force.
+// Snapshot returns the current view of a service, or nil if it is not in force.
 func (p *Pool) Snapshot(service string) *Snapshot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,7 +63,7 @@
 	}
 	now := time.Now()
 	if entry.snapshot == nil || entry.snapshot.expired(now) {
-		entry.snapshot = p.build(entry, now)
+		entry.snapshot = p.buildSnapshot(entry, now)
 	}
 	return entry.snapshot
 }
@@ -72,8 +72,8 @@
 	return !s.expires.IsZero() && !now.Before(s.expires)
 }
 
-// build makes a snapshot from the table. Called with mu held.
-func (p *Pool) build(service *poolService, now time.Time) *Snapshot {
+// buildSnapshot creates a snapshot from the table. The caller holds mu.
+func (p *Pool) buildSnapshot(service *poolService, now time.Time) *Snapshot {
 	snapshot := &Snapshot{
 		Document:  service.document,
 		Servers:   make([]*Server, len(service.members)),
@@ -86,33 +86,34 @@
 			snapshot.expires = until
 		}
 		declared := service.document.BackendServers[i]
-		p.note(member, declared, state)
+		p.logStateChange(member, declared, state)
 		model, loaded := servedModel(service.document.Model, member)
 		if !loaded && state == StateReady {
 			state = StateUnloaded
 		}
-		snapshot.Servers[i] = member.show(declared, state, model)
+		snapshot.Servers[i] = member.immutableView(declared, state, model)
 	}
 	return snapshot
 }
 
-// servedModel returns the version of a service's model that a server has.
+// servedModel returns the version of a service's model that a server has
+// loaded, and false if the server reports models but no version of this one.
 //
-// Guards against a roll that refuses work: as soon as a document with a new
-// version is in force, servers that still have the old one only would refuse
-// every generation. False: the server reports models, but none of this service.
+// It also accepts older versions: if only the version of the new document
+// counted during a rolling update, every generation would be refused while the
+// servers still have the old one.
 func servedModel(model *contract.ModelSpec, member *poolServer) (string, bool) {
 	if model == nil {
 		return "", true
 	}
 	if len(member.load.Models) == 0 {
-		return model.Target(), true // nothing is known of it
+		return model.Target(), true // the loaded models are not known
 	}
 	return model.Served(member.load.Models)
 }
 
-// note logs a change of state. Called with mu held.
-func (p *Pool) note(member *poolServer, declared contract.BackendServer, state State) {
+// logStateChange logs a change of state. The caller holds mu.
+func (p *Pool) logStateChange(member *poolServer, declared contract.BackendServer, state State) {
 	if member.lastState != state && member.lastState != "" {
 		p.options.Logger.Info(logStateChanged, zap.String("server", declared.Name),
 			zap.String("address", declared.Address), zap.String("state", string(state)))
@@ -120,9 +121,9 @@
 	member.lastState = state
 }
 
-// show returns the immutable view of a server, the last one if nothing
-// changed. Called with the pool's mu held.
-func (s *poolServer) show(declared contract.BackendServer, state State, model string) *Server {
+// immutableView returns the immutable view of a server; it reuses the last one if
+// nothing changed. The caller holds the pool's mu.
+func (s *poolServer) immutableView(declared contract.BackendServer, state State, model string) *Server {
 	last := s.view
 	if last != nil && last.State == state && last.Model == model && last.BackendServer == declared {
 		return last
--- a/entryhost/duty.go
+++ b/entryhost/duty.go
@@ -10,26 +10,26 @@
 	"github.com/papayasail/papayasail/order"
 )
 
-// newDuty returns the duty of giving orders to engines, for which the hosts
-// that watch the store contend.
-func (h *Host) newDuty() *order.Duty {
+// newOrderDuty returns the duty of sending orders to engines. The hosts that
+// watch the store contend for its lease.
+func (h *Host) newOrderDuty() *order.Duty {
 	engines := backend.NewClient(h.options.Network, backend.ClientOptions{ControlTimeout: orderTimeout, OrderToken: h.settings.OrderToken})
 	return order.New(order.Options{
 		Host: h.settings.Host, FailureDomain: h.settings.FailureDomain, Store: h.options.Store, Engine: engines,
-		Documents: h.table, Leaving: h.serverLeaving, Contend: h.contends, Refresh: h.refresh,
+		Documents: h.table, Leaving: h.serverLeaving, Contend: h.contends, Refresh: h.refreshDocuments,
 		LoadsPerMinute: float64(h.settings.Limits.LoadsPerMinute), Longest: orderTimeout, Logger: h.logger,
 	})
 }
 
-// orderTimeout is the longest that an engine may take to carry out an order,
-// such as to load a model.
+// orderTimeout is the maximum time for an engine to execute an order, such as
+// loading a model.
 const orderTimeout = 30 * time.Second
 
-// contends reports whether this host tries for the lease of orders.
-func (h *Host) contends() bool { return !h.leaving.Load() && h.watch.Watches() }
+// contends reports whether this host contends for the lease of the order duty.
+func (h *Host) contends() bool { return !h.leaving.Load() && h.watchDuty.Watches() }
 
-// refresh brings the documents up to date with the store.
-func (h *Host) refresh(ctx context.Context) error {
+// refreshDocuments reads all documents from the store and applies them.
+func (h *Host) refreshDocuments(ctx context.Context) error {
 	objects, revision, err := h.options.Store.List(ctx, configuration.Kind)
 	if err != nil {
 		return err
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -32,9 +32,9 @@
 	msgStopping = "stopping"
 	msgStopped  = "stopped"
 
-	msgSuperseded    = "replaced by another host of this name"
-	msgNotHandedOver = "records not handed over"
-	msgAnswersCutOff = "answers cut off at the end of the host"
+	msgSuperseded    = "superseded by another host with the same name"
+	msgNotHandedOver = "handing over records to a successor failed"
+	msgAnswersCutOff = "responses cut off at shutdown"
 )
 
 // Host is one entry host.
@@ -44,10 +44,10 @@
 	tokens     *settings.Tokens
 	logger     *zap.Logger
 	table      *configuration.Table
-	watcher    *replica.Follower
-	watch      *domain.WatchDuty
+	follower   *replica.Follower
+	watchDuty  *domain.WatchDuty
 	hostList   *hostList
-	duty       *order.Duty
+	orderDuty  *order.Duty
 	acceptor   *configuration.Acceptor
 	node       *peer.Node
 	distances  *domain.Distances
@@ -59,17 +59,17 @@
 	quarantine *quarantine.Table
 	relay      *relay.Relay
 	server     *http.Server
-	inFlight   *gauge
+	inFlight   *inFlightCounter
 
-	live     atomic.Int64 // entry hosts, as far as this one knows
-	refusing atomic.Bool  // no new work
-	leaving  atomic.Bool  // not ready
-	closing  atomic.Bool  // records handed over
-	stop     context.CancelFunc
-	stopped  chan struct{} // closed when Run has returned
+	liveHosts atomic.Int64 // number of live entry hosts in the membership
+	refusing  atomic.Bool  // new work is refused
+	leaving   atomic.Bool  // reported as not ready
+	closing   atomic.Bool  // records have been handed over
+	stop      context.CancelFunc
+	stopped   chan struct{} // closed when Run has returned
 }
 
-// New puts a host together. Run starts it.
+// New returns a host that is not yet running. Run starts it.
 func New(options Options) (*Host, error) {
 	if options.Store == nil {
 		return nil, errNoStore
@@ -78,14 +78,14 @@
 	h := &Host{
 		options: o, settings: o.Settings, tokens: o.Settings.Tokens(), logger: o.Logger,
 		table: configuration.NewTable(contract.ParseDocument), distances: distancesOf(o.Settings),
-		pool: backend.NewPool(backend.PoolOptions{Logger: o.Logger}), inFlight: newGauge(), stopped: make(chan struct{}),
+		pool: backend.NewPool(backend.PoolOptions{Logger: o.Logger}), inFlight: newInFlightCounter(), stopped: make(chan struct{}),
 		client: backend.NewClient(o.Network, backend.ClientOptions{Silence: o.BackendSilence}),
 	}
 	h.acceptor = configuration.NewAcceptor(o.Store, acceptanceParser(o.Settings))
 	h.acceptor.Seen = func(object store.Object) { h.table.Adopt([]store.Object{object}) }
-	h.acceptor.Clash = h.organisations().clash
+	h.acceptor.Clash = h.organisations().checkConflict
 	h.ledger = newLedger(o.Settings)
-	scheduler, err := routing.New(routing.Options{Pool: h.pool, Policy: o.Policy, Host: o.Settings.Host, Share: h.share})
+	scheduler, err := routing.New(routing.Options{Pool: h.pool, Policy: o.Policy, Host: o.Settings.Host, Share: h.limitShare})
 	if err != nil {
 		return nil, err
 	}
@@ -101,19 +101,20 @@
 	h.node = h.newNode(homes)
 	homes.peers = h.node
 	h.relay.SetHomes(homes)
-	h.watch = h.newWatchDuty()
-	h.hostList = newHostList(o.Store, h.pool, h.watch.Watches)
-	h.duty = h.newDuty()
-	h.watcher = &replica.Follower{Store: o.Store, Kind: configuration.Kind, Table: h.table.Table, Logger: o.Logger, Active: h.followsStore}
+	h.watchDuty = h.newWatchDuty()
+	h.hostList = newHostList(o.Store, h.pool, h.watchDuty.Watches)
+	h.orderDuty = h.newOrderDuty()
+	h.follower = &replica.Follower{Store: o.Store, Kind: configuration.Kind, Table: h.table.Table, Logger: o.Logger, Active: h.followsStore}
 	h.server = &http.Server{Handler: h.handler(), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
 	registerCollectors()
-	h.connect()
+	h.subscribe()
 	return h, nil
 }
 
-// acceptanceParser checks documents that are to be accepted: where the
-// settings name the failure domains, a document may name no other. What is
-// accepted already stays in force, whatever the settings of a host say.
+// acceptanceParser returns the parser for documents to be accepted: if the
+// settings list the failure domains, a document must not refer to any other.
+// Documents that are already accepted remain in force regardless of the
+// settings.
 func acceptanceParser(s *settings.Settings) configuration.Parser {
 	var references contract.References
 	if len(s.Distances) > 0 {
@@ -140,8 +141,8 @@
 	return domain.NewDistances(fixed)
 }
 
-// signer signs event ids with the event key and checks them with the previous
-// ones too.
+// signer returns a signer that signs event IDs with the event key and verifies
+// them with the current and the previous event keys.
 func (h *Host) signer() *relay.Signer {
 	return relay.NewSigner(append([][]byte{h.settings.EventKey}, h.settings.PreviousEventKeys...)...)
 }
@@ -178,62 +179,66 @@
 	})
 }
 
-// regionRadius is the one-way delay up to which failure domains count as one
-// region, whose hosts probe each other.
+// regionRadius is the maximum one-way delay between failure domains of one
+// region. The hosts of a region probe each other.
 const regionRadius = 5 * time.Millisecond
 
-// peerTable is the configuration as peers spread it.
+// peerTable adapts the configuration to peer.ConfigurationTable.
 type peerTable struct{ *configuration.Table }
 
-// Adopt implements peer.ConfigurationTable. Documents that cannot be read are
-// counted by the table.
+// Adopt implements peer.ConfigurationTable. It returns no error, since the table
+// counts documents that cannot be parsed.
 func (t peerTable) Adopt(objects []store.Object) (int, error) {
 	changed, _ := t.Table.Adopt(objects)
 	return changed, nil
 }
 
-// countLive keeps the number of live hosts, which each routing decision needs;
-// a copy of the membership for each would cost more than the decision.
-func (h *Host) countLive() {
+// updateLiveHosts updates the number of live hosts. Each routing decision needs
+// it, and copying the membership each time would cost more than the decision
+// itself.
+func (h *Host) updateLiveHosts() {
 	live := int64(0)
 	for _, member := range h.node.Members() {
 		if member.State == peer.StateAlive {
 			live++
 		}
 	}
-	h.live.Store(live)
+	h.liveHosts.Store(live)
 }
 
-// share is this host's part of each limit that a document states for the
+// limitShare returns this host's share of each limit that a document sets for the
 // whole fleet.
-func (h *Host) share() float64 { return 1 / float64(max(h.live.Load(), 1)) }
+func (h *Host) limitShare() float64 { return 1 / float64(max(h.liveHosts.Load(), 1)) }
 
-// pollsPerSecond is the rate of load questions, by the number of live hosts.
+// pollsPerSecond returns the rate of load polls, by default from the number of
+// live hosts.
 func (h *Host) pollsPerSecond() float64 {
 	if h.options.PollsPerSecond > 0 {
 		return h.options.PollsPerSecond
 	}
-	return backend.PollsPerSecond(int(h.live.Load()))
+	return backend.PollsPerSecond(int(h.liveHosts.Load()))
 }
 
-// followsStore reports whether this host watches the documents in the store:
-// one of the few that watch, or the one that gives orders.
-func (h *Host) followsStore() bool { return h.watch.Watches() || h.duty.Holding() }
+// followsStore reports whether this host watches the documents in the store: it
+// is one of the few watchers, or has the lease of the order duty.
+func (h *Host) followsStore() bool { return h.watchDuty.Watches() || h.orderDuty.Holding() }
 
-// connect wires changes of one part to the parts that follow it.
-func (h *Host) connect() {
+// subscribe registers the callbacks by which changes of one component reach the
+// others.
+func (h *Host) subscribe() {
 	h.table.Subscribe(func() {
 		h.pool.Update(h.table.Documents())
-		h.takeDrains()
+		h.applyDrains()
 		h.hostList.apply(h.table.Documents())
 		h.node.Announce()
 	})
 	h.hostList.changed = func() { h.hostList.apply(h.table.Documents()) }
 	announcer := newAnnouncer(h.node)
-	// Drains spread as configuration. Spread as news too, a drain that was
-	// ended would go on until the news runs out.
+	// Operators' drains are distributed with the configuration. If they were
+	// announced to peers too, a drain would outlast its end until the
+	// announcement expires.
 	h.pool.OnChange(func() { announcer.announce(h.pool.Leaving(backend.SourceOperator), time.Now()) })
-	h.node.Watch(h.countLive)
+	h.node.Watch(h.updateLiveHosts)
 	h.node.Watch(func() {
 		for _, server := range h.node.LeavingServers() {
 			h.pool.MarkLeaving(server.Server, backend.SourcePeer, server.Until)
@@ -241,9 +246,8 @@
 	})
 }
 
-// takeDrains follows the drains and evacuations that operators have put in
-// force.
-func (h *Host) takeDrains() {
+// applyDrains applies the operators' drains and evacuations in force to the pool.
+func (h *Host) applyDrains() {
 	for _, document := range h.table.Documents() {
 		for _, server := range document.BackendServers {
 			if h.table.Drained(server.Address) || h.table.Evacuated(server.FailureDomain) {
@@ -263,7 +267,8 @@
 	backend.Mismatch:    backend.FailureMismatch,
 }
 
-// observeBackend tells the pool how an exchange with a backend server went.
+// observeBackend records the result of an exchange with a backend server in the
+// pool.
 func (h *Host) observeBackend(address string, err error) {
 	if err == nil {
 		h.pool.Succeeded(address)
@@ -278,7 +283,8 @@
 	}
 }
 
-// Run serves until Stop has finished or ctx ends, which cuts everything off.
+// Run serves until Stop has finished or ctx is done. When ctx is done, requests in
+// flight are cut off.
 func (h *Host) Run(ctx context.Context) error {
 	ctx, h.stop = context.WithCancel(ctx)
 	defer close(h.stopped)
@@ -292,11 +298,11 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return h.serve(listener) })
 	group.Go(func() error { return h.runNode(ctx) })
-	group.Go(func() error { return ended(h.watcher.Run(ctx)) })
-	group.Go(func() error { return ended(h.watch.Run(ctx)) })
+	group.Go(func() error { return ignoreCanceled(h.follower.Run(ctx)) })
+	group.Go(func() error { return ignoreCanceled(h.watchDuty.Run(ctx)) })
 	group.Go(func() error { h.poller.Run(ctx); return nil })
 	group.Go(func() error { h.hostList.run(ctx); return nil })
-	group.Go(func() error { return ended(h.duty.Run(ctx)) })
+	group.Go(func() error { return ignoreCanceled(h.orderDuty.Run(ctx)) })
 	group.Go(func() error {
 		<-ctx.Done()
 		return h.server.Close()
@@ -305,11 +311,12 @@
 	return group.Wait()
 }
 
-// runNode takes part in the membership. A host that was replaced under its
-// name takes no new work, and ends when what runs here has finished.
+// runNode runs the membership node. A host that was superseded by another host
+// with its name refuses new work and ends when its requests in flight have
+// finished.
 //
-// Guards against a host that froze, was replaced and woke up: its streams are
-// alive, and to end at once would cut them off.
+// It does not end at once since the streams of a host that was paused, superseded
+// and resumed are still alive and would be cut off.
 func (h *Host) runNode(ctx context.Context) error {
 	err := h.node.Run(ctx)
 	var superseded *peer.SupersededError
@@ -340,7 +347,7 @@
 	return err
 }
 
-func ended(err error) error {
+func ignoreCanceled(err error) error {
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
--- a/entryhost/host_test.go
+++ b/entryhost/host_test.go
@@ -20,7 +20,7 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-func TestWholePath(t *testing.T) {
+func TestEndToEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 3)
 		defer s.close()
@@ -48,7 +48,7 @@
 	})
 }
 
-// Guards against tokens lost, doubled or made anew when an entry host dies in a stream.
+// Guards against tokens lost, duplicated or generated again when an entry host crashes during a stream.
 func TestEntryHostDiesMidStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 3)
@@ -74,8 +74,8 @@
 	})
 }
 
-// Two narratives stream when their entry host is told to stop. Both must run
-// to their end through it, and only then may it go.
+// Guards against streams cut off by a graceful stop of their entry host: it must
+// end only after they are complete.
 func TestGracefulStopCutsNothingOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 3)
@@ -93,8 +93,9 @@
 	})
 }
 
-// A wrong or missing token gets 401 and nothing else is said.
-func TestWrongTokenSaysNothing(t *testing.T) {
+// Guards against information in responses to a wrong or missing token: they must
+// contain nothing but the 401 problem.
+func TestWrongTokenRevealsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 1)
 		defer s.close()
@@ -111,7 +112,7 @@
 	})
 }
 
-// Guards against work placed on a server that only the host list says is leaving.
+// Guards against work placed on a server that only the host list reports as leaving.
 func TestHostListTakesServerOutEverywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 4)
@@ -143,7 +144,7 @@
 	})
 }
 
-// Guards against streams that freeze on a silent connection to a live engine.
+// Guards against streams that hang when a connection to a live engine no longer delivers data.
 func TestSilentConnectionToEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 1)
@@ -159,13 +160,13 @@
 		}()
 		began := time.Now()
 		s.is.Equal(s.readAll(stream), 200)
-		// The engine goes on meanwhile: 0.5 s of tokens, the pause, the rest at once.
+		// The engine continues meanwhile: 0.5 s of tokens, the gap, then the rest at once.
 		s.is.True(time.Since(began) < time.Second+contract.DefaultGapDeadline)
 		s.is.Equal(len(s.engines[0].Runs())+len(s.engines[1].Runs()), 1)
 	})
 }
 
-// Guards against memory held for good by callers that read nothing.
+// Guards against memory that is never released when callers read nothing.
 func TestCallerThatReadsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 1)
@@ -184,7 +185,7 @@
 	})
 }
 
-// Guards against generations lost to an engine that freezes before their first token.
+// Guards against generations lost on an engine that stalls before their first token.
 func TestEngineFreezesBeforeFirstToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 1)
@@ -208,10 +209,10 @@
 	})
 }
 
-// Guards against a model that several hosts order, or none once its engine has died.
+// Guards against a model loaded by several hosts at once, or by none after its engine crashed.
 func TestModelIsPlacedAndMovesWhenItsEngineDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSiteOf(t, 3, engine.Config{})
+		s := newSiteWithEngines(t, 3, engine.Config{})
 		defer s.close()
 		client := s.caller(hostIP(0) + ":7480")
 		defer client.Close()
@@ -237,7 +238,7 @@
 	})
 }
 
-// Guards against second runs and long waits when a connection between hosts goes silent.
+// Guards against duplicate runs and long waits when a connection between hosts no longer delivers data.
 func TestSilentConnectionBetweenHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 2)
@@ -247,26 +248,26 @@
 		s.fabric.SilenceOpen(hostIP(0), hostIP(1))
 		began := time.Now()
 		s.is.Equal(s.acknowledge(1, home+".ack-2"), "200 POST /alarms/7/ack: seen")
-		s.is.True(time.Since(began) < 2*askTimeout)
+		s.is.True(time.Since(began) < 2*queryTimeout)
 		s.is.Equal(s.plain.RunsByKey()[home+".ack-2"], 1)
 	})
 }
 
-// A call takes longer than the hosts wait for each other. The desk must get
-// its answer all the same, through the host that is not the home.
+// Guards against a failed call when it takes longer than the forwarding timeout
+// between hosts and its caller uses a host that is not the home.
 func TestLongForwardedCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 2)
 		defer s.close()
 		s.plain.Next(plain.Late)
-		s.plain.LateBy(3 * askTimeout)
+		s.plain.LateBy(3 * queryTimeout)
 		key := s.hosts[0].ledger.Home().String() + ".ack-1"
 		s.is.Equal(s.acknowledge(1, key), "200 POST /alarms/7/ack: seen")
 		s.is.Equal(s.plain.RunsByKey()[key], 1)
 	})
 }
 
-// Guards against accepted changes that wait for the store to come back.
+// Guards against accepted changes that do not spread during a store outage.
 func TestAcceptedChangeSpreadsWithoutTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 4)
@@ -286,8 +287,8 @@
 	})
 }
 
-// An operator drains an engine and ends the drain. New work must stay away
-// from it within 3 s on every host, and come back within 3 s of the end.
+// Guards against hosts that miss the start or the end of an operator's drain: each
+// must take effect on every host within 3 s.
 func TestDrainBeginsAndEndsEverywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 4)
@@ -305,7 +306,7 @@
 	})
 }
 
-// Guards against hosts that miss the begin or the end of an evacuation.
+// Guards against hosts that miss the start or the end of an evacuation.
 func TestEvacuationBeginsAndEndsEverywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 4)
@@ -327,8 +328,8 @@
 	})
 }
 
-// Guards against repeats of a call that nobody can tell whether it ran.
-func TestUnknownStaysUnknown(t *testing.T) {
+// Guards against a second run of a call whose outcome is unknown when its caller repeats it.
+func TestUnknownOutcomeIsFinal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 1)
 		defer s.close()
@@ -342,10 +343,10 @@
 	})
 }
 
-// Guards against refusals while no engine has the new version of a model yet.
-func TestModelRollRefusesNothing(t *testing.T) {
+// Guards against refusals during a rolling update while no engine has the new model version yet.
+func TestModelUpdateRefusesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSiteOf(t, 2, engine.Config{Models: []string{"basin@3"}, LoadTime: 5 * time.Second})
+		s := newSiteWithEngines(t, 2, engine.Config{Models: []string{"basin@3"}, LoadTime: 5 * time.Second})
 		defer s.close()
 		client := s.caller(hostIP(0) + ":7480")
 		defer client.Close()
@@ -365,7 +366,7 @@
 	})
 }
 
-// Guards against "not run" from a host that knows no service yet.
+// Guards against "not run" for a request that ran, from a host without a configuration.
 func TestRepeatAtHostWithoutConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 2)
@@ -383,10 +384,10 @@
 	})
 }
 
-// Guards against leaving engines unseen by hosts that rarely ask for load.
+// Guards against leaving engines that go undetected by hosts that rarely poll the load.
 func TestLoadReportsComeWithStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSiteWith(t, 1, engine.Config{Models: []string{"basin@3"}, StreamReports: 8}, 0.001)
+		s := newSiteWithPolls(t, 1, engine.Config{Models: []string{"basin@3"}, StreamReports: 8}, 0.001)
 		defer s.close()
 		client := s.caller(hostIP(0) + ":7480")
 		defer client.Close()
--- a/entryhost/site_test.go
+++ b/entryhost/site_test.go
@@ -46,36 +46,36 @@
 `
 )
 
-// site is a whole site in memory: a store, two engines, a plain service and
-// entry hosts, to run in a synctest bubble.
+// site is an in-memory deployment for a synctest bubble: a store, two engines, a
+// plain service and entry hosts.
 type site struct {
-	is      *is.I
-	fabric  *network.Fabric
-	store   *store.Memory
-	engines []*engine.Engine
-	plain   *plain.Service
-	hosts   []*Host
-	stops   []func()
-	polls   float64      // load questions of a host a second; 0: the default
-	killed  map[int]bool // hosts whose machine was killed
-	keys    string       // event keys in the settings of hosts that start
+	is             *is.I
+	fabric         *network.Fabric
+	store          *store.Memory
+	engines        []*engine.Engine
+	plain          *plain.Service
+	hosts          []*Host
+	stops          []func()
+	pollsPerSecond float64      // load polls per second of each host; 0 for the default
+	killed         map[int]bool // hosts whose machine was killed
+	eventKeys      string       // event keys in the settings of hosts started from now on
 }
 
-// testKey is the event key of hosts that a test gives no other.
-var testKey = strings.Repeat("ab", 32)
+// testEventKey is the default event key.
+var testEventKey = strings.Repeat("ab", 32)
 
 func hostIP(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) }
 
 func newSite(t *testing.T, hosts int) *site {
-	return newSiteOf(t, hosts, engine.Config{Models: []string{"basin@3"}})
+	return newSiteWithEngines(t, hosts, engine.Config{Models: []string{"basin@3"}})
 }
 
-func newSiteOf(t *testing.T, hosts int, engines engine.Config) *site {
-	return newSiteWith(t, hosts, engines, 0)
+func newSiteWithEngines(t *testing.T, hosts int, engines engine.Config) *site {
+	return newSiteWithPolls(t, hosts, engines, 0)
 }
 
-func newSiteWith(t *testing.T, hosts int, engines engine.Config, polls float64) *site {
-	s := &site{polls: polls, killed: make(map[int]bool), is: is.New(t), fabric: network.New(network.Options{}), store: store.NewMemory(), keys: "event_key: " + testKey, plain: plain.New(plain.Config{Name: "plain-1"})}
+func newSiteWithPolls(t *testing.T, hosts int, engines engine.Config, polls float64) *site {
+	s := &site{pollsPerSecond: polls, killed: make(map[int]bool), is: is.New(t), fabric: network.New(network.Options{}), store: store.NewMemory(), eventKeys: "event_key: " + testEventKey, plain: plain.New(plain.Config{Name: "plain-1"})}
 	for i := range 2 {
 		engines.Name, engines.Seed = fmt.Sprintf("engine-%d", i+1), uint64(i)
 		e := engine.New(engines)
@@ -101,7 +101,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = serve(listener) // ends with Close
+		_ = serve(listener) // returns after Close
 	}()
 	s.stops = append(s.stops, func() { _ = closer(); <-done })
 }
@@ -113,12 +113,12 @@
 	s.is.Equal(result.Outcome, configuration.Accepted)
 }
 
-func (s *site) start(i, of int) { s.startAt(i, of, hostIP(i)) }
+func (s *site) start(i, total int) { s.startAt(i, total, hostIP(i)) }
 
-// startAt starts the host with a number at an IP that need not be its own.
-func (s *site) startAt(i, of int, ip string) {
+// startAt starts host i at an IP that may differ from hostIP(i).
+func (s *site) startAt(i, total int, ip string) {
 	var peers []string
-	for j := range of {
+	for j := range total {
 		peers = append(peers, fmt.Sprintf("%q", hostIP(j)+":7481"))
 	}
 	parsed, err := settings.Parse("test.yaml", []byte(fmt.Sprintf(`
@@ -133,10 +133,10 @@
   - {name: akarsu, token_sha256: %s}
 operators:
   - {name: ops, token_sha256: %s}
-`, i+1, ip, ip, strings.Join(peers, ", "), s.keys,
+`, i+1, ip, ip, strings.Join(peers, ", "), s.eventKeys,
 		settings.HashToken(testToken), settings.HashToken("ops-token"))))
 	s.is.NoErr(err)
-	host, err := New(Options{Settings: parsed, Network: s.fabric.Host(ip), Store: s.store, PollsPerSecond: s.polls})
+	host, err := New(Options{Settings: parsed, Network: s.fabric.Host(ip), Store: s.store, PollsPerSecond: s.pollsPerSecond})
 	s.is.NoErr(err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -150,7 +150,7 @@
 	})
 }
 
-// kill kills the machine of an entry host: its connections and listeners go.
+// kill kills the machine of an entry host with its connections and listeners.
 func (s *site) kill(i int) {
 	s.killed[i] = true
 	s.fabric.Kill(hostIP(i))
@@ -163,7 +163,8 @@
 	time.Sleep(recordedRunsEnd)
 }
 
-// recordedRunsEnd is how long a generation that runs for its record may go on after its host was closed.
+// recordedRunsEnd is how long a generation that runs for its record may continue
+// after its host was closed.
 const recordedRunsEnd = time.Minute
 
 func (s *site) caller(seeds ...string) *caller.Client {
@@ -172,8 +173,8 @@
 	return client
 }
 
-// readAll reads a stream to its end and checks that each token is there once,
-// in order and from one generation.
+// readAll reads a stream to its end, checks that each token arrives once, in order
+// and from an engine of the site, and returns the number of tokens.
 func (s *site) readAll(stream *caller.Stream) int {
 	for n := 0; ; n++ {
 		token, err := stream.Next()
@@ -182,11 +183,11 @@
 		}
 		s.is.NoErr(err)
 		s.is.Equal(token.Index, n)
-		s.is.True(s.ownToken(token))
+		s.is.True(s.isEngineToken(token))
 	}
 }
 
-func (s *site) ownToken(token caller.Token) bool {
+func (s *site) isEngineToken(token caller.Token) bool {
 	for _, e := range s.engines {
 		for _, run := range e.Runs() {
 			if token.Text == engine.TokenText(run.GenerationID, token.Index) {
@@ -197,7 +198,7 @@
 	return false
 }
 
-// do sends one request over a connection of its own.
+// do sends one request over a new connection.
 func (s *site) do(request *http.Request) (*http.Response, string) {
 	transport := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 		return s.fabric.Host(callerIP).Dial(ctx, address)
@@ -210,8 +211,8 @@
 	return response, string(body)
 }
 
-// acknowledge sends an alarm acknowledgement with a key to one host and
-// returns status and body.
+// acknowledge sends an alarm acknowledgement with a key to host i and returns
+// status and body.
 func (s *site) acknowledge(i int, key string) string {
 	request, err := http.NewRequest(http.MethodPost, "http://"+hostIP(i)+":7480/v1/services/gauges/call/alarms/7/ack", strings.NewReader("seen"))
 	s.is.NoErr(err)
@@ -221,7 +222,7 @@
 	return fmt.Sprintf("%d %s", response.StatusCode, body)
 }
 
-// inFlight returns how many data requests a host serves.
+// inFlight returns the number of data requests in flight at a host.
 func (s *site) inFlight(host *Host) int {
 	host.inFlight.mu.Lock()
 	defer host.inFlight.mu.Unlock()
--- a/entryhost/watch.go
+++ b/entryhost/watch.go
@@ -12,23 +12,25 @@
 )
 
 const (
-	// storeCheckInterval spaces a watcher's checks of the store: half a call a
-	// second of the four that a host may make.
+	// storeCheckInterval is the time between a watcher's checks of the store:
+	// 0.5 of the 4 calls per second that a host may make.
 	storeCheckInterval = 2 * time.Second
-	// storeCheckTimeout bounds one; the store answers in milliseconds.
+	// storeCheckTimeout is the timeout of one check; the store normally answers
+	// within milliseconds.
 	storeCheckTimeout = time.Second
-	// absentDocument is the name of no document.
+	// absentDocument is a name that no document has.
 	absentDocument = "-"
 )
 
 func (h *Host) newWatchDuty() *domain.WatchDuty {
 	return &domain.WatchDuty{
-		Host: h.settings.Host, Fleet: h.node, Check: h.checkStore, Returned: func() { h.watcher.Relist() },
+		Host: h.settings.Host, Fleet: h.node, Check: h.checkStore, Returned: func() { h.follower.Relist() },
 		Interval: storeCheckInterval, Timeout: storeCheckTimeout,
 	}
 }
 
-// checkStore asks the store for a document that there is not.
+// checkStore reads a document that does not exist. It returns nil if the store
+// reports that.
 func (h *Host) checkStore(ctx context.Context) error {
 	_, err := h.options.Store.Get(ctx, configuration.Kind, absentDocument)
 	if errors.Is(err, store.ErrNoObject) {
