--- a/order/calls_test.go
+++ b/order/calls_test.go
@@ -14,12 +14,8 @@
 // watchersInFleet is two hosts in each of ten failure domains.
 const watchersInFleet = 20
 
-// TestCallsOfAFleet counts the calls that a fleet makes to the store: when
-// nothing changes, through an outage, and at its end, when a
-// stampede would overload the store and bring the outage back. Every host
-// contends for the lease here, which is the most there can be. Run with -v to
-// see the figures; they are in virtual time and the same on any machine but
-// for the jitter.
+// Guards against a stampede of store calls that overloads the store after an outage.
+// All hosts contend for the lease, which is the worst case. -v prints the call rates.
 func TestCallsOfAFleet(t *testing.T) {
 	for _, hosts := range []int{7, 25, 50, 100, 390} {
 		synctest.Test(t, func(t *testing.T) {
@@ -29,7 +25,7 @@
 			w.addEngine("w1", true)
 			for i := range hosts {
 				w.addHost(fmt.Sprintf("h%03d", i), "north", i < watchersInFleet)
-				time.Sleep(100 * time.Millisecond) // hosts do not start together
+				time.Sleep(100 * time.Millisecond) // staggered start
 			}
 			time.Sleep(time.Minute)
 			idle := w.rate(10 * time.Minute)
@@ -49,7 +45,7 @@
 	}
 }
 
-// rate is the calls a second that reach the store during d.
+// rate returns the calls per second that reach the store during d.
 func (w *world) rate(d time.Duration) float64 {
 	before := w.memory.Calls()
 	time.Sleep(d)
--- a/order/duty.go
+++ b/order/duty.go
@@ -15,7 +15,7 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// LeaseName is the name of the lease that orders are given under.
+// LeaseName is the name of the lease required for sending orders.
 const LeaseName = "orders"
 
 const (
@@ -29,54 +29,54 @@
 	defaultTick  = 5 * time.Second
 	releaseLimit = 5 * time.Second
 	renewTimeout = 10 * time.Second
-	// yieldFor is how long a host stays away from the lease after it gave it
-	// up to hosts in another failure domain.
+	// yieldFor is how long a host does not contend for the lease after it
+	// yielded the lease to hosts in another failure domain.
 	yieldFor = time.Minute
-	// notContendingPeriod spaces checks whether this host is to contend.
+	// notContendingPeriod is the interval between checks whether this host
+	// should contend.
 	notContendingPeriod = 5 * time.Second
-	// parallelOrders bounds the orders that run at once.
+	// parallelOrders bounds the number of concurrent orders.
 	parallelOrders = 4
 )
 
-// errNotContending ends the duty of a host that is no longer to have it.
+// errNotContending ends the lease of a host that should no longer contend.
 var errNotContending = errors.New("order: host no longer contends")
 
-// errYield ends the duty of a host that may not give the orders that are due.
+// errYield ends the lease of a host that must not send the orders that are due.
 var errYield = errors.New("order: orders are due that another failure domain may give")
 
 var holding = prometheus.NewGauge(prometheus.GaugeOpts{
 	Namespace: "papayasail", Subsystem: "order", Name: "holding",
-	Help: "1 while this host holds the lease for orders.",
+	Help: "1 while this host holds the orders lease.",
 })
 
 func init() { prometheus.MustRegister(holding) }
 
-// Duty holds the lease for orders when it can get it and places models while
-// it does.
+// Duty contends for the orders lease and places models while it has the lease.
 type Duty struct {
 	Lessor     lease.Lessor
 	Giver      *Giver
 	Placement  *Placement
-	RenewEvery time.Duration // default 5 s
-	Tick       time.Duration // between plans; default 5 s
-	// Contend says whether this host tries for the lease; nil: always. A few
-	// hosts are enough, each costs a read of the store every few seconds.
+	RenewEvery time.Duration // interval between lease renewals; default 5 s
+	Tick       time.Duration // interval between plans; default 5 s
+	// Contend reports whether this host contends for the lease; nil: always. A
+	// few hosts suffice; each one reads the store every few seconds.
 	Contend func() bool
-	// Refresh brings the documents up to date with the store after the lease
-	// was acquired: a new holder must not order what a newer document no
-	// longer asks for. Nil: the documents are up to date.
+	// Refresh updates the documents from the store after the lease was
+	// acquired, so that a new holder sends no order that a newer document no
+	// longer requires. Nil: the documents are always up to date.
 	Refresh func(ctx context.Context) error
 	Logger  *zap.Logger // nil: no log
 
 	holds atomic.Bool
 }
 
-// Holding reports whether this host holds the lease, as far as it knows. Such
-// a host has to watch the store for newer documents.
+// Holding reports whether this host holds the lease, according to its local
+// state. Such a host must watch the store for newer documents.
 func (d *Duty) Holding() bool { return d.holds.Load() }
 
-// Run contends for the lease and does the duty until ctx ends, whose error it
-// returns; before that it releases the lease.
+// Run contends for the lease and places models while it has the lease. It
+// returns the error of ctx when ctx ends, after releasing the lease.
 func (d *Duty) Run(ctx context.Context) error {
 	var backoff store.Backoff
 	for ctx.Err() == nil {
@@ -105,8 +105,9 @@
 	return ctx.Err()
 }
 
-// hold does the duty until the lease is lost, ctx ends or the host no longer
-// contends. It returns true when it gave the lease up to another domain.
+// hold renews the lease and places models until the lease is lost, ctx ends or
+// the host no longer contends. It returns true if it yielded the lease to
+// another failure domain.
 func (d *Duty) hold(ctx context.Context, held *lease.Lease) (yielded bool) {
 	d.logger().Info(msgAcquired, zap.Uint64("fence", held.Fence()))
 	d.holds.Store(true)
@@ -123,9 +124,9 @@
 	return errors.Is(err, errYield)
 }
 
-// release lets the next holder begin at once. All orders of this one have
-// ended or their outcome is not known; in the latter case the lease is left
-// to lapse, so that the next holder waits them out.
+// release releases the lease, so that the next holder can start immediately.
+// If an order of this holder may still take effect, the lease is left to
+// expire instead, so that the next holder waits until that order cannot.
 func (d *Duty) release(held *lease.Lease) {
 	if d.Giver.Unsettled() {
 		return
@@ -135,7 +136,7 @@
 	_ = d.Lessor.Release(ctx, held)
 }
 
-// renew extends the lease until it is lost or ctx ends. It never returns nil.
+// renew renews the lease until it is lost or ctx ends. It never returns nil.
 func (d *Duty) renew(ctx context.Context, held *lease.Lease) error {
 	every := d.RenewEvery
 	if every <= 0 {
@@ -154,8 +155,8 @@
 	}
 }
 
-// place plans and gives orders until ctx ends or the host no longer contends.
-// It never returns nil.
+// place plans and sends orders until ctx ends, the host no longer contends or
+// it yields the lease. It never returns nil.
 func (d *Duty) place(ctx context.Context, held *lease.Lease) error {
 	if err := sleep.For(ctx, held.Quiet()); err != nil {
 		return err
@@ -169,9 +170,9 @@
 	}
 	for d.contends() {
 		if held.Remaining() > minRemaining && d.round(ctx, held) == 0 && d.Placement.DueElsewhere() {
-			// Failure: a document allows orders to a server from one failure
-			// domain only, and the holder is in another: the server would
-			// never get its model. Whoever may give the order gets the lease.
+			// Guards against a server that never gets its model, because its
+			// document allows orders from one failure domain only and the holder
+			// is in another. A host that may send the order gets the lease.
 			return errYield
 		}
 		if err := sleep.For(ctx, tick); err != nil {
@@ -194,7 +195,7 @@
 	return nil
 }
 
-// round gives the orders of one plan and returns how many there were.
+// round sends the orders of one plan and returns their number.
 func (d *Duty) round(ctx context.Context, held *lease.Lease) int {
 	var group errgroup.Group
 	group.SetLimit(parallelOrders)
--- a/order/engine_test.go
+++ b/order/engine_test.go
@@ -16,14 +16,14 @@
 
 var errTest = errors.New("test engine")
 
-// testEngine is a model engine with switches for its failures.
+// testEngine is a model engine with fault injection.
 type testEngine struct {
-	honours bool // refuses old fencing numbers
+	honours bool // refuses stale fencing numbers
 
 	mu           sync.Mutex // guards all below
 	alive        bool
-	life         int           // rises when it dies
-	carry        time.Duration // how long it takes to carry out an order
+	life         int           // incarnation; incremented when the engine dies
+	carry        time.Duration // execution time of an order
 	loseAnswers  int
 	loseRequests int
 	state        backend.EngineState
@@ -36,19 +36,19 @@
 	holder  string
 	at      time.Time
 	honours bool
-	left    int // live engines that have some version of the model afterwards
+	left    int // live engines that still have some version of the model
 }
 
-// fleet is all engines; it notes what took effect.
+// fleet is the set of all engines; it records the orders that took effect.
 type fleet struct {
 	engines map[string]*testEngine
 
-	mu      sync.Mutex // guards effects and holders; taken after an engine's
+	mu      sync.Mutex // guards effects and loads; acquired after an engine's mu
 	effects []effect
-	loads   []time.Time // when loads reached engines
+	loads   []time.Time // arrival times of load orders
 }
 
-// order takes an order as it arrives from a host.
+// order handles an order that arrives from a host.
 func (f *fleet) order(ctx context.Context, holder, address string, order backend.OrderRequest) (backend.EngineState, error) {
 	e := f.engines[address]
 	e.mu.Lock()
@@ -105,7 +105,7 @@
 	return state
 }
 
-// apply changes the engine's state, unless it died since the order came.
+// apply changes the engine's state, unless the engine died after the order arrived.
 func (e *testEngine) apply(life int, order backend.OrderRequest) (backend.EngineState, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -125,7 +125,7 @@
 	return e.copy(), true
 }
 
-// having counts the live engines that have a version of a model.
+// having counts the live engines that have some version of the model.
 func (f *fleet) having(model string) int {
 	name, _, _ := strings.Cut(model, "@")
 	count := 0
@@ -149,7 +149,7 @@
 	return e.copy(), nil
 }
 
-// die ends an engine: what it has loaded and what it is at are gone.
+// die stops the engine; its loaded models and the orders in progress are lost.
 func (e *testEngine) die() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -164,7 +164,7 @@
 	e.alive = true
 }
 
-// copy returns the state. The caller holds mu.
+// copy returns a copy of the state. The caller holds mu.
 func (e *testEngine) copy() backend.EngineState {
 	state := e.state
 	state.Models = slices.Clone(state.Models)
@@ -185,7 +185,7 @@
 	return text
 }
 
-// set changes a switch.
+// set runs change with mu locked.
 func (e *testEngine) set(change func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/order/fuzz_test.go
+++ b/order/fuzz_test.go
@@ -25,7 +25,7 @@
 	d  time.Duration
 }
 
-// actions and how often each is drawn.
+// actions lists each action as often as its weight in the random choice.
 var actions = slices.Concat(
 	slices.Repeat([]string{"run"}, 8), slices.Repeat([]string{"apply"}, 5), slices.Repeat([]string{"race"}, 2),
 	[]string{"pause", "pause holder", "pause after intent", "pause after intent", "resume", "resume", "replace", "replace holder", "stop holder", "die", "start", "start", "carry", "drain", "settle"},
@@ -40,10 +40,10 @@
 	}
 })
 
-// fuzzer runs scripts against a world and remembers what the oracle needs.
+// fuzzer runs scripts against a world and records the data for the final check.
 type fuzzer struct {
 	*world
-	started  int // hosts ever
+	started  int // number of hosts started so far
 	results  chan changeResult
 	pending  int
 	unknown  map[string]string // change id to service
@@ -58,9 +58,8 @@
 }
 
 func TestFuzzOrders(t *testing.T) {
-	// Any sequence of the failures that the platform, hosts and engines have,
-	// with operators changing documents meanwhile. After it all heals, the
-	// promises hold and the engines have what the last accepted documents say.
+	// Guards against violated invariants after arbitrary sequences of platform, host
+	// and engine failures during document changes; checked after recovery.
 	reached := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
 		script := rapid.SliceOfN(steps, 20, 60).Draw(rt, "script")
@@ -75,15 +74,15 @@
 			broken = f.judge()
 		})
 		if len(broken) > 0 {
-			rt.Fatalf("%d promises broken: %q", len(broken), broken)
+			rt.Fatalf("%d invariants violated: %q", len(broken), broken)
 		}
 	})
 	for _, key := range slices.Sorted(maps.Keys(reached)) {
-		t.Logf("reached %-22s %d", key, reached[key])
+		t.Logf("executed %-22s %d", key, reached[key])
 	}
 	for _, action := range actions {
 		if reached[action] == 0 {
-			t.Errorf("action %q was never reached", action)
+			t.Errorf("action %q was never executed", action)
 		}
 	}
 }
@@ -123,7 +122,7 @@
 	return f.hosts[names[n%len(names)]]
 }
 
-// holder returns a host that thinks it holds the lease, or any.
+// holder returns a host that believes it holds the lease, otherwise host n.
 func (f *fuzzer) holder(n int) *host {
 	for _, h := range f.hosts {
 		if h.duty.Holding() {
@@ -191,8 +190,8 @@
 	synctest.Wait()
 }
 
-// change asks a host for the next version of a service's model, from the
-// version that is in force there.
+// change submits the next version of a service's model to a host, on condition
+// of the version that is in force there.
 func (f *fuzzer) change(h *host, n int) {
 	document := f.services[n%len(f.services)]
 	spec := *document.Model
@@ -208,7 +207,7 @@
 	}()
 }
 
-// drain drains a backend server for a while.
+// drain starts (n odd) or ends (n even) the drain of a backend server.
 func (f *fuzzer) drain(h *host, n int) {
 	f.changes++
 	id, address := fmt.Sprintf("d%d", f.changes), fmt.Sprintf("10.0.0.%d:80", n)
@@ -219,7 +218,7 @@
 	}()
 }
 
-// collect takes the results of changes that have come, at least so many.
+// collect receives the available results of changes, at least atLeast of them.
 func (f *fuzzer) collect(atLeast int) {
 	for f.pending > 0 && (atLeast > 0 || len(f.results) > 0) {
 		r := <-f.results
@@ -240,7 +239,7 @@
 	}
 }
 
-// settle settles the changes with an unknown outcome, as an operator would.
+// settle settles the changes with an unknown outcome, as an operator does.
 func (f *fuzzer) settle() {
 	for _, id := range slices.Sorted(maps.Keys(f.unknown)) {
 		service := f.unknown[id]
@@ -259,7 +258,7 @@
 	}
 }
 
-// heal ends all failures and gives everything time to settle.
+// heal ends all failures and lets the system converge.
 func (f *fuzzer) heal() {
 	f.memory.SetFaults(store.Faults{})
 	f.resumeAll()
@@ -272,7 +271,7 @@
 	f.advance(8 * time.Minute)
 }
 
-// judge returns the broken promises.
+// judge checks all invariants and returns the violations.
 func (f *fuzzer) judge() []string {
 	f.checkEffects(testTerm + prepareTimeout)
 	f.reached["order effects"] += len(f.fleet.effects)
@@ -284,7 +283,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.unknown) > 0 {
-		f.breach("changes not settled: %v", f.unknown)
+		f.breach("unsettled changes: %v", f.unknown)
 	}
 	for _, document := range f.services {
 		f.judgeChanges(document.Service)
@@ -293,7 +292,7 @@
 	return f.broken
 }
 
-// judgeChanges compares what operators were told with what the store has.
+// judgeChanges compares the results reported to operators with the store.
 func (f *fuzzer) judgeChanges(service string) {
 	entries, err := configuration.NewAcceptor(f.memory, parseJSON).History(context.Background(), service)
 	if err != nil && len(f.acceptedOf(service)) > 0 {
@@ -313,7 +312,7 @@
 		delete(found, id)
 	}
 	for id := range found {
-		f.breach("change %s took effect, its operator heard otherwise (refused: %t)", id, f.refused[id] != "")
+		f.breach("change %s took effect but was reported as not accepted or unknown (refused: %t)", id, f.refused[id] != "")
 	}
 }
 
@@ -341,12 +340,12 @@
 			if model == source.Model.Target() {
 				have++
 			} else if source.Model.Names(model) {
-				f.breach("%s has %s, the document says %s", server.Address, model, source.Model.Target())
+				f.breach("%s has %s, the document requires %s", server.Address, model, source.Model.Target())
 			}
 		}
 	}
 	if have < source.Model.MinWorkers {
-		f.breach("%d workers have %s, the document says %d", have, source.Model.Target(), source.Model.MinWorkers)
+		f.breach("%d workers have %s, the document requires %d", have, source.Model.Target(), source.Model.MinWorkers)
 	}
 }
 
--- a/order/giver.go
+++ b/order/giver.go
@@ -19,12 +19,12 @@
 
 var given = prometheus.NewCounterVec(prometheus.CounterOpts{
 	Namespace: "papayasail", Subsystem: "order", Name: "given_total",
-	Help: "Orders to engines by kind and outcome; those that were held back too.",
+	Help: "Orders to engines by kind and outcome, including orders that were held back.",
 }, []string{"kind", "outcome"})
 
 func init() { prometheus.MustRegister(given) }
 
-// Outcomes of orders, in counters and audit entries.
+// Outcomes of orders, used in metrics and stored in audit entries.
 const (
 	outcomeDone     = "done"
 	outcomeOldFence = "refused, old fencing number"
@@ -36,46 +36,49 @@
 
 const (
 	defaultLongest = 30 * time.Second
-	// minRemaining of the lease is needed to send an order.
+	// minRemaining is the minimum remaining lease time for sending an order.
 	minRemaining = 2 * time.Second
-	// readBackEvery spaces reads of an engine's state after a lost answer.
+	// readBackEvery is the interval between reads of an engine's state after a
+	// lost response.
 	readBackEvery   = time.Second
 	readBackTimeout = 2 * time.Second
-	// prepareTimeout bounds what the store is asked for before an order.
+	// prepareTimeout bounds the store operations before an order.
 	prepareTimeout = 30 * time.Second
-	// closeTimeout bounds writing an outcome; without it the intent stays open.
+	// closeTimeout bounds the write of an outcome. If the write fails, the
+	// intent stays open.
 	closeTimeout = 10 * time.Second
 )
 
-// Giver gives orders to engines, only while its host holds the lease.
+// Giver sends orders to engines, only while its host has the lease.
 type Giver struct {
 	Host          string
 	FailureDomain string
 	Store         store.Store
 	Lessor        lease.Lessor
 	Engine        Engine
-	Weights       *Weights // nil: no limit
-	// Longest is how long an engine may take to carry out an order once it
-	// has it; the same as of the lessor. Default 30 s.
+	Weights       *Weights // rate limit of model loads; nil: no limit
+	// Longest is the maximum time that an engine takes to execute an order
+	// after it received the order. It must equal the lessor's. Default 30 s.
 	Longest time.Duration
 
-	mu        sync.Mutex // guards all below
-	busy      map[string]bool
-	unsettled time.Time // until then an order with an unknown outcome may be carried out
+	mu        sync.Mutex      // guards all below
+	busy      map[string]bool // addresses of servers with an order in flight
+	unsettled time.Time       // until then an engine may still execute an order with an unknown outcome
 }
 
-// Unsettled reports whether an order of this host, whose outcome is not known,
-// may still be carried out.
+// Unsettled reports whether an engine may still execute an order of this host:
+// one in flight, or one whose outcome is unknown.
 func (g *Giver) Unsettled() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.busy) > 0 || time.Now().Before(g.unsettled)
 }
 
-// Give gives one order and returns the engine's state after it. It blocks for
-// Longest and a little at most. Errors: ErrLinkNotAllowed, ErrNotHolder,
-// *WaitError, ErrOldFence, ErrRefused, ErrNotSeen, those of store.Store and
-// *backend.CallError when the order was not sent.
+// Give sends one order and returns the engine's state after it. It blocks for
+// Longest plus the time of the store operations at most. Errors:
+// ErrLinkNotAllowed, ErrNotHolder, *WaitError, ErrOldFence, ErrRefused,
+// ErrNotSeen, the errors of store.Store, and *backend.CallError if the order
+// was not sent.
 func (g *Giver) Give(ctx context.Context, held *lease.Lease, order Order) (backend.EngineState, error) {
 	address := order.Server.Address
 	if !g.claim(address) {
@@ -92,13 +95,13 @@
 	closeCtx, cancel := context.WithTimeout(ctx, closeTimeout)
 	defer cancel()
 	if _, _, closeErr := (journal{g.Store}).close(closeCtx, address, record, outcome, version); closeErr != nil {
-		// The intent stays open; the next order to the server settles it.
+		// The intent stays open until the next order to the server settles it.
 		return state, errors.CombineErrors(err, closeErr)
 	}
 	return state, err
 }
 
-// prepare checks all that allows the order and writes the intent.
+// prepare checks all conditions for the order and writes the intent.
 func (g *Giver) prepare(ctx context.Context, held *lease.Lease, order Order) (request backend.OrderRequest, record serverRecord, version store.Version, err error) {
 	if !order.Document.AllowsOrders(g.FailureDomain, order.Server) {
 		return request, record, 0, ErrLinkNotAllowed
@@ -114,8 +117,8 @@
 			return request, record, 0, &WaitError{For: wait, Reason: reasonWeights}
 		}
 	}
-	// A store that stays away must not hold the order back until it is no
-	// longer wanted. The lease is renewed meanwhile, and checked again last.
+	// The timeout keeps a long store outage from delaying the order until it is
+	// obsolete. The lease is renewed meanwhile and checked again before sending.
 	ctx, cancel := context.WithTimeout(ctx, prepareTimeout)
 	defer cancel()
 	j := journal{g.Store}
@@ -140,13 +143,14 @@
 	record, version, err = j.open(ctx, order.Server.Address, record, intent{OrderRequest: request, Holder: g.Host}, version)
 	var bad *store.VersionError
 	if errors.As(err, &bad) {
-		err = ErrNotHolder // another holder has written its intent
+		err = ErrNotHolder // another holder wrote its intent first
 	}
 	return request, record, version, err
 }
 
-// settle closes an intent that an earlier holder, or this one, left open. The
-// time that its order could take is over, so the engine's state shows it.
+// settle closes an intent that a previous holder or this host left open. The
+// maximum execution time of its order has passed, so the engine's state shows
+// whether the order took effect.
 func (g *Giver) settle(ctx context.Context, address string, record serverRecord, version store.Version) (serverRecord, store.Version, error) {
 	if !record.Intent.Open {
 		return record, version, nil
@@ -162,14 +166,16 @@
 	return journal{g.Store}.close(ctx, address, record, fmt.Sprintf("%s, settled by %s", outcome, g.Host), version)
 }
 
-// send sends the order and settles a lost answer by reading the state back.
+// send sends the order. If the response is lost, it reads the engine's state
+// back to determine the outcome.
 //
-// Failure: the holder is paused between its last check and the order, another
-// host takes over, and the order arrives after the other's. The lease is
-// checked last, and the deadline of the call is the lease's end, so that what
-// is left is the time an order is on the network: an engine that honours the
-// fencing number refuses it, for one that ignores it the next holder waits out
-// Longest before its first order and reads the state again later.
+// Guards against a holder that pauses between its last check and the order:
+// another host takes over, and the order arrives after the new holder's. The
+// lease is checked immediately before the call, and the deadline of the call is
+// the end of the lease, so only the time of the order on the network remains.
+// An engine that honours the fencing number refuses such an order. For an engine
+// that ignores it, the next holder waits for Longest before its first order and
+// reads the state again later.
 func (g *Giver) send(ctx context.Context, held *lease.Lease, order Order, request backend.OrderRequest) (backend.EngineState, string, error) {
 	begun := time.Now()
 	remaining := held.Remaining()
@@ -199,7 +205,8 @@
 	return state, outcome, err
 }
 
-// readBack looks for the order's effect until the engine cannot still be at it.
+// readBack polls the engine's state for the order's effect until the maximum
+// execution time has passed.
 func (g *Giver) readBack(ctx context.Context, order Order, request backend.OrderRequest, begun time.Time) (backend.EngineState, string, error) {
 	for {
 		state, err := g.state(ctx, order.Server.Address)
@@ -233,8 +240,8 @@
 	return g.Longest
 }
 
-// claim takes the sole right to order a server from this host; false while
-// another order to it is under way.
+// claim marks the server as having an order in flight from this host. It
+// returns false if it has one already.
 func (g *Giver) claim(address string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/order/giver_test.go
+++ b/order/giver_test.go
@@ -14,7 +14,7 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// setUp returns a giver with a fresh lease, and a load for engine w1.
+// setUp returns a giver, a new lease, a load order for engine w1 and the engines.
 func setUp(t *testing.T) (*Giver, *lease.Lease, Order, *fleet) {
 	w := newWorld()
 	w.addEngine("w1", false)
@@ -41,8 +41,8 @@
 }
 
 func TestGiveAfterAnotherHoldersIntent(t *testing.T) {
-	// The record of a server shows an intent under a higher fencing number:
-	// whatever this host believes, another one holds the lease.
+	// Guards against an order sent by a host that lost the lease without noticing:
+	// the server's record has an intent with a higher fencing number.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		giver, held, order, fleet := setUp(t)
@@ -67,8 +67,8 @@
 }
 
 func TestGiveReadsALostAnswerBack(t *testing.T) {
-	// The engine loads the model and its answer is lost. The holder sees it in
-	// the engine's state and says so, in place of ordering again.
+	// Guards against a repeated order after a lost response: the engine's state
+	// shows that the model was loaded.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		giver, held, order, fleet := setUp(t)
@@ -92,8 +92,8 @@
 }
 
 func TestWeightsAcrossHolders(t *testing.T) {
-	// Holders of the lease follow each other quickly; the weight store still
-	// sees one rate, also after the lease's record is gone.
+	// Guards against loads above the weight store's rate when the lease changes
+	// holders often or its record is deleted.
 	synctest.Test(t, func(t *testing.T) {
 		is, ctx := is.New(t), t.Context()
 		memory := store.NewMemory()
@@ -111,7 +111,7 @@
 			}
 			is.NoErr(lessor.Release(ctx, held))
 		}
-		is.True(loads <= 6) // a minute has passed
+		is.True(loads <= 6) // one minute of loads
 		object, err := memory.Get(ctx, lease.Kind, LeaseName)
 		is.NoErr(err)
 		_, err = memory.Delete(ctx, lease.Kind, LeaseName, object.Version)
--- a/order/intent.go
+++ b/order/intent.go
@@ -12,31 +12,32 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// maxEntries bounds the history in one server's object: at 600 servers a list
-// of all stays under 4 MB.
+// maxEntries bounds the history in the stored object of a server, so that a
+// list of all objects stays under 4 MB at 600 servers.
 const maxEntries = 16
 
-// intent is the last order meant for a server. It is written before the order
-// is sent, so that whoever holds the lease next knows what may be under way.
+// intent is the last order for a server. It is written before the order is
+// sent, so that the next lease holder can tell which order may be in flight.
 type intent struct {
 	backend.OrderRequest
 	Holder string `json:"holder"`
-	Open   bool   `json:"open"` // its outcome is not known yet
+	Open   bool   `json:"open"` // outcome not recorded yet
 }
 
 func (i intent) order() Order { return Order{Kind: i.Kind, Model: i.Model, Role: i.Role} }
 
-// serverRecord is the stored object of a server. It holds the audit entries
-// of its orders, as audit.OrderKind says.
+// serverRecord is the stored object of a server (kind audit.OrderKind). It
+// includes the audit entries of the server's orders.
 type serverRecord struct {
 	Intent  intent        `json:"intent"`
 	History audit.History `json:"history"`
 }
 
-// journal reads and writes the records of servers.
+// journal reads and writes server records.
 type journal struct{ store store.Store }
 
-// read returns a server's record; version zero if it never got an order.
+// read returns a server's record, or version zero if no order was ever
+// recorded for the server.
 func (j journal) read(ctx context.Context, address string) (serverRecord, store.Version, error) {
 	object, err := j.store.Get(ctx, audit.OrderKind, address)
 	if errors.Is(err, store.ErrNoObject) {
@@ -52,7 +53,8 @@
 	return r, object.Version, nil
 }
 
-// open writes an intent over the record that was read.
+// open writes an open intent, on condition that the record still has the
+// version that was read.
 func (j journal) open(ctx context.Context, address string, r serverRecord, next intent, version store.Version) (serverRecord, store.Version, error) {
 	entry := audit.Entry{
 		ChangeID: next.OrderID, Who: next.Holder, When: time.Now().UTC(), What: audit.WhatOrder,
@@ -65,7 +67,7 @@
 	return r, written, err
 }
 
-// close writes the outcome of the open intent.
+// close records the outcome of the open intent.
 func (j journal) close(ctx context.Context, address string, r serverRecord, outcome string, version store.Version) (serverRecord, store.Version, error) {
 	r.Intent.Open = false
 	r.History.Entries = r.History.At(version)
--- a/order/options.go
+++ b/order/options.go
@@ -10,33 +10,35 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// Options puts a Duty together; those without a default are required.
+// Options configures a Duty. Fields without a stated default are required.
 type Options struct {
 	Host          string
 	FailureDomain string
 	Store         store.Store
-	// Engine's calls may take as long as Longest; give a backend.Client a
-	// ControlTimeout of that.
+	// Engine's calls may take up to Longest; a backend.Client needs that value
+	// as its ControlTimeout.
 	Engine    Engine
 	Documents Documents
-	// Leaving reports servers that take no new work; nil: only drained ones.
+	// Leaving reports whether a server accepts no new work; nil: only drained
+	// servers count as leaving.
 	Leaving func(address string) bool
-	// Contend and Refresh as in Duty.
+	// Contend and Refresh: see Duty.
 	Contend func() bool
 	Refresh func(ctx context.Context) error
-	// LoadsPerMinute is what the weight store allows the whole fleet, 0: no
-	// limit, with LoadsAtOnce at once; default 1.
+	// LoadsPerMinute is the rate of model loads that the weight store allows
+	// for the whole fleet (0: no limit), with bursts of LoadsAtOnce; default 1.
 	LoadsPerMinute float64
 	LoadsAtOnce    int
-	// Term of the lease; default 20 s.
+	// Term is the duration of the lease; default 20 s.
 	Term time.Duration
-	// Longest an engine may take to carry out an order; default 30 s.
+	// Longest is the maximum time that an engine takes to execute an order;
+	// default 30 s.
 	Longest time.Duration
-	Tick    time.Duration // between plans; default 5 s
+	Tick    time.Duration // interval between plans; default 5 s
 	Logger  *zap.Logger   // nil: no log
 }
 
-// New returns a Duty; its Run does it.
+// New returns a Duty; call its Run method to start it.
 func New(o Options) *Duty {
 	if o.Longest <= 0 {
 		o.Longest = defaultLongest
--- a/order/order.go
+++ b/order/order.go
@@ -1,5 +1,6 @@
-// Package order gives orders to model engines (load or unload a model, change
-// role) under a lease, and keeps the models that service documents name loaded.
+// Package order sends orders to model engines (load a model, unload a model,
+// set a role) while this host has the orders lease, and keeps the models that
+// service documents name loaded.
 package order
 
 import (
@@ -14,20 +15,20 @@
 	"github.com/papayasail/papayasail/contract"
 )
 
-// Engine gives orders to engines and reads their state. *backend.Client is
-// the real one; its errors are *backend.CallError.
+// Engine sends orders to engines and reads their state. *backend.Client
+// implements it in production; its errors are *backend.CallError.
 type Engine interface {
 	Order(ctx context.Context, address string, order backend.OrderRequest) (backend.EngineState, error)
 	State(ctx context.Context, address string) (backend.EngineState, error)
 }
 
-// Order is what an engine is to do.
+// Order is one command for an engine.
 type Order struct {
-	Document *contract.Document // that asks for it, and allows the link
+	Document *contract.Document // requires the order and allows the link to the server
 	Server   contract.BackendServer
 	Kind     backend.OrderKind
-	Model    string // name@version; of load and unload
-	Role     string // of role
+	Model    string // name@version; for load and unload
+	Role     string // for role
 }
 
 // String describes the order in audit entries and logs.
@@ -38,7 +39,7 @@
 	return fmt.Sprintf("%s %s", o.Kind, o.Model)
 }
 
-// In reports whether the engine's state is the one that the order asks for.
+// In reports whether the engine's state is the state that the order requires.
 func (o Order) In(state backend.EngineState) bool {
 	switch o.Kind {
 	case backend.OrderLoad:
@@ -52,22 +53,22 @@
 }
 
 var (
-	// ErrLinkNotAllowed means that the document does not allow orders to the
-	// server from this host's failure domain.
+	// ErrLinkNotAllowed means that the document does not allow orders from this
+	// host's failure domain to the server.
 	ErrLinkNotAllowed = errors.New("order: link not allowed by the document")
-	// ErrNotHolder means that the lease does not last long enough, or another
-	// host has given orders since.
+	// ErrNotHolder means that the lease expires too soon to send an order, or
+	// that another host has recorded an intent since this one read the record.
 	ErrNotHolder = errors.New("order: lease not held")
-	// ErrOldFence means that the engine has seen a higher fencing number.
+	// ErrOldFence means that the engine has accepted a higher fencing number.
 	ErrOldFence = errors.New("order: engine refused the fencing number")
-	// ErrRefused means that the engine refused the order and did nothing.
+	// ErrRefused means that the engine refused the order and did not run it.
 	ErrRefused = errors.New("order: refused by the engine")
-	// ErrNotSeen means that the order was sent, its answer lost, and that the
-	// engine's state did not show its effect in time.
+	// ErrNotSeen means that the order was sent and its response was lost, and
+	// that the engine's state did not show the effect before the timeout.
 	ErrNotSeen = errors.New("order: effect not seen")
 )
 
-// WaitError means that the order has to wait.
+// WaitError means that the order must not be sent yet; retry after For.
 type WaitError struct {
 	For    time.Duration
 	Reason string
--- a/order/placement.go
+++ b/order/placement.go
@@ -11,48 +11,50 @@
 )
 
 const (
-	// deadAfter misses in a row a worker counts as dead: its share goes to others.
+	// deadAfter is the number of consecutive failed reads after which a worker
+	// counts as dead and its models are placed on other workers.
 	deadAfter = 3
-	// observers bounds the reads of engines' states that run at once.
+	// observers bounds the number of concurrent reads of engine states.
 	observers = 8
 )
 
-// Documents is the configuration in force; *configuration.Table is one.
+// Documents is the configuration in force; *configuration.Table implements it.
 type Documents interface {
 	Documents() []*contract.Document
 	Drained(address string) bool
 }
 
-// Placement follows the state of the engines and plans orders to them.
+// Placement polls the states of the engines and plans orders for them.
 type Placement struct {
 	Documents Documents
 	Engine    Engine
-	// Leaving reports servers that take no new work; nil: only drained ones.
+	// Leaving reports whether a server accepts no new work; nil: only drained
+	// servers count as leaving.
 	Leaving func(address string) bool
-	// FailureDomain of this host.
+	// FailureDomain is the failure domain of this host.
 	FailureDomain string
 
 	mu      sync.Mutex // guards workers
 	workers map[string]sighting
 }
 
-// sighting is what was last seen of a worker.
+// sighting is the last known state of a worker.
 type sighting struct {
 	state  backend.EngineState
-	seen   bool // at least once
-	missed int  // reads in a row that failed
+	seen   bool // state was read at least once
+	missed int  // consecutive failed reads
 }
 
-// Plan reads the state of all engines that orders may concern and returns the
-// orders that are due.
+// Plan reads the states of all engines of model services and returns the orders
+// that are due.
 func (p *Placement) Plan(ctx context.Context) []Order {
 	documents := p.Documents.Documents()
 	p.observe(ctx, documents)
 	return Plan(documents, p.snapshot(), p.FailureDomain)
 }
 
-// DueElsewhere reports whether, by what was last seen, orders are due that
-// only hosts in another failure domain may give.
+// DueElsewhere reports whether the last known states require orders that hosts
+// in another failure domain may send.
 func (p *Placement) DueElsewhere() bool {
 	documents, workers := p.Documents.Documents(), p.snapshot()
 	for _, document := range documents {
@@ -65,14 +67,15 @@
 	return false
 }
 
-// Forget drops what was seen, when the host stops being the one that orders.
+// Forget drops all known states. It is called when the host has lost or released
+// the lease.
 func (p *Placement) Forget() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.workers = nil
 }
 
-// Saw takes in an engine's state that came with an order's answer.
+// Saw records an engine's state, as read or as returned with an order's response.
 func (p *Placement) Saw(address string, state backend.EngineState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,8 +124,8 @@
 	p.workers[address] = last
 }
 
-// snapshot returns the workers as planned with. A worker whose last reads
-// failed, but not yet enough of them, keeps its place and gets no order.
+// snapshot returns the workers as input for a plan. A worker with fewer than
+// deadAfter consecutive failed reads still counts as alive but gets no orders.
 func (p *Placement) snapshot() map[string]Worker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/order/plan.go
+++ b/order/plan.go
@@ -10,25 +10,25 @@
 	"github.com/papayasail/papayasail/contract"
 )
 
-// Worker is what is known of a backend server when a plan is made.
+// Worker is the known state of a backend server, as input for a plan.
 type Worker struct {
-	Alive bool // counts as a worker: not dead, not leaving, not drained
-	// Answers says that the last read of its state succeeded; only then it is
-	// given orders.
+	Alive bool // not dead, not leaving, not drained
+	// Answers reports that the last read of the server's state succeeded. Only
+	// such workers get orders.
 	Answers bool
 	State   backend.EngineState
 }
 
-// Plan returns the orders that bring the workers closer to what the documents
-// ask for: at most one for a server, the most needed first. Workers are given
-// by address, from is the failure domain of the host that would give the
-// orders.
+// Plan returns the orders that bring the workers closer to the state required
+// by the documents: at most one order per server, loads first. The keys of
+// workers are addresses; from is the failure domain of the host that would send
+// the orders.
 //
-// A model is loaded until min_workers live ones have it. Only then another
-// version of it is unloaded, and only where no document wants it, so that a
-// roll never leaves fewer than min_workers with some version. More workers
-// with the wanted version than needed are left alone, as are models that no
-// document of the server names.
+// A model is loaded until min_workers live workers have it. Only then is another
+// version of the model unloaded, and only where no document requires it, so that
+// a rolling update never leaves fewer than min_workers workers with some version.
+// Surplus workers with the required version are left unchanged, as are models
+// that no document of the server names.
 func Plan(documents []*contract.Document, workers map[string]Worker, from string) []Order {
 	p := planner{documents: documents, workers: workers, from: from, ordered: map[string]bool{}}
 	for _, document := range documents {
@@ -50,10 +50,10 @@
 	workers   map[string]Worker
 	from      string
 	orders    []Order
-	ordered   map[string]bool // addresses that have an order in the plan
+	ordered   map[string]bool // addresses with an order in the plan
 }
 
-// load orders the wanted version on as many workers as are missing.
+// load plans loads of the required version for the number of missing workers.
 func (p *planner) load(document *contract.Document) {
 	missing := document.Model.MinWorkers - p.count(document) - p.coming(document)
 	if missing <= 0 {
@@ -71,9 +71,9 @@
 	}
 }
 
-// compare puts those workers first that have another version of the model,
-// since they serve the model already, then those with the fewest models. The
-// rest is a stable choice, so that the next holder goes on with the same ones.
+// compare orders candidates: first workers that have another version of the
+// model, since they serve the model already, then those with the fewest models.
+// Ties are broken by a hash, so that the next holder selects the same workers.
 func (p *planner) compare(document *contract.Document, a, b contract.BackendServer) int {
 	rank := func(server contract.BackendServer) int {
 		models := p.workers[server.Address].State.Models
@@ -88,7 +88,8 @@
 	return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(hash(a), hash(b)), cmp.Compare(a.Address, b.Address))
 }
 
-// unload orders the versions of a document's model away that are unwanted.
+// unload plans unloads of those versions of a document's model that no document
+// requires on the server.
 func (p *planner) unload(document *contract.Document) {
 	for _, server := range document.BackendServers {
 		if !p.usable(document, server) {
@@ -103,7 +104,7 @@
 	}
 }
 
-// roles orders the role that a document names for a server.
+// roles plans role orders for servers whose role differs from the document's.
 func (p *planner) roles(document *contract.Document) {
 	for _, server := range document.BackendServers {
 		role := p.workers[server.Address].State.Role
@@ -113,8 +114,9 @@
 	}
 }
 
-// unwanted reports whether no document wants a model on a server, and every
-// document that names another version of it there has enough workers with that.
+// unwanted reports whether no document requires a model version on a server,
+// and every document that names another version there has min_workers workers
+// with that other version.
 func (p *planner) unwanted(server contract.BackendServer, model string) bool {
 	for _, document := range p.documents {
 		if document.Model == nil || !document.Model.Names(model) || !lists(document, server.Address) {
@@ -127,15 +129,15 @@
 	return true
 }
 
-// usable reports whether a server can be given an order in this plan.
+// usable reports whether a server can get an order in this plan.
 func (p *planner) usable(document *contract.Document, server contract.BackendServer) bool {
 	worker := p.workers[server.Address]
 	return worker.Alive && worker.Answers && !p.ordered[server.Address] && document.AllowsOrders(p.from, server)
 }
 
-// coming is how many workers of a document this plan already loads the wanted
-// version on, for another document. Without it each service that names the
-// model would load it on workers of its own.
+// coming returns the number of a document's workers on which this plan already
+// loads the required version for another document. Without this count, each
+// service that names the model would load it on separate workers.
 func (p *planner) coming(document *contract.Document) int {
 	n := 0
 	for _, order := range p.orders {
@@ -146,7 +148,7 @@
 	return n
 }
 
-// count is how many live workers have the version that the document wants.
+// count returns the number of live workers that have the required version.
 func (p *planner) count(document *contract.Document) int {
 	n := 0
 	for _, server := range document.BackendServers {
@@ -170,9 +172,9 @@
 	return slices.ContainsFunc(document.BackendServers, func(s contract.BackendServer) bool { return s.Address == address })
 }
 
-// Reach is how many of the documents' model workers a host in a failure domain
-// may give orders to. Of all live hosts, those with the greatest reach should
-// contend for the lease.
+// Reach returns the number of the documents' model workers that a host in the
+// given failure domain may send orders to. Of all live hosts, those with the
+// greatest reach should contend for the lease.
 func Reach(documents []*contract.Document, from string) int {
 	reach := 0
 	for _, document := range documents {
--- a/order/plan_bench_test.go
+++ b/order/plan_bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/papayasail/papayasail/contract"
 )
 
-// BenchmarkPlan plans for 13 models on so many workers, with nothing to do.
+// BenchmarkPlan plans for 13 models with no orders due.
 func BenchmarkPlan(b *testing.B) {
 	const models = 13
 	for _, workers := range []int{12, 100, 600} {
--- a/order/plan_test.go
+++ b/order/plan_test.go
@@ -60,8 +60,8 @@
 }
 
 func TestPlanTwoDocumentsOneServer(t *testing.T) {
-	// Two services use the same model in different versions on one worker;
-	// neither may have its version unloaded for the other.
+	// Guards against an unload of a version that another service requires: two
+	// services use different versions of one model on one worker.
 	is := is.New(t)
 	a, b := fuzzDocument("letters", "m", 1, 1), fuzzDocument("replies", "m", 1, 1)
 	a.Model.Version, b.Model.Version = "1", "2"
--- a/order/scenario_test.go
+++ b/order/scenario_test.go
@@ -18,21 +18,21 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// TestScenarios runs the scenarios in testdata, one a failure. Commands:
+// TestScenarios runs the scenarios in testdata, one failure each. Commands:
 //
 //	host NAME [domain=D] [unwatching]           start an entry host
-//	engine NAME... [honours]                    start engines that honour fencing numbers, or not
+//	engine NAME... [honours]                    start engines; with honours they check fencing numbers
 //	document SERVICE model=M version=V min=N workers=(W,...) [via=HOST] [expect=current] [links=(D,...)] [unchecked] [role=R]
 //	race SERVICE ... via=(A,B)                  two hosts apply, both expecting the current version
-//	run DURATION                                let virtual time pass
+//	run DURATION                                advance virtual time
 //	store ok | outage | slow=D | lose-answers=N | lose-requests=N
 //	pause | resume | kill | stop HOST
-//	pause-after-intent HOST                     pause it between its next intent and the order
+//	pause-after-intent HOST                     pause the host between its next intent and the order
 //	engine-fault NAME die | start | lose-answers=N | lose-requests=N | carry=D
-//	show                                        engines, holder, broken promises
-//	count MODEL                                 engines that have a version of it
-//	trail                                       audit entries of orders by server, oldest first
-//	check [min=N]                               the oracle over all orders so far; at least N engines kept the model
+//	show                                        print engines, lease holder, violated invariants
+//	count MODEL                                 print the number of engines that have a version of the model
+//	trail                                       print audit entries of orders by server, oldest first
+//	check [min=N]                               check all orders so far; each unload left at least N engines with the model
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata/scenarios", func(t *testing.T, path string) {
 		synctest.Test(t, func(t *testing.T) {
@@ -98,7 +98,8 @@
 
 func (w *world) via(d *datadriven.TestData) *host { return w.hosts[text(d, "via", "a")] }
 
-// race applies two documents from the same version at the same moment.
+// race submits one document per host concurrently, all for the same expected
+// version.
 func (w *world) race(d *datadriven.TestData, service string) string {
 	expect, results := w.stored(service), make(chan string)
 	names := values(d, "via")
@@ -156,7 +157,7 @@
 	return b.String()
 }
 
-// checkLeft checks that no unload left fewer engines than min with the model.
+// checkLeft checks that each unload left at least min engines with the model.
 func (w *world) checkLeft(d *datadriven.TestData) {
 	least, _ := strconv.Atoi(text(d, "min", "0"))
 	for _, e := range w.fleet.effects {
@@ -168,7 +169,8 @@
 
 func orderOf(r backend.OrderRequest) Order { return Order{Kind: r.Kind, Model: r.Model, Role: r.Role} }
 
-// summary tells whether the promises hold and how many orders took effect.
+// summary returns the violated invariants, or the number of orders that took
+// effect.
 func (w *world) summary() string {
 	if len(w.broken) > 0 {
 		return strings.Join(w.broken, "\n") + "\n"
--- a/order/state_bench_test.go
+++ b/order/state_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/papayasail/papayasail/link"
 )
 
-// BenchmarkReadState reads an engine's state over loopback, as the holder does
-// for each worker at each plan. The time holds the stand-in's part too.
+// BenchmarkReadState reads an engine's state over loopback, as the lease holder
+// does for each worker at each plan. The time includes the stand-in engine's.
 func BenchmarkReadState(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/order/weights.go
+++ b/order/weights.go
@@ -12,40 +12,41 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// Weights keeps loads of models to the weight store's rate, across holders of
-// the lease. How much of the rate is used up is kept in the lease itself.
+// Weights is a token bucket that limits model loads to the rate of the weight
+// store, across lease holders. The bucket's level is stored in the lease.
 //
-// Failure: each new holder starts with a full allowance, and after a few
-// take-overs the weight store refuses everyone. The guard writes the allowance
-// down before the load, counts nothing for the time that no holder was there,
-// and starts from nothing where no record is left.
+// Guards against overload of the weight store after several takeovers, which
+// happens if each new holder starts with a full bucket. The level is therefore
+// written before the load, the bucket does not refill while there is no holder,
+// and it starts empty if no level is stored.
 type Weights struct {
 	perMinute float64 // loads per minute; 0: no limit
-	burst     float64 // loads at once
+	burst     float64 // capacity of the bucket, loads
 
-	// turn serialises writes of the allowance, so that they reach the store in
-	// order: who sends to it may write. It is taken before mu.
+	// turn serialises writes of the level, so that they reach the store in
+	// order: a successful send on the channel grants the right to write. It is
+	// acquired before mu.
 	turn   chan struct{}
 	mu     sync.Mutex // guards all below
-	fence  uint64     // of the lease that the allowance was read from
-	tokens float64
-	at     time.Time // when tokens was right
+	fence  uint64     // fencing number of the lease that the level was read from
+	tokens float64    // level of the bucket at time at, loads
+	at     time.Time
 }
 
-// NewWeights returns a limit of loads per minute (0: none), with so many at
-// once.
+// NewWeights returns a limit of perMinute loads per minute (0: no limit) with
+// bursts of at most burst loads.
 func NewWeights(perMinute float64, burst int) *Weights {
 	return &Weights{perMinute: perMinute, burst: max(float64(burst), 1), turn: make(chan struct{}, 1)}
 }
 
-// weightState is the state in the lease.
+// weightState is the state stored in the lease.
 type weightState struct {
 	Tokens float64 `json:"weight_tokens"`
 }
 
 const reasonWeights = "rate of the weight store"
 
-// Wait returns how long the next load has to wait.
+// Wait returns the time until the next load is allowed.
 func (w *Weights) Wait(held *lease.Lease) time.Duration {
 	if w.perMinute <= 0 {
 		return 0
@@ -62,9 +63,9 @@
 	return max(0, time.Duration((1-w.tokens)*perLoad))
 }
 
-// Take takes one load from the allowance and writes that to the store.
-// Errors: *WaitError, and those of lease.Lessor.Renew, after which the load
-// counts as taken.
+// Take takes one load from the bucket and writes the new level to the store.
+// Errors: *WaitError, and those of lease.Lessor.Renew; after the latter the
+// load still counts as taken.
 func (w *Weights) Take(ctx context.Context, lessor lease.Lessor, held *lease.Lease) error {
 	if w.perMinute <= 0 {
 		return nil
@@ -82,7 +83,7 @@
 	return lessor.Renew(ctx, held, state)
 }
 
-// take takes one load and returns the state to write.
+// take takes one load from the bucket and returns the state to write.
 func (w *Weights) take(held *lease.Lease) (json.RawMessage, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -95,7 +96,7 @@
 	return state, err
 }
 
-// refill brings the allowance up to now. The caller holds mu.
+// refill updates the level to the current time. The caller holds mu.
 func (w *Weights) refill(held *lease.Lease) {
 	now := time.Now()
 	if w.fence != held.Fence() {
--- a/order/wire_test.go
+++ b/order/wire_test.go
@@ -26,9 +26,8 @@
 `
 
 func TestDutyOverTheWire(t *testing.T) {
-	// The real client, document parser and stand-in engine together: an engine
-	// that checks the caller and honours fencing numbers loads what a document
-	// says, although loading takes longer than a call usually may.
+	// Guards against load orders that time out because loading takes longer than an
+	// ordinary call. Uses the real client and parser and the stand-in engine.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
--- a/order/world_test.go
+++ b/order/world_test.go
@@ -28,7 +28,8 @@
 	testBurst     = 3
 )
 
-// world is a store, hosts with their duty, and engines, in one synctest bubble.
+// world is a store, entry hosts that each run a Duty, and engines, in one
+// synctest bubble.
 type world struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -37,15 +38,15 @@
 	memory   *store.Memory
 	fleet    *fleet
 	hosts    map[string]*host
-	gates    []*gate                   // of all hosts ever
+	gates    []*gate                   // of all hosts, including stopped ones
 	accepted map[string]acceptedChange // by change id
 	changes  int
 
 	mu     sync.Mutex // guards broken and the hosts' versions
-	broken []string   // promises that were broken
+	broken []string   // violated invariants
 }
 
-// host is one entry host as far as orders go.
+// host is the part of an entry host that sends orders.
 type host struct {
 	name     string
 	gate     *gate
@@ -53,7 +54,7 @@
 	table    *configuration.Table
 	acceptor *configuration.Acceptor
 	duty     *Duty
-	versions map[string]store.Version // highest served, by service
+	versions map[string]store.Version // highest version in force, by service
 }
 
 type acceptedChange struct {
@@ -69,31 +70,31 @@
 	}
 }
 
-// close ends every goroutine, as the bubble asks.
+// close ends every goroutine, as synctest requires.
 func (w *world) close() {
 	w.cancel()
 	w.resumeAll()
 	w.group.Wait()
 }
 
-// resumeAll resumes every host, those that were stopped while paused too.
+// resumeAll resumes every host, including those stopped while paused.
 func (w *world) resumeAll() {
 	for _, g := range w.gates {
 		g.resume()
 	}
 }
 
-// gate stands for a host's process: while it is paused no call begins and
-// none returns; when it is dead all fail.
+// gate simulates a host's process: while it is paused, calls neither start nor
+// return; once it is dead, all calls fail.
 type gate struct {
 	mu     sync.Mutex // guards all below
 	paused chan struct{}
 	dead   bool
-	// afterIntent pauses the host when its next intent has been written.
+	// afterIntent pauses the host after the write of its next intent.
 	afterIntent bool
 }
 
-// wroteIntent pauses the host if that was asked for.
+// wroteIntent pauses the host if pauseAfterIntent was called.
 func (g *gate) wroteIntent() {
 	g.mu.Lock()
 	due := g.afterIntent
@@ -152,7 +153,7 @@
 	g.resume()
 }
 
-// gatedStore is the store as a host reaches it.
+// gatedStore is the store behind a host's gate.
 type gatedStore struct {
 	*store.Memory
 	gate *gate
@@ -172,7 +173,7 @@
 	})
 }
 
-// passed makes a call that a paused host neither begins nor sees the end of.
+// passed passes the gate before and after a call.
 func passed[T any](g *gate, call func() (T, error)) (T, error) {
 	var zero T
 	if err := g.pass(); err != nil {
@@ -185,7 +186,7 @@
 	return answer, err
 }
 
-// gatedEngine is the engines as a host reaches them.
+// gatedEngine is the set of engines behind a host's gate.
 type gatedEngine struct {
 	*fleet
 	host string
@@ -209,8 +210,8 @@
 	return &document, err
 }
 
-// addHost starts a host; one that does not watch learns documents only when
-// it becomes the holder.
+// addHost starts a host. A host that does not watch the store receives documents
+// only when it becomes the lease holder.
 func (w *world) addHost(name, failureDomain string, watches bool) {
 	ctx, cancel := context.WithCancel(w.ctx)
 	h := &host{name: name, gate: &gate{}, cancel: cancel, table: configuration.NewTable(parseJSON), versions: map[string]store.Version{}}
@@ -229,25 +230,26 @@
 	w.group.Go(func() { _ = h.duty.Run(ctx) })
 }
 
-// checkVersions notes a host that serves an older version than it has served.
+// checkVersions records a violation if a host's version in force decreased.
 func (w *world) checkVersions(h *host) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, document := range h.table.Documents() {
 		_, version, _ := h.table.Document(document.Service)
 		if version < h.versions[document.Service] {
-			w.breach("host %s serves %s at %d after %d", h.name, document.Service, version, h.versions[document.Service])
+			w.breach("host %s has %s in force at version %d after %d", h.name, document.Service, version, h.versions[document.Service])
 		}
 		h.versions[document.Service] = version
 	}
 }
 
-// breach notes a broken promise. The caller holds mu or is alone.
+// breach records a violated invariant. The caller holds mu or is the only
+// goroutine that uses broken.
 func (w *world) breach(format string, args ...any) {
 	w.broken = append(w.broken, fmt.Sprintf(format, args...))
 }
 
-// killHost ends a host without a word to anyone.
+// killHost ends a host without notifying any peer.
 func (w *world) killHost(name string) {
 	h := w.hosts[name]
 	h.gate.kill()
@@ -255,7 +257,7 @@
 	delete(w.hosts, name)
 }
 
-// stopHost stops a host as its operator would.
+// stopHost stops a host gracefully.
 func (w *world) stopHost(name string) {
 	w.hosts[name].cancel()
 	delete(w.hosts, name)
@@ -265,7 +267,7 @@
 	w.fleet.engines[address] = &testEngine{honours: honours, alive: true, carry: time.Second}
 }
 
-// apply asks a host to accept a document for a service.
+// apply submits a document to a host.
 func (w *world) apply(h *host, document contract.Document, expect store.Version) (configuration.Result, error) {
 	w.changes++
 	id := fmt.Sprintf("c%d", w.changes)
@@ -279,12 +281,13 @@
 func changeOf(document contract.Document, expect store.Version, id, who string) configuration.Change {
 	text, err := json.Marshal(document)
 	if err != nil {
-		panic(err) // plain data always encodes
+		panic(err) // cannot happen: plain data
 	}
 	return configuration.Change{Service: document.Service, Document: text, Expect: expect, ChangeID: id, Who: who}
 }
 
-// stored returns the version of a service in the store.
+// stored returns the stored version of a service, with store faults disabled
+// during the read.
 func (w *world) stored(service string) store.Version {
 	faults := w.memory.Faults()
 	w.memory.SetFaults(store.Faults{})
@@ -301,7 +304,7 @@
 	synctest.Wait()
 }
 
-// show renders engines and the holder.
+// show renders the engines, the lease holders and the violations.
 func (w *world) show() string {
 	var b strings.Builder
 	for _, address := range slices.Sorted(maps.Keys(w.fleet.engines)) {
@@ -318,7 +321,8 @@
 	return b.String()
 }
 
-// checkEffects checks the oracle over the orders that took effect.
+// checkEffects checks the invariants of the orders that took effect: one holder
+// per fencing number, and fencing numbers that never decrease.
 func (w *world) checkEffects(jitter time.Duration) {
 	holders := map[uint64]string{}
 	highest := uint64(0)
@@ -329,7 +333,7 @@
 		}
 		holders[e.order.Fence] = e.holder
 		if e.order.Fence < byEngine[e.address] {
-			w.breach("%s obeyed fence %d after %d (honours: %v)", e.address, e.order.Fence, byEngine[e.address], e.honours)
+			w.breach("%s executed an order under fence %d after %d (honours: %v)", e.address, e.order.Fence, byEngine[e.address], e.honours)
 		}
 		byEngine[e.address] = e.order.Fence
 		if e.order.Fence < highest {
@@ -340,9 +344,9 @@
 	w.checkRate(jitter)
 }
 
-// checkRate checks that loads kept to the weight store's rate, whoever held
-// the lease. Jitter is how late a load may reach its engine after it was taken
-// from the allowance.
+// checkRate checks that loads stayed within the weight store's rate across lease
+// holders. Jitter is the maximum delay between taking a load from the bucket and
+// its arrival at the engine.
 func (w *world) checkRate(jitter time.Duration) {
 	loads := w.fleet.loads
 	for i := range loads {
