--- a/order/giver.go
+++ b/order/dispatcher.go
@@ -17,12 +17,12 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-var given = prometheus.NewCounterVec(prometheus.CounterOpts{
+var ordersTotal = prometheus.NewCounterVec(prometheus.CounterOpts{
 	Namespace: "papayasail", Subsystem: "order", Name: "given_total",
 	Help: "Orders to engines by kind and outcome, including orders that were held back.",
 }, []string{"kind", "outcome"})
 
-func init() { prometheus.MustRegister(given) }
+func init() { prometheus.MustRegister(ordersTotal) }
 
 // Outcomes of orders, used in metrics and stored in audit entries.
 const (
@@ -35,7 +35,7 @@
 )
 
 const (
-	defaultLongest = 30 * time.Second
+	defaultMaxExecutionTime = 30 * time.Second
 	// minRemaining is the minimum remaining lease time for sending an order.
 	minRemaining = 2 * time.Second
 	// readBackEvery is the interval between reads of an engine's state after a
@@ -49,52 +49,52 @@
 	closeTimeout = 10 * time.Second
 )
 
-// Giver sends orders to engines, only while its host has the lease.
-type Giver struct {
+// Dispatcher sends orders to engines, only while its host has the lease.
+type Dispatcher struct {
 	Host          string
 	FailureDomain string
 	Store         store.Store
 	Lessor        lease.Lessor
 	Engine        Engine
-	Weights       *Weights // rate limit of model loads; nil: no limit
-	// Longest is the maximum time that an engine takes to execute an order
+	LoadLimiter   *LoadLimiter // rate limit of model loads; nil: no limit
+	// MaxExecutionTime is the maximum time that an engine takes to execute an order
 	// after it received the order. It must equal the lessor's. Default 30 s.
-	Longest time.Duration
+	MaxExecutionTime time.Duration
 
 	mu        sync.Mutex      // guards all below
-	busy      map[string]bool // addresses of servers with an order in flight
+	inFlight  map[string]bool // addresses of servers with an order in flight
 	unsettled time.Time       // until then an engine may still execute an order with an unknown outcome
 }
 
 // Unsettled reports whether an engine may still execute an order of this host:
 // one in flight, or one whose outcome is unknown.
-func (g *Giver) Unsettled() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return len(g.busy) > 0 || time.Now().Before(g.unsettled)
+func (d *Dispatcher) Unsettled() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return len(d.inFlight) > 0 || time.Now().Before(d.unsettled)
 }
 
-// Give sends one order and returns the engine's state after it. It blocks for
-// Longest plus the time of the store operations at most. Errors:
+// Dispatch sends one order and returns the engine's state after it. It blocks for
+// MaxExecutionTime plus the time of the store operations at most. Errors:
 // ErrLinkNotAllowed, ErrNotHolder, *WaitError, ErrOldFence, ErrRefused,
 // ErrNotSeen, the errors of store.Store, and *backend.CallError if the order
 // was not sent.
-func (g *Giver) Give(ctx context.Context, held *lease.Lease, order Order) (backend.EngineState, error) {
+func (d *Dispatcher) Dispatch(ctx context.Context, held *lease.Lease, order Order) (backend.EngineState, error) {
 	address := order.Server.Address
-	if !g.claim(address) {
+	if !d.claim(address) {
 		return backend.EngineState{}, &WaitError{For: readBackEvery, Reason: "another order to the server"}
 	}
-	defer g.unclaim(address)
-	request, record, version, err := g.prepare(ctx, held, order)
+	defer d.unclaim(address)
+	request, record, version, err := d.prepare(ctx, held, order)
 	if err != nil {
-		given.WithLabelValues(string(order.Kind), outcomeHeldBack).Inc()
+		ordersTotal.WithLabelValues(string(order.Kind), outcomeHeldBack).Inc()
 		return backend.EngineState{}, err
 	}
-	state, outcome, err := g.send(ctx, held, order, request)
-	given.WithLabelValues(string(order.Kind), outcome).Inc()
+	state, outcome, err := d.send(ctx, held, order, request)
+	ordersTotal.WithLabelValues(string(order.Kind), outcome).Inc()
 	closeCtx, cancel := context.WithTimeout(ctx, closeTimeout)
 	defer cancel()
-	if _, _, closeErr := (journal{g.Store}).close(closeCtx, address, record, outcome, version); closeErr != nil {
+	if _, _, closeErr := (recordStore{d.Store}).close(closeCtx, address, record, outcome, version); closeErr != nil {
 		// The intent stays open until the next order to the server settles it.
 		return state, errors.CombineErrors(err, closeErr)
 	}
@@ -102,8 +102,8 @@
 }
 
 // prepare checks all conditions for the order and writes the intent.
-func (g *Giver) prepare(ctx context.Context, held *lease.Lease, order Order) (request backend.OrderRequest, record serverRecord, version store.Version, err error) {
-	if !order.Document.AllowsOrders(g.FailureDomain, order.Server) {
+func (d *Dispatcher) prepare(ctx context.Context, held *lease.Lease, order Order) (request backend.OrderRequest, record serverRecord, version store.Version, err error) {
+	if !order.Document.AllowsOrders(d.FailureDomain, order.Server) {
 		return request, record, 0, ErrLinkNotAllowed
 	}
 	if wait := held.Quiet(); wait > 0 {
@@ -112,35 +112,35 @@
 	if held.Remaining() < minRemaining {
 		return request, record, 0, ErrNotHolder
 	}
-	if order.Kind == backend.OrderLoad && g.Weights != nil {
-		if wait := g.Weights.Wait(held); wait > 0 {
-			return request, record, 0, &WaitError{For: wait, Reason: reasonWeights}
+	if order.Kind == backend.OrderLoad && d.LoadLimiter != nil {
+		if wait := d.LoadLimiter.Wait(held); wait > 0 {
+			return request, record, 0, &WaitError{For: wait, Reason: reasonLoadLimit}
 		}
 	}
 	// The timeout keeps a long store outage from delaying the order until it is
 	// obsolete. The lease is renewed meanwhile and checked again before sending.
 	ctx, cancel := context.WithTimeout(ctx, prepareTimeout)
 	defer cancel()
-	j := journal{g.Store}
-	record, version, err = j.read(ctx, order.Server.Address)
+	records := recordStore{d.Store}
+	record, version, err = records.read(ctx, order.Server.Address)
 	if err != nil {
 		return request, record, 0, err
 	}
 	if record.Intent.Fence > held.Fence() {
 		return request, record, 0, ErrNotHolder
 	}
-	if record, version, err = g.settle(ctx, order.Server.Address, record, version); err != nil {
+	if record, version, err = d.settle(ctx, order.Server.Address, record, version); err != nil {
 		return request, record, 0, err
 	}
-	if order.Kind == backend.OrderLoad && g.Weights != nil {
-		if err = g.Weights.Take(ctx, g.Lessor, held); err != nil {
+	if order.Kind == backend.OrderLoad && d.LoadLimiter != nil {
+		if err = d.LoadLimiter.Take(ctx, d.Lessor, held); err != nil {
 			return request, record, 0, err
 		}
 	}
 	request = backend.OrderRequest{
 		OrderID: uuid.NewString(), Kind: order.Kind, Model: order.Model, Role: order.Role, Fence: held.Fence(),
 	}
-	record, version, err = j.open(ctx, order.Server.Address, record, intent{OrderRequest: request, Holder: g.Host}, version)
+	record, version, err = records.open(ctx, order.Server.Address, record, intent{OrderRequest: request, Holder: d.Host}, version)
 	var bad *store.VersionError
 	if errors.As(err, &bad) {
 		err = ErrNotHolder // another holder wrote its intent first
@@ -151,19 +151,19 @@
 // settle closes an intent that a previous holder or this host left open. The
 // maximum execution time of its order has passed, so the engine's state shows
 // whether the order took effect.
-func (g *Giver) settle(ctx context.Context, address string, record serverRecord, version store.Version) (serverRecord, store.Version, error) {
+func (d *Dispatcher) settle(ctx context.Context, address string, record serverRecord, version store.Version) (serverRecord, store.Version, error) {
 	if !record.Intent.Open {
 		return record, version, nil
 	}
-	state, err := g.state(ctx, address)
+	state, err := d.state(ctx, address)
 	if err != nil {
 		return record, version, err
 	}
 	outcome := outcomeNotSeen
-	if took(record.Intent.order(), record.Intent.OrderID, state) {
+	if tookEffect(record.Intent.order(), record.Intent.OrderID, state) {
 		outcome = outcomeDone
 	}
-	return journal{g.Store}.close(ctx, address, record, fmt.Sprintf("%s, settled by %s", outcome, g.Host), version)
+	return recordStore{d.Store}.close(ctx, address, record, fmt.Sprintf("%s, settled by %s", outcome, d.Host), version)
 }
 
 // send sends the order. If the response is lost, it reads the engine's state
@@ -174,17 +174,17 @@
 // lease is checked immediately before the call, and the deadline of the call is
 // the end of the lease, so only the time of the order on the network remains.
 // An engine that honours the fencing number refuses such an order. For an engine
-// that ignores it, the next holder waits for Longest before its first order and
+// that ignores it, the next holder waits for MaxExecutionTime before its first order and
 // reads the state again later.
-func (g *Giver) send(ctx context.Context, held *lease.Lease, order Order, request backend.OrderRequest) (backend.EngineState, string, error) {
+func (d *Dispatcher) send(ctx context.Context, held *lease.Lease, order Order, request backend.OrderRequest) (backend.EngineState, string, error) {
 	begun := time.Now()
 	remaining := held.Remaining()
 	if remaining < minRemaining {
 		return backend.EngineState{}, outcomeNotSent, ErrNotHolder
 	}
-	sendCtx, cancel := context.WithTimeout(ctx, min(remaining, g.longest()))
+	sendCtx, cancel := context.WithTimeout(ctx, min(remaining, d.maxExecutionTime()))
 	defer cancel()
-	state, err := g.Engine.Order(sendCtx, order.Server.Address, request)
+	state, err := d.Engine.Order(sendCtx, order.Server.Address, request)
 	if err == nil {
 		return state, outcomeDone, nil
 	}
@@ -198,22 +198,22 @@
 		}
 		return state, outcomeRefused, errors.Mark(err, ErrRefused)
 	}
-	state, outcome, err := g.readBack(ctx, order, request, begun)
+	state, outcome, err := d.readBack(ctx, order, request, begun)
 	if err != nil {
-		g.markUnsettled(begun.Add(g.longest()))
+		d.markUnsettled(begun.Add(d.maxExecutionTime()))
 	}
 	return state, outcome, err
 }
 
 // readBack polls the engine's state for the order's effect until the maximum
 // execution time has passed.
-func (g *Giver) readBack(ctx context.Context, order Order, request backend.OrderRequest, begun time.Time) (backend.EngineState, string, error) {
+func (d *Dispatcher) readBack(ctx context.Context, order Order, request backend.OrderRequest, begun time.Time) (backend.EngineState, string, error) {
 	for {
-		state, err := g.state(ctx, order.Server.Address)
-		if err == nil && took(order, request.OrderID, state) {
+		state, err := d.state(ctx, order.Server.Address)
+		if err == nil && tookEffect(order, request.OrderID, state) {
 			return state, outcomeDone, nil
 		}
-		if time.Since(begun) >= g.longest() {
+		if time.Since(begun) >= d.maxExecutionTime() {
 			return state, outcomeNotSeen, ErrNotSeen
 		}
 		if err := sleep.For(ctx, readBackEvery); err != nil {
@@ -222,49 +222,49 @@
 	}
 }
 
-func (g *Giver) state(ctx context.Context, address string) (backend.EngineState, error) {
+func (d *Dispatcher) state(ctx context.Context, address string) (backend.EngineState, error) {
 	ctx, cancel := context.WithTimeout(ctx, readBackTimeout)
 	defer cancel()
-	return g.Engine.State(ctx, address)
+	return d.Engine.State(ctx, address)
 }
 
-// took reports whether an engine's state shows that an order took effect.
-func took(order Order, id string, state backend.EngineState) bool {
-	return state.LastOrder == id || order.In(state)
+// tookEffect reports whether an engine's state shows that an order took effect.
+func tookEffect(order Order, id string, state backend.EngineState) bool {
+	return state.LastOrder == id || order.SatisfiedBy(state)
 }
 
-func (g *Giver) longest() time.Duration {
-	if g.Longest <= 0 {
-		return defaultLongest
+func (d *Dispatcher) maxExecutionTime() time.Duration {
+	if d.MaxExecutionTime <= 0 {
+		return defaultMaxExecutionTime
 	}
-	return g.Longest
+	return d.MaxExecutionTime
 }
 
 // claim marks the server as having an order in flight from this host. It
 // returns false if it has one already.
-func (g *Giver) claim(address string) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.busy[address] {
+func (d *Dispatcher) claim(address string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.inFlight[address] {
 		return false
 	}
-	if g.busy == nil {
-		g.busy = map[string]bool{}
+	if d.inFlight == nil {
+		d.inFlight = map[string]bool{}
 	}
-	g.busy[address] = true
+	d.inFlight[address] = true
 	return true
 }
 
-func (g *Giver) markUnsettled(until time.Time) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if until.After(g.unsettled) {
-		g.unsettled = until
+func (d *Dispatcher) markUnsettled(until time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if until.After(d.unsettled) {
+		d.unsettled = until
 	}
 }
 
-func (g *Giver) unclaim(address string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	delete(g.busy, address)
+func (d *Dispatcher) unclaim(address string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.inFlight, address)
 }
--- a/order/giver_test.go
+++ b/order/dispatcher_test.go
@@ -14,8 +14,8 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// setUp returns a giver, a new lease, a load order for engine w1 and the engines.
-func setUp(t *testing.T) (*Giver, *lease.Lease, Order, *fleet) {
+// setUp returns a dispatcher, a new lease, a load order for engine w1 and the engines.
+func setUp(t *testing.T) (*Dispatcher, *lease.Lease, Order, *engineSet) {
 	w := newWorld()
 	w.addEngine("w1", false)
 	memory := store.NewMemory()
@@ -24,19 +24,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	giver := &Giver{Host: "a", FailureDomain: "north", Store: memory, Lessor: lessor, Engine: gatedEngine{fleet: w.fleet, host: "a", gate: &gate{}}}
+	dispatcher := &Dispatcher{Host: "a", FailureDomain: "north", Store: memory, Lessor: lessor, Engine: gatedEngine{engineSet: w.engineSet, host: "a", gate: &gate{}}}
 	document := fuzzDocument("letters", "m", 1, 1)
-	return giver, held, Order{Document: &document, Server: document.BackendServers[0], Kind: backend.OrderLoad, Model: "m@1"}, w.fleet
+	return dispatcher, held, Order{Document: &document, Server: document.BackendServers[0], Kind: backend.OrderLoad, Model: "m@1"}, w.engineSet
 }
 
 func TestGiveKeepsToAllowedLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		giver, held, order, fleet := setUp(t)
+		dispatcher, held, order, engineSet := setUp(t)
 		order.Document.OrderLinks = []contract.OrderLink{{From: "south", BackendServers: []string{"w1"}}}
-		_, err := giver.Give(t.Context(), held, order)
+		_, err := dispatcher.Dispatch(t.Context(), held, order)
 		is.True(errors.Is(err, ErrLinkNotAllowed))
-		is.Equal(len(fleet.effects), 0)
+		is.Equal(len(engineSet.effects), 0)
 	})
 }
 
@@ -45,24 +45,24 @@
 	// the server's record has an intent with a higher fencing number.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		giver, held, order, fleet := setUp(t)
+		dispatcher, held, order, engineSet := setUp(t)
 		next := intent{OrderRequest: backend.OrderRequest{OrderID: "x", Kind: backend.OrderLoad, Model: "m@2", Fence: held.Fence() + 1}, Holder: "b"}
-		_, _, err := journal{giver.Store}.open(t.Context(), "w1", serverRecord{}, next, 0)
+		_, _, err := recordStore{dispatcher.Store}.open(t.Context(), "w1", serverRecord{}, next, 0)
 		is.NoErr(err)
-		_, err = giver.Give(t.Context(), held, order)
+		_, err = dispatcher.Dispatch(t.Context(), held, order)
 		is.True(errors.Is(err, ErrNotHolder))
-		is.Equal(len(fleet.effects), 0)
+		is.Equal(len(engineSet.effects), 0)
 	})
 }
 
 func TestGiveWithoutTimeLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		giver, held, order, fleet := setUp(t)
+		dispatcher, held, order, engineSet := setUp(t)
 		time.Sleep(held.Remaining() - minRemaining/2)
-		_, err := giver.Give(t.Context(), held, order)
+		_, err := dispatcher.Dispatch(t.Context(), held, order)
 		is.True(errors.Is(err, ErrNotHolder))
-		is.Equal(len(fleet.effects), 0)
+		is.Equal(len(engineSet.effects), 0)
 	})
 }
 
@@ -71,9 +71,9 @@
 	// shows that the model was loaded.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		giver, held, order, fleet := setUp(t)
-		fleet.engines["w1"].loseAnswers = 1
-		state, err := giver.Give(t.Context(), held, order)
+		dispatcher, held, order, engineSet := setUp(t)
+		engineSet.engines["w1"].loseAnswers = 1
+		state, err := dispatcher.Dispatch(t.Context(), held, order)
 		is.NoErr(err)
 		is.Equal(state.Models, []string{"m@1"})
 	})
@@ -82,12 +82,12 @@
 func TestGiveToAnEngineWithNewerFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		giver, held, order, fleet := setUp(t)
-		engine := fleet.engines["w1"]
+		dispatcher, held, order, engineSet := setUp(t)
+		engine := engineSet.engines["w1"]
 		engine.honours, engine.state.LastFence = true, held.Fence()+1
-		_, err := giver.Give(t.Context(), held, order)
+		_, err := dispatcher.Dispatch(t.Context(), held, order)
 		is.True(errors.Is(err, ErrOldFence))
-		is.Equal(len(fleet.effects), 0)
+		is.Equal(len(engineSet.effects), 0)
 	})
 }
 
@@ -102,10 +102,10 @@
 			lessor := lease.NewStoreLessor(memory, "a", lease.Options{})
 			held, err := lessor.Acquire(ctx, LeaseName)
 			is.NoErr(err)
-			weights := NewWeights(6, 3)
+			limiter := NewLoadLimiter(6, 3)
 			for range 3 {
 				time.Sleep(time.Second)
-				if weights.Take(ctx, lessor, held) == nil {
+				if limiter.Take(ctx, lessor, held) == nil {
 					loads++
 				}
 			}
@@ -118,6 +118,6 @@
 		is.NoErr(err)
 		held, err := lease.NewStoreLessor(memory, "b", lease.Options{}).Acquire(ctx, LeaseName)
 		is.NoErr(err)
-		is.Equal(NewWeights(6, 3).Wait(held), 10*time.Second)
+		is.Equal(NewLoadLimiter(6, 3).Wait(held), 10*time.Second)
 	})
 }
--- a/order/duty.go
+++ b/order/duty.go
@@ -26,12 +26,12 @@
 )
 
 const (
-	defaultTick  = 5 * time.Second
-	releaseLimit = 5 * time.Second
-	renewTimeout = 10 * time.Second
-	// yieldFor is how long a host does not contend for the lease after it
+	defaultTick    = 5 * time.Second
+	releaseTimeout = 5 * time.Second
+	renewTimeout   = 10 * time.Second
+	// yieldPeriod is how long a host does not contend for the lease after it
 	// yielded the lease to hosts in another failure domain.
-	yieldFor = time.Minute
+	yieldPeriod = time.Minute
 	// notContendingPeriod is the interval between checks whether this host
 	// should contend.
 	notContendingPeriod = 5 * time.Second
@@ -55,7 +55,7 @@
 // Duty contends for the orders lease and places models while it has the lease.
 type Duty struct {
 	Lessor     lease.Lessor
-	Giver      *Giver
+	Dispatcher *Dispatcher
 	Placement  *Placement
 	RenewEvery time.Duration // interval between lease renewals; default 5 s
 	Tick       time.Duration // interval between plans; default 5 s
@@ -68,12 +68,12 @@
 	Refresh func(ctx context.Context) error
 	Logger  *zap.Logger // nil: no log
 
-	holds atomic.Bool
+	isHolder atomic.Bool
 }
 
 // Holding reports whether this host holds the lease, according to its local
 // state. Such a host must watch the store for newer documents.
-func (d *Duty) Holding() bool { return d.holds.Load() }
+func (d *Duty) Holding() bool { return d.isHolder.Load() }
 
 // Run contends for the lease and places models while it has the lease. It
 // returns the error of ctx when ctx ends, after releasing the lease.
@@ -90,7 +90,7 @@
 		if err == nil {
 			backoff.Reset()
 			if d.hold(ctx, held) {
-				_ = sleep.For(ctx, yieldFor)
+				_ = sleep.For(ctx, yieldPeriod)
 			}
 			continue
 		}
@@ -110,13 +110,13 @@
 // another failure domain.
 func (d *Duty) hold(ctx context.Context, held *lease.Lease) (yielded bool) {
 	d.logger().Info(msgAcquired, zap.Uint64("fence", held.Fence()))
-	d.holds.Store(true)
+	d.isHolder.Store(true)
 	holding.Set(1)
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return d.renew(ctx, held) })
-	group.Go(func() error { return d.place(ctx, held) })
+	group.Go(func() error { return d.placeModels(ctx, held) })
 	err := group.Wait()
-	d.holds.Store(false)
+	d.isHolder.Store(false)
 	holding.Set(0)
 	d.Placement.Forget()
 	d.release(held)
@@ -128,10 +128,10 @@
 // If an order of this holder may still take effect, the lease is left to
 // expire instead, so that the next holder waits until that order cannot.
 func (d *Duty) release(held *lease.Lease) {
-	if d.Giver.Unsettled() {
+	if d.Dispatcher.Unsettled() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), releaseLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	_ = d.Lessor.Release(ctx, held)
 }
@@ -155,9 +155,9 @@
 	}
 }
 
-// place plans and sends orders until ctx ends, the host no longer contends or
+// placeModels plans and sends orders until ctx ends, the host no longer contends or
 // it yields the lease. It never returns nil.
-func (d *Duty) place(ctx context.Context, held *lease.Lease) error {
+func (d *Duty) placeModels(ctx context.Context, held *lease.Lease) error {
 	if err := sleep.For(ctx, held.Quiet()); err != nil {
 		return err
 	}
@@ -169,7 +169,7 @@
 		tick = defaultTick
 	}
 	for d.contends() {
-		if held.Remaining() > minRemaining && d.round(ctx, held) == 0 && d.Placement.DueElsewhere() {
+		if held.Remaining() > minRemaining && d.dispatchPlan(ctx, held) == 0 && d.Placement.DueElsewhere() {
 			// Guards against a server that never gets its model, because its
 			// document allows orders from one failure domain only and the holder
 			// is in another. A host that may send the order gets the lease.
@@ -195,14 +195,14 @@
 	return nil
 }
 
-// round sends the orders of one plan and returns their number.
-func (d *Duty) round(ctx context.Context, held *lease.Lease) int {
+// dispatchPlan sends the orders of one plan and returns their number.
+func (d *Duty) dispatchPlan(ctx context.Context, held *lease.Lease) int {
 	var group errgroup.Group
 	group.SetLimit(parallelOrders)
 	orders := d.Placement.Plan(ctx)
 	for _, order := range orders {
 		group.Go(func() error {
-			d.give(ctx, held, order)
+			d.dispatch(ctx, held, order)
 			return nil
 		})
 	}
@@ -210,13 +210,13 @@
 	return len(orders)
 }
 
-func (d *Duty) give(ctx context.Context, held *lease.Lease, order Order) {
-	state, err := d.Giver.Give(ctx, held, order)
+func (d *Duty) dispatch(ctx context.Context, held *lease.Lease, order Order) {
+	state, err := d.Dispatcher.Dispatch(ctx, held, order)
 	fields := []zap.Field{zap.String("server", order.Server.Address), zap.Stringer("order", order), zap.Uint64("fence", held.Fence())}
 	var wait *WaitError
 	switch {
 	case err == nil:
-		d.Placement.Saw(order.Server.Address, state)
+		d.Placement.RecordState(order.Server.Address, state)
 		d.logger().Info(msgOrder, fields...)
 	case !errors.As(err, &wait):
 		d.logger().Warn(msgNoOrder, append(fields, zap.Error(err))...)
--- a/order/engine_test.go
+++ b/order/engine_test.go
@@ -20,27 +20,27 @@
 type testEngine struct {
 	honours bool // refuses stale fencing numbers
 
-	mu           sync.Mutex // guards all below
-	alive        bool
-	life         int           // incarnation; incremented when the engine dies
-	carry        time.Duration // execution time of an order
-	loseAnswers  int
-	loseRequests int
-	state        backend.EngineState
+	mu            sync.Mutex // guards all below
+	alive         bool
+	incarnation   int           // incremented when the engine dies
+	executionTime time.Duration // execution time of an order
+	loseAnswers   int
+	loseRequests  int
+	state         backend.EngineState
 }
 
 // effect is an order that took effect.
 type effect struct {
-	address string
-	order   backend.OrderRequest
-	holder  string
-	at      time.Time
-	honours bool
-	left    int // live engines that still have some version of the model
+	address   string
+	order     backend.OrderRequest
+	holder    string
+	at        time.Time
+	honours   bool
+	remaining int // live engines that still have some version of the model
 }
 
-// fleet is the set of all engines; it records the orders that took effect.
-type fleet struct {
+// engineSet is the set of all engines; it records the orders that took effect.
+type engineSet struct {
 	engines map[string]*testEngine
 
 	mu      sync.Mutex // guards effects and loads; acquired after an engine's mu
@@ -49,7 +49,7 @@
 }
 
 // order handles an order that arrives from a host.
-func (f *fleet) order(ctx context.Context, holder, address string, order backend.OrderRequest) (backend.EngineState, error) {
+func (f *engineSet) order(ctx context.Context, holder, address string, order backend.OrderRequest) (backend.EngineState, error) {
 	e := f.engines[address]
 	e.mu.Lock()
 	if !e.alive {
@@ -66,7 +66,7 @@
 		return backend.EngineState{}, &backend.CallError{Evidence: backend.RefusedNotRun, Status: http.StatusConflict, Err: errTest}
 	}
 	e.state.LastFence = max(e.state.LastFence, order.Fence)
-	life, carry := e.life, e.carry
+	incarnation, executionTime := e.incarnation, e.executionTime
 	lost := e.loseAnswers > 0
 	if lost {
 		e.loseAnswers--
@@ -79,8 +79,8 @@
 	}
 	done := make(chan backend.EngineState, 1)
 	go func() {
-		time.Sleep(carry)
-		done <- f.apply(e, life, address, holder, order)
+		time.Sleep(executionTime)
+		done <- f.apply(e, incarnation, address, holder, order)
 	}()
 	select {
 	case state := <-done:
@@ -93,23 +93,23 @@
 	}
 }
 
-func (f *fleet) apply(e *testEngine, life int, address, holder string, order backend.OrderRequest) backend.EngineState {
-	state, ok := e.apply(life, order)
+func (f *engineSet) apply(e *testEngine, incarnation int, address, holder string, order backend.OrderRequest) backend.EngineState {
+	state, ok := e.apply(incarnation, order)
 	if !ok {
 		return state
 	}
-	left := f.having(order.Model)
+	remaining := f.countHaving(order.Model)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.effects = append(f.effects, effect{address: address, order: order, holder: holder, at: time.Now(), honours: e.honours, left: left})
+	f.effects = append(f.effects, effect{address: address, order: order, holder: holder, at: time.Now(), honours: e.honours, remaining: remaining})
 	return state
 }
 
 // apply changes the engine's state, unless the engine died after the order arrived.
-func (e *testEngine) apply(life int, order backend.OrderRequest) (backend.EngineState, bool) {
+func (e *testEngine) apply(incarnation int, order backend.OrderRequest) (backend.EngineState, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.life != life {
+	if e.incarnation != incarnation {
 		return backend.EngineState{}, false
 	}
 	at := slices.Index(e.state.Models, order.Model)
@@ -125,8 +125,8 @@
 	return e.copy(), true
 }
 
-// having counts the live engines that have some version of the model.
-func (f *fleet) having(model string) int {
+// countHaving counts the live engines that have some version of the model.
+func (f *engineSet) countHaving(model string) int {
 	name, _, _ := strings.Cut(model, "@")
 	count := 0
 	for _, e := range f.engines {
@@ -139,7 +139,7 @@
 	return count
 }
 
-func (f *fleet) State(_ context.Context, address string) (backend.EngineState, error) {
+func (f *engineSet) State(_ context.Context, address string) (backend.EngineState, error) {
 	e := f.engines[address]
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -154,7 +154,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.alive = false
-	e.life++
+	e.incarnation++
 	e.state = backend.EngineState{}
 }
 
--- a/order/fuzz_test.go
+++ b/order/fuzz_test.go
@@ -20,9 +20,9 @@
 
 // step is one action of a fuzzed script.
 type step struct {
-	do string
-	n  int // which host, engine or service, modulo their number
-	d  time.Duration
+	action string
+	n      int // which host, engine or service, modulo their number
+	d      time.Duration
 }
 
 // actions lists each action as often as its weight in the random choice.
@@ -34,9 +34,9 @@
 
 var steps = rapid.Custom(func(t *rapid.T) step {
 	return step{
-		do: rapid.SampledFrom(actions).Draw(t, "do"),
-		n:  rapid.IntRange(0, 11).Draw(t, "n"),
-		d:  time.Duration(rapid.IntRange(1, 90).Draw(t, "seconds")) * time.Second,
+		action: rapid.SampledFrom(actions).Draw(t, "do"),
+		n:      rapid.IntRange(0, 11).Draw(t, "n"),
+		d:      time.Duration(rapid.IntRange(1, 90).Draw(t, "seconds")) * time.Second,
 	}
 })
 
@@ -63,18 +63,18 @@
 	reached := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
 		script := rapid.SliceOfN(steps, 20, 60).Draw(rt, "script")
-		var broken []string
+		var violations []string
 		synctest.Test(t, func(*testing.T) {
 			f := newFuzzer(reached)
 			defer f.close()
 			for _, s := range script {
-				f.do(s)
+				f.execute(s)
 			}
 			f.heal()
-			broken = f.judge()
+			violations = f.verify()
 		})
-		if len(broken) > 0 {
-			rt.Fatalf("%d invariants violated: %q", len(broken), broken)
+		if len(violations) > 0 {
+			rt.Fatalf("%d invariants violated: %q", len(violations), violations)
 		}
 	})
 	for _, key := range slices.Sorted(maps.Keys(reached)) {
@@ -132,15 +132,15 @@
 	return f.host(n)
 }
 
-func (f *fuzzer) do(s step) {
-	f.reached[s.do]++
+func (f *fuzzer) execute(s step) {
+	f.reached[s.action]++
 	host := f.host(s.n)
-	if strings.HasSuffix(s.do, "holder") || s.do == "pause after intent" {
+	if strings.HasSuffix(s.action, "holder") || s.action == "pause after intent" {
 		host = f.holder(s.n)
 	}
-	engine := f.fleet.engines[fmt.Sprintf("w%d", s.n%len(f.fleet.engines))]
+	engine := f.engineSet.engines[fmt.Sprintf("w%d", s.n%len(f.engineSet.engines))]
 	faults := f.memory.Faults()
-	switch s.do {
+	switch s.action {
 	case "run":
 		f.advance(s.d)
 	case "apply":
@@ -165,7 +165,7 @@
 	case "start":
 		engine.start()
 	case "carry":
-		engine.set(func() { engine.carry = min(s.d, testLongest-time.Second) })
+		engine.set(func() { engine.executionTime = min(s.d, testMaxExecutionTime-time.Second) })
 	case "order answer lost":
 		engine.set(func() { engine.loseAnswers++ })
 	case "order lost":
@@ -262,41 +262,41 @@
 func (f *fuzzer) heal() {
 	f.memory.SetFaults(store.Faults{})
 	f.resumeAll()
-	for _, e := range f.fleet.engines {
+	for _, e := range f.engineSet.engines {
 		e.start()
-		e.set(func() { e.carry, e.loseAnswers, e.loseRequests = time.Second, 0, 0 })
+		e.set(func() { e.executionTime, e.loseAnswers, e.loseRequests = time.Second, 0, 0 })
 	}
 	f.collect(f.pending)
 	f.settle()
 	f.advance(8 * time.Minute)
 }
 
-// judge checks all invariants and returns the violations.
-func (f *fuzzer) judge() []string {
+// verify checks all invariants and returns the violations.
+func (f *fuzzer) verify() []string {
 	f.checkEffects(testTerm + prepareTimeout)
-	f.reached["order effects"] += len(f.fleet.effects)
+	f.reached["order effects"] += len(f.engineSet.effects)
 	fences := map[uint64]bool{}
-	for _, e := range f.fleet.effects {
+	for _, e := range f.engineSet.effects {
 		fences[e.order.Fence] = true
 	}
 	f.reached["fences with effects"] += len(fences)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.unknown) > 0 {
-		f.breach("unsettled changes: %v", f.unknown)
+		f.recordViolation("unsettled changes: %v", f.unknown)
 	}
 	for _, document := range f.services {
-		f.judgeChanges(document.Service)
-		f.judgeEngines(document.Service)
+		f.verifyChanges(document.Service)
+		f.verifyEngines(document.Service)
 	}
-	return f.broken
+	return f.violations
 }
 
-// judgeChanges compares the results reported to operators with the store.
-func (f *fuzzer) judgeChanges(service string) {
+// verifyChanges compares the results reported to operators with the store.
+func (f *fuzzer) verifyChanges(service string) {
 	entries, err := configuration.NewAcceptor(f.memory, parseJSON).History(context.Background(), service)
 	if err != nil && len(f.acceptedOf(service)) > 0 {
-		f.breach("history of %s: %v", service, err)
+		f.recordViolation("history of %s: %v", service, err)
 		return
 	}
 	found := map[string]store.Version{}
@@ -307,12 +307,12 @@
 	}
 	for id, change := range f.acceptedOf(service) {
 		if found[id] != change.version {
-			f.breach("change %s was accepted as %d, the store has %d", id, change.version, found[id])
+			f.recordViolation("change %s was accepted as %d, the store has %d", id, change.version, found[id])
 		}
 		delete(found, id)
 	}
 	for id := range found {
-		f.breach("change %s took effect but was reported as not accepted or unknown (refused: %t)", id, f.refused[id] != "")
+		f.recordViolation("change %s took effect but was reported as not accepted or unknown (refused: %t)", id, f.refused[id] != "")
 	}
 }
 
@@ -322,30 +322,30 @@
 	return changes
 }
 
-// judgeEngines compares each table and engine with the last accepted document.
-func (f *fuzzer) judgeEngines(service string) {
+// verifyEngines compares each table and engine with the last accepted document.
+func (f *fuzzer) verifyEngines(service string) {
 	source, version, ok := f.storedSource(service)
 	if !ok {
 		return
 	}
 	for name, h := range f.hosts {
 		if _, served, _ := h.table.Document(service); served != version {
-			f.breach("host %s serves %s at %d, the store has %d", name, service, served, version)
+			f.recordViolation("host %s serves %s at %d, the store has %d", name, service, served, version)
 		}
 	}
 	have := 0
 	for _, server := range source.BackendServers {
-		state, _ := f.fleet.State(f.ctx, server.Address)
+		state, _ := f.engineSet.State(f.ctx, server.Address)
 		for _, model := range state.Models {
 			if model == source.Model.Target() {
 				have++
 			} else if source.Model.Names(model) {
-				f.breach("%s has %s, the document requires %s", server.Address, model, source.Model.Target())
+				f.recordViolation("%s has %s, the document requires %s", server.Address, model, source.Model.Target())
 			}
 		}
 	}
 	if have < source.Model.MinWorkers {
-		f.breach("%d workers have %s, the document requires %d", have, source.Model.Target(), source.Model.MinWorkers)
+		f.recordViolation("%d workers have %s, the document requires %d", have, source.Model.Target(), source.Model.MinWorkers)
 	}
 }
 
--- a/order/intent.go
+++ b/order/intent.go
@@ -33,13 +33,13 @@
 	History audit.History `json:"history"`
 }
 
-// journal reads and writes server records.
-type journal struct{ store store.Store }
+// recordStore reads and writes server records.
+type recordStore struct{ store store.Store }
 
 // read returns a server's record, or version zero if no order was ever
 // recorded for the server.
-func (j journal) read(ctx context.Context, address string) (serverRecord, store.Version, error) {
-	object, err := j.store.Get(ctx, audit.OrderKind, address)
+func (s recordStore) read(ctx context.Context, address string) (serverRecord, store.Version, error) {
+	object, err := s.store.Get(ctx, audit.OrderKind, address)
 	if errors.Is(err, store.ErrNoObject) {
 		return serverRecord{}, 0, nil
 	}
@@ -55,7 +55,7 @@
 
 // open writes an open intent, on condition that the record still has the
 // version that was read.
-func (j journal) open(ctx context.Context, address string, r serverRecord, next intent, version store.Version) (serverRecord, store.Version, error) {
+func (s recordStore) open(ctx context.Context, address string, r serverRecord, next intent, version store.Version) (serverRecord, store.Version, error) {
 	entry := audit.Entry{
 		ChangeID: next.OrderID, Who: next.Holder, When: time.Now().UTC(), What: audit.WhatOrder,
 		Name: address, From: version, Detail: next.order().String() + ": sent",
@@ -63,23 +63,23 @@
 	next.Open = true
 	r.Intent = next
 	r.History = r.History.With(entry, version).Truncate(maxEntries)
-	written, err := j.write(ctx, address, r, version)
+	written, err := s.write(ctx, address, r, version)
 	return r, written, err
 }
 
 // close records the outcome of the open intent.
-func (j journal) close(ctx context.Context, address string, r serverRecord, outcome string, version store.Version) (serverRecord, store.Version, error) {
+func (s recordStore) close(ctx context.Context, address string, r serverRecord, outcome string, version store.Version) (serverRecord, store.Version, error) {
 	r.Intent.Open = false
 	r.History.Entries = r.History.At(version)
 	r.History.Entries[0].Detail = r.Intent.order().String() + ": " + outcome
-	written, err := j.write(ctx, address, r, version)
+	written, err := s.write(ctx, address, r, version)
 	return r, written, err
 }
 
-func (j journal) write(ctx context.Context, address string, r serverRecord, version store.Version) (store.Version, error) {
+func (s recordStore) write(ctx context.Context, address string, r serverRecord, version store.Version) (store.Version, error) {
 	value, err := json.Marshal(r)
 	if err != nil {
 		return 0, errors.Wrap(err, "order: encode")
 	}
-	return store.PutSettled(ctx, j.store, audit.OrderKind, address, value, version)
+	return store.PutSettled(ctx, s.store, audit.OrderKind, address, value, version)
 }
--- a/order/options.go
+++ b/order/options.go
@@ -41,14 +41,14 @@
 // New returns a Duty; call its Run method to start it.
 func New(o Options) *Duty {
 	if o.Longest <= 0 {
-		o.Longest = defaultLongest
+		o.Longest = defaultMaxExecutionTime
 	}
 	lessor := lease.NewStoreLessor(o.Store, o.Host, lease.Options{Term: o.Term, Longest: o.Longest})
 	return &Duty{
 		Lessor: lessor,
-		Giver: &Giver{
+		Dispatcher: &Dispatcher{
 			Host: o.Host, FailureDomain: o.FailureDomain, Store: o.Store, Lessor: lessor, Engine: o.Engine,
-			Weights: NewWeights(o.LoadsPerMinute, o.LoadsAtOnce), Longest: o.Longest,
+			LoadLimiter: NewLoadLimiter(o.LoadsPerMinute, o.LoadsAtOnce), MaxExecutionTime: o.Longest,
 		},
 		Placement:  &Placement{Documents: o.Documents, Engine: o.Engine, Leaving: o.Leaving, FailureDomain: o.FailureDomain},
 		RenewEvery: lessor.RenewEvery(),
--- a/order/order.go
+++ b/order/order.go
@@ -39,8 +39,8 @@
 	return fmt.Sprintf("%s %s", o.Kind, o.Model)
 }
 
-// In reports whether the engine's state is the state that the order requires.
-func (o Order) In(state backend.EngineState) bool {
+// SatisfiedBy reports whether the engine's state is the state that the order requires.
+func (o Order) SatisfiedBy(state backend.EngineState) bool {
 	switch o.Kind {
 	case backend.OrderLoad:
 		return slices.Contains(state.Models, o.Model)
--- a/order/placement.go
+++ b/order/placement.go
@@ -14,8 +14,8 @@
 	// deadAfter is the number of consecutive failed reads after which a worker
 	// counts as dead and its models are placed on other workers.
 	deadAfter = 3
-	// observers bounds the number of concurrent reads of engine states.
-	observers = 8
+	// parallelReads bounds the number of concurrent reads of engine states.
+	parallelReads = 8
 )
 
 // Documents is the configuration in force; *configuration.Table implements it.
@@ -35,21 +35,21 @@
 	FailureDomain string
 
 	mu      sync.Mutex // guards workers
-	workers map[string]sighting
+	workers map[string]observation
 }
 
-// sighting is the last known state of a worker.
-type sighting struct {
-	state  backend.EngineState
-	seen   bool // state was read at least once
-	missed int  // consecutive failed reads
+// observation is the last known state of a worker.
+type observation struct {
+	state       backend.EngineState
+	seen        bool // state was read at least once
+	failedReads int  // consecutive failed reads
 }
 
 // Plan reads the states of all engines of model services and returns the orders
 // that are due.
 func (p *Placement) Plan(ctx context.Context) []Order {
 	documents := p.Documents.Documents()
-	p.observe(ctx, documents)
+	p.readStates(ctx, documents)
 	return Plan(documents, p.snapshot(), p.FailureDomain)
 }
 
@@ -75,17 +75,17 @@
 	p.workers = nil
 }
 
-// Saw records an engine's state, as read or as returned with an order's response.
-func (p *Placement) Saw(address string, state backend.EngineState) {
+// RecordState records an engine's state, as read or as returned with an order's response.
+func (p *Placement) RecordState(address string, state backend.EngineState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.workers == nil {
-		p.workers = map[string]sighting{}
+		p.workers = map[string]observation{}
 	}
-	p.workers[address] = sighting{state: state, seen: true}
+	p.workers[address] = observation{state: state, seen: true}
 }
 
-func (p *Placement) observe(ctx context.Context, documents []*contract.Document) {
+func (p *Placement) readStates(ctx context.Context, documents []*contract.Document) {
 	addresses := map[string]bool{}
 	for _, document := range documents {
 		if document.Kind != contract.KindModel {
@@ -96,31 +96,31 @@
 		}
 	}
 	var group errgroup.Group
-	group.SetLimit(observers)
+	group.SetLimit(parallelReads)
 	for address := range addresses {
 		group.Go(func() error {
-			p.look(ctx, address)
+			p.readState(ctx, address)
 			return nil
 		})
 	}
 	_ = group.Wait()
 }
 
-func (p *Placement) look(ctx context.Context, address string) {
+func (p *Placement) readState(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, readBackTimeout)
 	defer cancel()
 	state, err := p.Engine.State(ctx, address)
 	if err == nil {
-		p.Saw(address, state)
+		p.RecordState(address, state)
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.workers == nil {
-		p.workers = map[string]sighting{}
+		p.workers = map[string]observation{}
 	}
 	last := p.workers[address]
-	last.missed++
+	last.failedReads++
 	p.workers[address] = last
 }
 
@@ -132,7 +132,7 @@
 	workers := make(map[string]Worker, len(p.workers))
 	for address, s := range p.workers {
 		leaving := p.Documents.Drained(address) || p.Leaving != nil && p.Leaving(address)
-		workers[address] = Worker{Alive: s.seen && s.missed < deadAfter && !leaving, Answers: s.missed == 0, State: s.state}
+		workers[address] = Worker{Alive: s.seen && s.failedReads < deadAfter && !leaving, Responsive: s.failedReads == 0, State: s.state}
 	}
 	return workers
 }
--- a/order/plan.go
+++ b/order/plan.go
@@ -13,10 +13,10 @@
 // Worker is the known state of a backend server, as input for a plan.
 type Worker struct {
 	Alive bool // not dead, not leaving, not drained
-	// Answers reports that the last read of the server's state succeeded. Only
+	// Responsive reports that the last read of the server's state succeeded. Only
 	// such workers get orders.
-	Answers bool
-	State   backend.EngineState
+	Responsive bool
+	State      backend.EngineState
 }
 
 // Plan returns the orders that bring the workers closer to the state required
@@ -33,13 +33,13 @@
 	p := planner{documents: documents, workers: workers, from: from, ordered: map[string]bool{}}
 	for _, document := range documents {
 		if document.Model != nil {
-			p.load(document)
+			p.planLoads(document)
 		}
 	}
 	for _, document := range documents {
-		p.roles(document)
+		p.planRoles(document)
 		if document.Model != nil {
-			p.unload(document)
+			p.planUnloads(document)
 		}
 	}
 	return p.orders
@@ -53,15 +53,15 @@
 	ordered   map[string]bool // addresses with an order in the plan
 }
 
-// load plans loads of the required version for the number of missing workers.
-func (p *planner) load(document *contract.Document) {
-	missing := document.Model.MinWorkers - p.count(document) - p.coming(document)
+// planLoads plans loads of the required version for the number of missing workers.
+func (p *planner) planLoads(document *contract.Document) {
+	missing := document.Model.MinWorkers - p.loadedCount(document) - p.plannedLoads(document)
 	if missing <= 0 {
 		return
 	}
 	var candidates []contract.BackendServer
 	for _, server := range document.BackendServers {
-		if p.usable(document, server) && !p.has(server, document.Model.Target()) {
+		if p.usable(document, server) && !p.hasLoaded(server, document.Model.Target()) {
 			candidates = append(candidates, server)
 		}
 	}
@@ -88,15 +88,15 @@
 	return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(hash(a), hash(b)), cmp.Compare(a.Address, b.Address))
 }
 
-// unload plans unloads of those versions of a document's model that no document
+// planUnloads plans unloads of those versions of a document's model that no document
 // requires on the server.
-func (p *planner) unload(document *contract.Document) {
+func (p *planner) planUnloads(document *contract.Document) {
 	for _, server := range document.BackendServers {
 		if !p.usable(document, server) {
 			continue
 		}
 		for _, model := range p.workers[server.Address].State.Models {
-			if document.Model.Names(model) && p.unwanted(server, model) {
+			if document.Model.Names(model) && p.mayUnload(server, model) {
 				p.add(Order{Document: document, Server: server, Kind: backend.OrderUnload, Model: model})
 				break
 			}
@@ -104,8 +104,8 @@
 	}
 }
 
-// roles plans role orders for servers whose role differs from the document's.
-func (p *planner) roles(document *contract.Document) {
+// planRoles plans role orders for servers whose role differs from the document's.
+func (p *planner) planRoles(document *contract.Document) {
 	for _, server := range document.BackendServers {
 		role := p.workers[server.Address].State.Role
 		if server.Role != "" && server.Role != role && p.usable(document, server) {
@@ -114,15 +114,15 @@
 	}
 }
 
-// unwanted reports whether no document requires a model version on a server,
+// mayUnload reports whether no document requires a model version on a server,
 // and every document that names another version there has min_workers workers
 // with that other version.
-func (p *planner) unwanted(server contract.BackendServer, model string) bool {
+func (p *planner) mayUnload(server contract.BackendServer, model string) bool {
 	for _, document := range p.documents {
-		if document.Model == nil || !document.Model.Names(model) || !lists(document, server.Address) {
+		if document.Model == nil || !document.Model.Names(model) || !listsServer(document, server.Address) {
 			continue
 		}
-		if document.Model.Target() == model || p.count(document) < document.Model.MinWorkers {
+		if document.Model.Target() == model || p.loadedCount(document) < document.Model.MinWorkers {
 			return false
 		}
 	}
@@ -132,34 +132,34 @@
 // usable reports whether a server can get an order in this plan.
 func (p *planner) usable(document *contract.Document, server contract.BackendServer) bool {
 	worker := p.workers[server.Address]
-	return worker.Alive && worker.Answers && !p.ordered[server.Address] && document.AllowsOrders(p.from, server)
+	return worker.Alive && worker.Responsive && !p.ordered[server.Address] && document.AllowsOrders(p.from, server)
 }
 
-// coming returns the number of a document's workers on which this plan already
+// plannedLoads returns the number of a document's workers on which this plan already
 // loads the required version for another document. Without this count, each
 // service that names the model would load it on separate workers.
-func (p *planner) coming(document *contract.Document) int {
+func (p *planner) plannedLoads(document *contract.Document) int {
 	n := 0
 	for _, order := range p.orders {
-		if order.Kind == backend.OrderLoad && order.Model == document.Model.Target() && lists(document, order.Server.Address) {
+		if order.Kind == backend.OrderLoad && order.Model == document.Model.Target() && listsServer(document, order.Server.Address) {
 			n++
 		}
 	}
 	return n
 }
 
-// count returns the number of live workers that have the required version.
-func (p *planner) count(document *contract.Document) int {
+// loadedCount returns the number of live workers that have the required version.
+func (p *planner) loadedCount(document *contract.Document) int {
 	n := 0
 	for _, server := range document.BackendServers {
-		if p.workers[server.Address].Alive && p.has(server, document.Model.Target()) {
+		if p.workers[server.Address].Alive && p.hasLoaded(server, document.Model.Target()) {
 			n++
 		}
 	}
 	return n
 }
 
-func (p *planner) has(server contract.BackendServer, model string) bool {
+func (p *planner) hasLoaded(server contract.BackendServer, model string) bool {
 	return slices.Contains(p.workers[server.Address].State.Models, model)
 }
 
@@ -168,7 +168,7 @@
 	p.orders = append(p.orders, order)
 }
 
-func lists(document *contract.Document, address string) bool {
+func listsServer(document *contract.Document, address string) bool {
 	return slices.ContainsFunc(document.BackendServers, func(s contract.BackendServer) bool { return s.Address == address })
 }
 
--- a/order/plan_test.go
+++ b/order/plan_test.go
@@ -10,7 +10,7 @@
 )
 
 func worker(models ...string) Worker {
-	return Worker{Alive: true, Answers: true, State: backend.EngineState{Models: models}}
+	return Worker{Alive: true, Responsive: true, State: backend.EngineState{Models: models}}
 }
 
 func planned(document contract.Document, workers map[string]Worker) []string {
@@ -25,7 +25,7 @@
 	document := fuzzDocument("letters", "m", 2, 1, 2, 3)
 	document.Model.Version = "2"
 	silent := worker()
-	silent.Answers = false
+	silent.Responsive = false
 	dead := worker("m@2")
 	dead.Alive = false
 	for name, c := range map[string]struct {
--- a/order/scenario_test.go
+++ b/order/scenario_test.go
@@ -76,18 +76,18 @@
 	case "stop":
 		w.stopHost(first)
 	case "count":
-		return fmt.Sprintf("%d engines\n", w.fleet.having(first))
+		return fmt.Sprintf("%d engines\n", w.engineSet.countHaving(first))
 	case "trail":
 		return w.trail(t)
 	case "kill":
 		w.killHost(first)
 	case "engine-fault":
-		w.engineFault(t, d, w.fleet.engines[first])
+		w.engineFault(t, d, w.engineSet.engines[first])
 	case "show":
 		return w.show()
 	case "check":
 		w.checkEffects(0)
-		w.checkLeft(d)
+		w.checkRemaining(d)
 		return w.summary()
 	default:
 		t.Fatalf("unknown command %s", d.Cmd)
@@ -135,7 +135,7 @@
 		case "lose-requests":
 			e.set(func() { arg.Scan(t, 0, &e.loseRequests) })
 		case "carry":
-			e.set(func() { e.carry = duration(t, arg.Vals[0]) })
+			e.set(func() { e.executionTime = duration(t, arg.Vals[0]) })
 		}
 	}
 }
@@ -157,12 +157,12 @@
 	return b.String()
 }
 
-// checkLeft checks that each unload left at least min engines with the model.
-func (w *world) checkLeft(d *datadriven.TestData) {
+// checkRemaining checks that each unload left at least min engines with the model.
+func (w *world) checkRemaining(d *datadriven.TestData) {
 	least, _ := strconv.Atoi(text(d, "min", "0"))
-	for _, e := range w.fleet.effects {
-		if e.order.Kind == backend.OrderUnload && e.left < least {
-			w.breach("%s left %d workers", orderOf(e.order), e.left)
+	for _, e := range w.engineSet.effects {
+		if e.order.Kind == backend.OrderUnload && e.remaining < least {
+			w.recordViolation("%s left %d workers", orderOf(e.order), e.remaining)
 		}
 	}
 }
@@ -172,10 +172,10 @@
 // summary returns the violated invariants, or the number of orders that took
 // effect.
 func (w *world) summary() string {
-	if len(w.broken) > 0 {
-		return strings.Join(w.broken, "\n") + "\n"
+	if len(w.violations) > 0 {
+		return strings.Join(w.violations, "\n") + "\n"
 	}
-	return fmt.Sprintf("promises kept, %d orders took effect\n", len(w.fleet.effects))
+	return fmt.Sprintf("promises kept, %d orders took effect\n", len(w.engineSet.effects))
 }
 
 func outcome(result configuration.Result, err error) string {
--- a/order/wire_test.go
+++ b/order/wire_test.go
@@ -36,7 +36,7 @@
 		is.NoErr(err)
 		stand := engine.New(engine.Config{OrderToken: "secret", HonourFence: true, LoadTime: 10 * time.Second})
 		go func() { _ = stand.Serve(listener) }()
-		client := backend.NewClient(fabric.Host("10.0.0.1"), backend.ClientOptions{ControlTimeout: testLongest, OrderToken: "secret"})
+		client := backend.NewClient(fabric.Host("10.0.0.1"), backend.ClientOptions{ControlTimeout: testMaxExecutionTime, OrderToken: "secret"})
 		memory, table := store.NewMemory(), configuration.NewTable(contract.ParseDocument)
 		watcher := &replica.Follower{Store: memory, Kind: configuration.Kind, Table: table.Table}
 		duty := New(Options{Host: "a", FailureDomain: "north", Store: memory, Engine: client, Documents: table, Refresh: watcher.Refresh})
--- a/order/world_test.go
+++ b/order/world_test.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	testLongest   = 30 * time.Second
-	testTerm      = 20 * time.Second
-	testPerMinute = 12
-	testBurst     = 3
+	testMaxExecutionTime = 30 * time.Second
+	testTerm             = 20 * time.Second
+	testPerMinute        = 12
+	testBurst            = 3
 )
 
 // world is a store, entry hosts that each run a Duty, and engines, in one
@@ -35,15 +35,15 @@
 	cancel context.CancelFunc
 	group  sync.WaitGroup
 
-	memory   *store.Memory
-	fleet    *fleet
-	hosts    map[string]*host
-	gates    []*gate                   // of all hosts, including stopped ones
-	accepted map[string]acceptedChange // by change id
-	changes  int
+	memory    *store.Memory
+	engineSet *engineSet
+	hosts     map[string]*host
+	gates     []*gate                   // of all hosts, including stopped ones
+	accepted  map[string]acceptedChange // by change id
+	changes   int
 
-	mu     sync.Mutex // guards broken and the hosts' versions
-	broken []string   // violated invariants
+	mu         sync.Mutex // guards violations and the hosts' versions
+	violations []string   // violated invariants
 }
 
 // host is the part of an entry host that sends orders.
@@ -66,7 +66,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	return &world{
 		ctx: ctx, cancel: cancel, memory: store.NewMemory(),
-		fleet: &fleet{engines: map[string]*testEngine{}}, hosts: map[string]*host{}, accepted: map[string]acceptedChange{},
+		engineSet: &engineSet{engines: map[string]*testEngine{}}, hosts: map[string]*host{}, accepted: map[string]acceptedChange{},
 	}
 }
 
@@ -94,8 +94,8 @@
 	afterIntent bool
 }
 
-// wroteIntent pauses the host if pauseAfterIntent was called.
-func (g *gate) wroteIntent() {
+// intentWritten pauses the host if pauseAfterIntent was called.
+func (g *gate) intentWritten() {
 	g.mu.Lock()
 	due := g.afterIntent
 	g.afterIntent = false
@@ -160,21 +160,21 @@
 }
 
 func (s gatedStore) Get(ctx context.Context, kind, name string) (store.Object, error) {
-	return passed(s.gate, func() (store.Object, error) { return s.Memory.Get(ctx, kind, name) })
+	return throughGate(s.gate, func() (store.Object, error) { return s.Memory.Get(ctx, kind, name) })
 }
 
 func (s gatedStore) Put(ctx context.Context, kind, name string, value []byte, expect store.Version) (store.Version, error) {
-	return passed(s.gate, func() (store.Version, error) {
+	return throughGate(s.gate, func() (store.Version, error) {
 		version, err := s.Memory.Put(ctx, kind, name, value, expect)
 		if kind == audit.OrderKind {
-			s.gate.wroteIntent()
+			s.gate.intentWritten()
 		}
 		return version, err
 	})
 }
 
-// passed passes the gate before and after a call.
-func passed[T any](g *gate, call func() (T, error)) (T, error) {
+// throughGate passes the gate before and after a call.
+func throughGate[T any](g *gate, call func() (T, error)) (T, error) {
 	var zero T
 	if err := g.pass(); err != nil {
 		return zero, errors.Mark(err, store.ErrUnavailable)
@@ -188,7 +188,7 @@
 
 // gatedEngine is the set of engines behind a host's gate.
 type gatedEngine struct {
-	*fleet
+	*engineSet
 	host string
 	gate *gate
 }
@@ -216,12 +216,12 @@
 	ctx, cancel := context.WithCancel(w.ctx)
 	h := &host{name: name, gate: &gate{}, cancel: cancel, table: configuration.NewTable(parseJSON), versions: map[string]store.Version{}}
 	memory := gatedStore{Memory: w.memory, gate: h.gate}
-	engine := gatedEngine{fleet: w.fleet, host: name, gate: h.gate}
+	engine := gatedEngine{engineSet: w.engineSet, host: name, gate: h.gate}
 	h.acceptor = configuration.NewAcceptor(memory, parseJSON)
 	watcher := &replica.Follower{Store: memory, Kind: configuration.Kind, Table: h.table.Table, Active: func() bool { return watches }}
 	h.duty = New(Options{
 		Host: name, FailureDomain: failureDomain, Store: memory, Engine: engine, Documents: h.table, Refresh: watcher.Refresh,
-		LoadsPerMinute: testPerMinute, LoadsAtOnce: testBurst, Term: testTerm, Longest: testLongest,
+		LoadsPerMinute: testPerMinute, LoadsAtOnce: testBurst, Term: testTerm, Longest: testMaxExecutionTime,
 	})
 	h.table.Subscribe(func() { w.checkVersions(h) })
 	w.hosts[name] = h
@@ -237,16 +237,16 @@
 	for _, document := range h.table.Documents() {
 		_, version, _ := h.table.Document(document.Service)
 		if version < h.versions[document.Service] {
-			w.breach("host %s has %s in force at version %d after %d", h.name, document.Service, version, h.versions[document.Service])
+			w.recordViolation("host %s has %s in force at version %d after %d", h.name, document.Service, version, h.versions[document.Service])
 		}
 		h.versions[document.Service] = version
 	}
 }
 
-// breach records a violated invariant. The caller holds mu or is the only
-// goroutine that uses broken.
-func (w *world) breach(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf(format, args...))
+// recordViolation records a violated invariant. The caller holds mu or is the only
+// goroutine that uses violations.
+func (w *world) recordViolation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
 // killHost ends a host without notifying any peer.
@@ -264,7 +264,7 @@
 }
 
 func (w *world) addEngine(address string, honours bool) {
-	w.fleet.engines[address] = &testEngine{honours: honours, alive: true, carry: time.Second}
+	w.engineSet.engines[address] = &testEngine{honours: honours, alive: true, executionTime: time.Second}
 }
 
 // apply submits a document to a host.
@@ -307,15 +307,15 @@
 // show renders the engines, the lease holders and the violations.
 func (w *world) show() string {
 	var b strings.Builder
-	for _, address := range slices.Sorted(maps.Keys(w.fleet.engines)) {
-		fmt.Fprintf(&b, "%s %s\n", address, w.fleet.engines[address])
+	for _, address := range slices.Sorted(maps.Keys(w.engineSet.engines)) {
+		fmt.Fprintf(&b, "%s %s\n", address, w.engineSet.engines[address])
 	}
 	for _, name := range slices.Sorted(maps.Keys(w.hosts)) {
 		if w.hosts[name].duty.Holding() {
 			fmt.Fprintf(&b, "holder %s\n", name)
 		}
 	}
-	for _, line := range w.broken {
+	for _, line := range w.violations {
 		fmt.Fprintf(&b, "BROKEN %s\n", line)
 	}
 	return b.String()
@@ -327,17 +327,17 @@
 	holders := map[uint64]string{}
 	highest := uint64(0)
 	byEngine := map[string]uint64{}
-	for _, e := range w.fleet.effects {
+	for _, e := range w.engineSet.effects {
 		if holder, ok := holders[e.order.Fence]; ok && holder != e.holder {
-			w.breach("fence %d was used by %s and %s", e.order.Fence, holder, e.holder)
+			w.recordViolation("fence %d was used by %s and %s", e.order.Fence, holder, e.holder)
 		}
 		holders[e.order.Fence] = e.holder
 		if e.order.Fence < byEngine[e.address] {
-			w.breach("%s executed an order under fence %d after %d (honours: %v)", e.address, e.order.Fence, byEngine[e.address], e.honours)
+			w.recordViolation("%s executed an order under fence %d after %d (honours: %v)", e.address, e.order.Fence, byEngine[e.address], e.honours)
 		}
 		byEngine[e.address] = e.order.Fence
 		if e.order.Fence < highest {
-			w.breach("an order under fence %d took effect after one under %d", e.order.Fence, highest)
+			w.recordViolation("an order under fence %d took effect after one under %d", e.order.Fence, highest)
 		}
 		highest = max(highest, e.order.Fence)
 	}
@@ -348,12 +348,12 @@
 // holders. Jitter is the maximum delay between taking a load from the bucket and
 // its arrival at the engine.
 func (w *world) checkRate(jitter time.Duration) {
-	loads := w.fleet.loads
+	loads := w.engineSet.loads
 	for i := range loads {
 		for j := i; j < len(loads); j++ {
 			allowed := testBurst + (loads[j].Sub(loads[i])+jitter).Minutes()*testPerMinute
 			if float64(j-i+1) > allowed+1e-6 {
-				w.breach("%d loads in %v", j-i+1, loads[j].Sub(loads[i]))
+				w.recordViolation("%d loads in %v", j-i+1, loads[j].Sub(loads[i]))
 				return
 			}
 		}
