--- a/settings/parse.go
+++ b/settings/parse.go
@@ -14,13 +14,14 @@
 	"github.com/papayasail/papayasail/internal/strictyaml"
 )
 
-// MaxBytes is the largest settings file: tens of thousands of organisations.
+// MaxBytes is the maximum size of a settings file, enough for tens of thousands
+// of organisations.
 const MaxBytes = 16 << 20
 
-// MinEventKeyBytes is the shortest event key.
+// MinEventKeyBytes is the minimum length of an event key, bytes.
 const MinEventKeyBytes = 32
 
-// Values of fields that settings leave out.
+// Defaults of optional fields.
 const (
 	DefaultBodyBytes       = 1 << 20
 	DefaultRecords         = 20_000
@@ -37,9 +38,9 @@
 
 const (
 	maxBytes = 1 << 30
-	// maxKeepAlive stays well below the silence after which callers take a
-	// connection for dead (caller.DefaultSilence); otherwise every quiet
-	// stream would be taken up again and again.
+	// maxKeepAlive is well below the idle time after which callers consider a
+	// connection dead (caller.DefaultSilence). Otherwise callers would
+	// repeatedly resume every idle stream.
 	maxKeepAlive = 2 * time.Second
 )
 
@@ -94,7 +95,7 @@
 	return host
 }
 
-// eventKey reads event_key, or the file that event_key_file names.
+// eventKey reads event_key, or the file named by event_key_file.
 func (p parser) eventKey(m *strictyaml.Mapping) []byte {
 	text := m.Text("event_key", strictyaml.Optional)
 	file := m.Text("event_key_file", strictyaml.Optional)
@@ -123,8 +124,9 @@
 	return key
 }
 
-// previousEventKeys reads the keys beside event_key, each given in its way. A
-// key that is there twice is a step of a rotation that was not made.
+// previousEventKeys reads the previous event keys, each given directly or as a
+// file like event_key. A duplicate key is a finding: it means that a step of the
+// key rotation is incomplete.
 func (p parser) previousEventKeys(m *strictyaml.Mapping, first []byte) [][]byte {
 	var keys [][]byte
 	for _, item := range m.Mappings("previous_event_keys", strictyaml.Optional) {
@@ -139,7 +141,7 @@
 	return keys
 }
 
-// orderToken reads the file that order_token_file names.
+// orderToken reads the file named by order_token_file.
 func (p parser) orderToken(m *strictyaml.Mapping) string {
 	file := m.Text("order_token_file", strictyaml.Optional)
 	if file == "" {
@@ -222,8 +224,8 @@
 	names[name] = true
 }
 
-// tokenHash reads a token's hash. Two holders of one token could not be told
-// apart, so the second is a finding.
+// tokenHash reads the hash of a token. Two holders of one token would be
+// indistinguishable, so a duplicate is a finding.
 func tokenHash(m *strictyaml.Mapping, tokens map[string]bool) TokenHash {
 	text := m.Text("token_sha256", strictyaml.Required)
 	if text == "" {
@@ -285,8 +287,8 @@
 	}
 }
 
-// file reads a path and checks that the file is there, so that a dangling
-// reference is found before the daemon starts.
+// file reads a path and checks that the file exists, so that a wrong path is
+// reported before the daemon starts.
 func (p parser) file(m *strictyaml.Mapping, field string) string {
 	path := p.path(m.Text(field, strictyaml.Required))
 	if path == "" {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings of an entry host. A process learns its
-// addresses, failure domain and peers from nowhere else.
+// Package settings reads the settings of an entry host. They are the only source
+// of the host's own addresses, its failure domain and its initial peers.
 package settings
 
 import (
@@ -10,24 +10,24 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Settings of one entry host.
+// Settings are the settings of one entry host.
 type Settings struct {
 	Host          string // name, unique among entry hosts
 	FailureDomain string
 	CallerAddress string   // IP:port for callers and operators
 	PeerAddress   string   // IP:port for other entry hosts
-	Peers         []string // peer addresses to start from, IP:port
+	Peers         []string // initial peer addresses, IP:port
 	Platform      string   // IP:port of the platform's metadata store
 	EventKey      []byte   // HMAC key of event ids and homes, the same on all entry hosts
-	// PreviousEventKeys are checked, but sign nothing: event ids that hosts with
-	// another EventKey have given out, or soon will, stay good.
+	// PreviousEventKeys are used to verify, never to sign, so that event ids
+	// signed by hosts with another EventKey stay valid during a key rotation.
 	PreviousEventKeys [][]byte
-	OrderToken        string // sent with orders to backend servers that check them; empty: none
+	OrderToken        string // sent with orders to backend servers that check it; empty: none
 	Operators         []Operator
 	Organisations     []Organisation
 	Distances         []Distance
 	Limits            Limits
-	TLS               *TLS // nil: plain HTTP towards callers
+	TLS               *TLS // nil: plain HTTP for callers and operators
 	LogLevel          string
 }
 
@@ -37,7 +37,7 @@
 	TokenSHA256 TokenHash
 }
 
-// Organisation may use the services that are named.
+// Organisation may use the listed services.
 type Organisation struct {
 	Name        string
 	TokenSHA256 TokenHash
@@ -51,28 +51,28 @@
 	Latency  time.Duration
 }
 
-// Limits bounds what one entry host holds and how long it waits.
+// Limits bounds the resources and wait times of one entry host.
 type Limits struct {
-	BodyBytes       int           // longest request body, bytes
-	Records         int           // outcomes kept for idempotency keys
-	RecordBytes     int           // bytes of answers kept for idempotency keys
-	RecordAge       time.Duration // how long an outcome is kept at least
-	KeepAddresses   time.Duration // how long callers keep the address answer
-	KeepAlive       time.Duration // interval of comments in a silent stream
-	WriteDeadline   time.Duration // longest wait for a caller to take data
-	StopBound       time.Duration // longest graceful stop
-	PlatformCalls   int           // platform calls a second
-	LoadsPerMinute  int           // model loads that the weight store allows the whole fleet; 0: no limit
-	PeerProbePeriod time.Duration // one probe of another entry host each period
+	BodyBytes       int           // maximum size of a request body, bytes
+	Records         int           // maximum number of outcomes stored for idempotency keys
+	RecordBytes     int           // maximum total size of answers stored for idempotency keys, bytes
+	RecordAge       time.Duration // minimum retention of an outcome
+	KeepAddresses   time.Duration // how long callers cache the address list
+	KeepAlive       time.Duration // interval of keep-alive comments in an idle stream
+	WriteDeadline   time.Duration // maximum time of a blocked write to a caller
+	StopBound       time.Duration // maximum duration of a graceful stop
+	PlatformCalls   int           // platform calls per second
+	LoadsPerMinute  int           // model loads that the weight store allows for the whole fleet; 0: no limit
+	PeerProbePeriod time.Duration // interval between probes of other entry hosts
 }
 
-// TLS names the PEM files for the caller address.
+// TLS gives the PEM files for the caller address.
 type TLS struct {
 	Certificate string
 	Key         string
 }
 
-// DefaultLimits returns the limits that settings without any have.
+// DefaultLimits returns the limits used for fields that are not set.
 func DefaultLimits() Limits {
 	return Limits{
 		BodyBytes: DefaultBodyBytes, Records: DefaultRecords, RecordBytes: DefaultRecordBytes, RecordAge: DefaultRecordAge,
@@ -82,7 +82,8 @@
 	}
 }
 
-// Load reads settings from a file. Paths within are relative to the file.
+// Load reads settings from a file. Relative paths in the settings are resolved
+// against the directory of the file.
 func Load(file string) (*Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -91,15 +92,15 @@
 	return parse(file, data, filepath.Dir(file))
 }
 
-// Parse reads settings from data; file is used in findings, and paths within
-// data are relative to the working directory. All mistakes are collected and
-// returned as one findings.List.
+// Parse reads settings from data; file is the file name in findings. Relative
+// paths in data are resolved against the working directory. All mistakes are
+// returned together as one findings.List.
 func Parse(file string, data []byte) (*Settings, error) {
 	return parse(file, data, "")
 }
 
-// Latency returns the one-way latency between two failure domains: zero
-// within one, and the longest known one for a pair that is not listed.
+// Latency returns the one-way latency between two failure domains: zero within
+// one domain, and the longest listed latency for a pair that is not listed.
 func (s *Settings) Latency(from, to string) time.Duration {
 	if from == to {
 		return 0
@@ -129,8 +130,9 @@
 	return domains
 }
 
-// OrganisationNames returns the names of all organisations; nil if there are
-// none: then they stand in the configuration, and no name can be called wrong.
+// OrganisationNames returns the names of all organisations, or nil if the
+// settings list none. In that case organisations are in the configuration, and
+// names can't be validated against the settings.
 func (s *Settings) OrganisationNames() []string {
 	if len(s.Organisations) == 0 {
 		return nil
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -51,7 +51,7 @@
 	is.True(organisation.MayUse("outlook"))
 	is.True(!organisation.MayUse("gauges"))
 	_, ok = tokens.Organisation("operator")
-	is.True(!ok) // an operator's token opens no service
+	is.True(!ok) // an operator's token gives no access to services
 	_, ok = tokens.Operator("")
 	is.True(!ok)
 }
@@ -75,14 +75,13 @@
 		"certificate: cannot be read", "key: cannot be read",
 	} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("%v lacks %q", err, want)
+			t.Errorf("error %v does not contain %q", err, want)
 		}
 	}
 }
 
-// A key is rotated: the previous one, from a file or in place, is checked as
-// strictly as the first. One that is there twice means that somebody forgot to
-// change the other.
+// Guards against lax checks of previous event keys, given in a file or directly, and
+// against a duplicate key, which results from an incomplete key rotation.
 func TestPreviousEventKeys(t *testing.T) {
 	is := is.New(t)
 	directory := t.TempDir()
@@ -108,7 +107,7 @@
 	} {
 		_, err := load(list)
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v lacks %q", list, err, want)
+			t.Errorf("%s: error %v does not contain %q", list, err, want)
 		}
 	}
 }
--- a/settings/token.go
+++ b/settings/token.go
@@ -7,14 +7,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// TokenHash is the SHA-256 of a bearer token. Settings hold hashes only, so
-// that a leaked file gives nobody access.
+// TokenHash is the SHA-256 of a bearer token. Settings contain hashes only, so
+// that a leaked file gives no access.
 type TokenHash [sha256.Size]byte
 
 // HashToken returns the hash of a token.
 func HashToken(token string) TokenHash { return sha256.Sum256([]byte(token)) }
 
-// String renders the hash in hexadecimal, as it stands in settings.
+// String renders the hash in hexadecimal, as in settings.
 func (h TokenHash) String() string { return hex.EncodeToString(h[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -26,7 +26,7 @@
 	return err
 }
 
-// ParseTokenHash reads a hash in hexadecimal.
+// ParseTokenHash parses a hash in hexadecimal.
 func ParseTokenHash(text string) (TokenHash, error) {
 	var hash TokenHash
 	raw, err := hex.DecodeString(text)
@@ -37,15 +37,15 @@
 	return hash, nil
 }
 
-// Tokens knows operators and organisations by their tokens. It is immutable.
+// Tokens maps tokens to operators and organisations. It is immutable.
 //
-// A lookup takes the same time for every wrong token that an attacker could
-// learn from: the map is keyed by the token's SHA-256, so the time of a
-// comparison depends on a hash that the attacker cannot steer byte by byte.
+// Lookups leak no timing information about valid tokens: the maps are keyed by
+// the token's SHA-256, so the time of a comparison depends on a hash that an
+// attacker cannot control byte by byte.
 type Tokens struct {
 	operators     map[TokenHash]Operator
 	organisations map[TokenHash]Organisation
-	names         map[string]bool // of organisations
+	names         map[string]bool // names of organisations
 }
 
 // Tokens returns the lookup table of the settings.
@@ -77,7 +77,7 @@
 	return organisation, ok
 }
 
-// Holder returns who holds the token with this hash.
+// Holder returns the kind and name of the token's holder, given the token's hash.
 func (t *Tokens) Holder(hash TokenHash) (name string, ok bool) {
 	if operator, ok := t.operators[hash]; ok {
 		return "operator " + operator.Name, true
