--- a/explain/explain.go
+++ b/explain/explain.go
@@ -14,53 +14,54 @@
 	"github.com/papayasail/papayasail/gatewayhost"
 )
 
-// Cause says why a request was lost.
+// Cause is the reason why a request was lost.
 type Cause string
 
-// Causes that no line names by itself; the others are the reasons of the
-// request's own line.
+// Causes that are derived from several log lines or fields. Other causes are the
+// value of "reason" in the line that ends the request.
 const (
-	CauseHostKilled   Cause = "host_killed"   // its host ended without a stop
-	CauseHostStopped  Cause = "host_stopped"  // its host was stopped before it was done
-	CauseServerFailed Cause = "server_failed" // a server's own failure, passed on
-	CauseLate         Cause = "late"          // served after its goal, or with too long a pause
-	CauseReading      Cause = "full_reading"  // refused: too many prompts to read before it
-	CauseMemory       Cause = "full_memory"   // refused: engines' memory
-	CauseSlots        Cause = "full_slots"
-	CauseQuarantined  Cause = "quarantined" // the request crashes the servers that run it
+	CauseHostKilled   Cause = "host_killed"   // the entry host ended without a graceful stop
+	CauseHostStopped  Cause = "host_stopped"  // the entry host was stopped before the request ended
+	CauseServerFailed Cause = "server_failed" // error response of a backend server, passed through
+	CauseLate         Cause = "late"          // served after its latency goal, or with too long a pause
+	CauseReading      Cause = "full_reading"  // refused: prefill backlog of the engines too long
+	CauseMemory       Cause = "full_memory"   // refused: not enough engine memory
+	CauseSlots        Cause = "full_slots"    // refused: no free engine slots
+	CauseQuarantined  Cause = "quarantined"   // the request crashes the backend servers that run it
 )
 
-// unavoidable are the causes that no decision of an entry host could have
-// kept away: what runs on a host that dies is lost with it.
+// unavoidable has the causes that no decision of an entry host could have
+// prevented. For example, requests in flight on a killed host are lost with it.
 var unavoidable = map[Cause]bool{CauseHostKilled: true, CauseServerFailed: true, CauseQuarantined: true}
 
-// Loss is requests of one route that were lost for one cause.
+// Loss counts the requests of one route that were lost for one cause.
 type Loss struct {
 	Cause    Cause
 	Route    string
 	Requests int
-	// Tokens are those of their prompts, where they are known.
+	// Tokens is the total length of the prompts whose length is logged.
 	Tokens int
-	// BySecond counts them by the second, from the first line, in which they
-	// were lost.
+	// BySecond counts lost requests by the second of the loss, counted from the
+	// earliest line of the log.
 	BySecond map[int]int
 }
 
-// Avoidable reports whether another decision could have served them.
+// Avoidable reports whether another decision could have served the requests.
 func (l *Loss) Avoidable() bool { return !unavoidable[l.Cause] }
 
-// Report says what became of the requests of a log.
+// Report summarises the outcomes of the requests in a log.
 type Report struct {
-	Served int
+	Served int     // number of requests served
 	Losses []*Loss // most requests first
-	// Findings are lines that could not be read.
+	// Findings are lines that could not be parsed.
 	Findings findings.List
 }
 
-// Ceiling is the share of requests that better decisions could have served.
+// Ceiling returns the share of requests that could have been served at most,
+// that is, all but the unavoidable losses.
 func (r *Report) Ceiling() float64 { return r.share(false) }
 
-// ServedShare is the share that was served.
+// ServedShare returns the share of requests that were served.
 func (r *Report) ServedShare() float64 { return r.share(true) }
 
 func (r *Report) share(lost bool) float64 {
@@ -74,30 +75,31 @@
 	return float64(served) / float64(max(1, all))
 }
 
-// Log gathers the lines of one or several hosts.
+// Log collects the log lines of one or several hosts.
 type Log struct {
-	first    time.Time
-	ended    map[string]*record   // the line that ended each request
-	placed   map[string]*record   // generations that were sent somewhere
-	short    map[string]*record   // the last refusal of a place
+	first    time.Time            // time of the earliest line
+	ended    map[string]*record   // line that ended a request, by request
+	placed   map[string]*record   // generations placed on a server, by request
+	refused    map[string]*record   // last refused placement, by request
 	starts   map[string][]*record // by host
-	stops    map[string][]*record
+	stops    map[string][]*record // by host
 	findings findings.List
 }
 
 // NewLog returns an empty log.
 func NewLog() *Log {
 	return &Log{
-		ended: map[string]*record{}, placed: map[string]*record{}, short: map[string]*record{},
+		ended: map[string]*record{}, placed: map[string]*record{}, refused: map[string]*record{},
 		starts: map[string][]*record{}, stops: map[string][]*record{},
 	}
 }
 
-// maxLine bounds one line; those with a stack are some 10 KB.
+// maxLine is the maximum length of a line, bytes. Lines with a stack trace have
+// some 10 KB.
 const maxLine = 1 << 20
 
-// Read takes in a file. Lines that cannot be read become findings with their
-// place, and the rest is read.
+// Read adds the lines of a log file. Lines that cannot be parsed become findings
+// with their position; reading continues after them.
 func (l *Log) Read(name string, from io.Reader) error {
 	scanner := bufio.NewScanner(from)
 	scanner.Buffer(nil, maxLine)
@@ -123,7 +125,7 @@
 	case allocation.MsgPlaced:
 		l.placed[r.Request] = r
 	case allocation.MsgNoPlace:
-		l.short[r.Request] = r
+		l.refused[r.Request] = r
 	case gatewayhost.MsgStart:
 		l.starts[r.Host] = append(l.starts[r.Host], r)
 	case gatewayhost.MsgStopping:
@@ -131,8 +133,8 @@
 	}
 }
 
-// Report says what became of the requests. One that was refused and came back
-// counts once, by how it ended.
+// Report returns the outcomes of the requests. A generation that was refused and
+// retried counts once, by its last outcome.
 func (l *Log) Report() *Report {
 	report := &Report{Findings: l.findings}
 	losses := map[[2]string]*Loss{}
@@ -166,8 +168,9 @@
 	return report
 }
 
-// last returns the ends of requests, without generations that came back. Calls
-// with one fingerprint may be those of several callers.
+// last returns the lines that ended requests. Of the attempts of a generation,
+// which have one fingerprint, only the last is included. Exact calls are all
+// included, as those with one fingerprint may come from several callers.
 func (l *Log) last() []*record {
 	newest := map[string]*record{}
 	generations := l.generationRoutes()
@@ -184,21 +187,22 @@
 	return slices.AppendSeq(all, maps.Values(newest))
 }
 
-// generationRoutes returns the routes on which generations came.
+// generationRoutes returns the routes that served generations.
 func (l *Log) generationRoutes() map[string]bool {
 	routes := map[string]bool{}
 	for id, r := range l.ended {
-		if r.PromptTokens > 0 || l.placed[id] != nil || l.short[id] != nil {
+		if r.PromptTokens > 0 || l.placed[id] != nil || l.refused[id] != nil {
 			routes[r.Route] = true
 		}
 	}
 	return routes
 }
 
-// denied reports whether the configuration does not allow the request.
+// denied reports whether the request was rejected as invalid or not allowed (4xx,
+// not run). Such requests count neither as served nor as lost.
 func denied(r *record) bool { return r.NotRun && r.Status/100 == 4 }
 
-// cause returns why a request was lost, or "".
+// cause returns the cause of a lost request, or "" if it was not lost.
 func (l *Log) cause(r *record) Cause {
 	switch {
 	case denied(r):
@@ -217,9 +221,10 @@
 
 const reasonFull = "full"
 
-// shortage returns what most engines lacked when a request was refused.
+// shortage returns the resource that most engines lacked when a request was
+// refused.
 func (l *Log) shortage(request string) Cause {
-	short := l.short[request]
+	short := l.refused[request]
 	switch {
 	case short == nil:
 		return reasonFull
@@ -231,8 +236,10 @@
 	return CauseSlots
 }
 
-// hostEnd returns how and when the host of a placed generation ended, whose
-// end nobody wrote down: it was killed, or killed while it stopped.
+// hostEnd returns how and when the entry host of a placed generation ended. It is
+// called for generations without a final line, which means that the host was
+// killed, either while running or during a graceful stop. The time is that of
+// the host's next start, or of the placement if there is none.
 func (l *Log) hostEnd(placed *record) (Cause, time.Time) {
 	host, at := placed.For, placed.At
 	for _, start := range l.starts[host] {
@@ -249,5 +256,5 @@
 	return CauseHostKilled, at
 }
 
-// longestStop bounds the time from the wish to stop until the next start.
+// longestStop is the maximum time between a stop request and the next start.
 const longestStop = 15 * time.Second
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -27,8 +27,8 @@
 `
 
 func TestLossesByCause(t *testing.T) {
-	// An operator asks where a day's letters went. Some causes are in no line:
-	// what was placed and never ended was on a host that died.
+	// Guards against losses without a final log line that are not counted: a
+	// generation that was placed and never ended was lost with its host.
 	is := is.New(t)
 	l := NewLog()
 	is.NoErr(l.Read("day.log", strings.NewReader(log)))
@@ -37,7 +37,7 @@
 	for _, loss := range report.Losses {
 		byCause[loss.Cause] = loss
 	}
-	is.Equal(report.Served, 2) // r1, and r5 that came back
+	is.Equal(report.Served, 2) // r1, and r5, the retry of r4
 	is.Equal(len(report.Losses), 5)
 	for _, cause := range []Cause{CauseLate, CauseMemory, CauseHostKilled, CauseHostStopped, CauseServerFailed} {
 		is.True(byCause[cause] != nil)
@@ -46,12 +46,12 @@
 	is.Equal(byCause[CauseHostKilled].BySecond, map[int]int{8: 1})
 	is.Equal(byCause[CauseMemory].Route, "letters")
 	is.Equal(report.ServedShare(), 2.0/7)
-	is.Equal(report.Ceiling(), 5.0/7) // a killed host and a server's own failure are nobody's decision
+	is.Equal(report.Ceiling(), 5.0/7) // a killed host and a server failure are unavoidable
 }
 
 func TestUnreadableLinesAreFindings(t *testing.T) {
-	// A log was cut in the middle of a line. The rest of it is read, and the
-	// place is named.
+	// Guards against a truncated line that stops the reading of a log or is not
+	// reported with its position.
 	is := is.New(t)
 	l := NewLog()
 	is.NoErr(l.Read("day.log", strings.NewReader(log)))
@@ -61,7 +61,7 @@
 	is.Equal(found[0].File, "day.log")
 }
 
-// Guards against equal calls of several callers that count as one.
+// Guards against identical calls from several callers that are counted as one.
 func TestEqualCallsCountEach(t *testing.T) {
 	is := is.New(t)
 	l := NewLog()
--- a/explain/record.go
+++ b/explain/record.go
@@ -1,6 +1,6 @@
-// Package explain reads the structured logs of entry hosts and says where
-// requests were lost: how many, of which route, at which moments and for what
-// cause. It does no input or output but for reading what it is given.
+// Package explain parses the structured logs of entry hosts and reports lost
+// requests by route, time and cause. It reads from the given readers only and
+// writes no output.
 package explain
 
 import (
@@ -11,13 +11,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// record is one line of a log.
+// record is one parsed log line.
 type record struct {
-	Host    string    // that wrote it
+	Host    string    // host that wrote the line
 	At      time.Time `json:"ts"`
 	Message string    `json:"msg"`
 	Request string    `json:"request"`
-	// Of the line that ends a request.
+	// Fields of the line that ends a request.
 	Status       int    `json:"status"`
 	Reason       string `json:"reason"`
 	NotRun       bool   `json:"not_run"`
@@ -25,8 +25,8 @@
 	Late         bool   `json:"late"`
 	Fingerprint  string `json:"fingerprint"`
 	PromptTokens int    `json:"prompt_tokens"`
-	// Of the allocator's lines.
-	For         string `json:"for"` // the host that has the request
+	// Fields of the allocator's lines.
+	For         string `json:"for"` // host that requested the placement
 	LackReading int    `json:"lack_reading"`
 	LackSlots   int    `json:"lack_slots"`
 	LackMemory  int    `json:"lack_memory"`
@@ -34,9 +34,10 @@
 
 var errNoRecord = errors.New("explain: no structured line")
 
-// parse reads a line. What stands before the record is kept out of it, but for
-// its last word: where the lines of several hosts are in one file, that is the
-// host's name. It returns nil for a line without a record.
+// parse parses a line. Text before the JSON record is ignored except for its
+// last word, which is the host's name in a file with the lines of several hosts;
+// without such text, the host is the given one. It returns nil for a line
+// without a record.
 func parse(line []byte, host string) (*record, error) {
 	begin := bytes.IndexByte(line, '{')
 	if begin < 0 {
