--- a/audit/entry.go
+++ b/audit/entry.go
@@ -1,6 +1,6 @@
-// Package audit describes entries of the audit trail. Entries live inside the
-// stored objects that they are about, so an entry and its change are written
-// in one conditional write: neither can be there without the other.
+// Package audit defines the entries of the audit trail. Entries are part of the
+// stored object that they describe, so an entry and its change are written
+// atomically, in one conditional write.
 package audit
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// What names the kind of change that an entry is about.
+// What is the kind of change that an entry describes.
 type What string
 
 const (
@@ -22,27 +22,27 @@
 
 	WhatOrganisation What = "organisation"
 
-	WhatSettled What = "settled" // a change that was found not accepted, for good
+	WhatSettled What = "settled" // a change that was settled as not accepted and can never be accepted
 )
 
 // Entry is one line of the audit trail.
 type Entry struct {
 	ChangeID string        `json:"change_id"`
 	Who      string        `json:"who"`
-	When     time.Time     `json:"when"` // clock of the host that wrote it
+	When     time.Time     `json:"when"` // wall clock of the host that wrote the entry
 	What     What          `json:"what"`
 	Name     string        `json:"name"` // service, backend server, failure domain or organisation
 	From     store.Version `json:"from_version"`
-	// To is the version that the change made. It is zero inside the object
-	// that the change wrote, whose own version it is.
+	// To is the version created by the change. It is zero in the object that the
+	// change wrote; there it equals the object's own version.
 	To     store.Version `json:"to_version,omitempty"`
 	Detail string        `json:"detail,omitempty"`
-	// Digest is the hash of what was written; it tells a repeat of a change
-	// from another change that uses the same id.
+	// Digest is the hash of the written value. It distinguishes a retry of a
+	// change from another change with the same id.
 	Digest uint64 `json:"digest,omitempty"`
 }
 
-// Newest sorts entries newest first.
+// Newest sorts entries, newest first.
 func Newest(entries []Entry) {
 	slices.SortStableFunc(entries, func(a, b Entry) int {
 		if a.To != b.To {
@@ -52,7 +52,7 @@
 	})
 }
 
-// OrderKind is the kind of the stored objects that hold orders to backend
-// servers and their history. Like every object with a history, their value is
-// a JSON object with the History under "history".
+// OrderKind is the kind of the stored objects with the last order to a backend
+// server and the history of its orders. Like every object with a history, their
+// value is a JSON object with the History under "history".
 const OrderKind = "order"
--- a/audit/history.go
+++ b/audit/history.go
@@ -6,18 +6,18 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// MaxEntries bounds a History.
+// MaxEntries is the maximum number of entries of a History.
 const MaxEntries = 256
 
 // History is the bounded list of entries inside a stored object, newest first.
 type History struct {
 	Entries []Entry `json:"entries"`
-	// Dropped counts entries that were removed to stay within bounds.
+	// Dropped counts the entries that were removed to stay within the bound.
 	Dropped int `json:"dropped,omitempty"`
 }
 
-// With returns the history with an entry in front. The entry that was newest
-// gets its To: the version of the object that is now being replaced.
+// With returns the history with entry prepended. The To of the previously newest
+// entry is set to replaced, the version of the object that is being replaced.
 func (h History) With(entry Entry, replaced store.Version) History {
 	entries := make([]Entry, 0, len(h.Entries)+1)
 	entries = append(entries, entry)
@@ -26,8 +26,8 @@
 	return next.Truncate(MaxEntries)
 }
 
-// At returns the entries as seen in an object of this version: the newest
-// entry made it.
+// At returns the entries as read from an object of the given version, which the
+// newest entry created.
 func (h History) At(version store.Version) []Entry {
 	entries := slices.Clone(h.Entries)
 	if len(entries) > 0 && entries[0].To == 0 {
@@ -36,7 +36,7 @@
 	return entries
 }
 
-// Find returns the entry of a change in an object of this version.
+// Find returns the entry of a change, as read from an object of the given version.
 func (h History) Find(changeID string, version store.Version) (Entry, bool) {
 	for _, entry := range h.At(version) {
 		if entry.ChangeID == changeID {
@@ -46,7 +46,7 @@
 	return Entry{}, false
 }
 
-// Truncate keeps the newest entries.
+// Truncate drops all entries except the newest keep.
 func (h History) Truncate(keep int) History {
 	if extra := len(h.Entries) - keep; extra > 0 {
 		h.Entries = h.Entries[:keep]
--- a/audit/history_test.go
+++ b/audit/history_test.go
@@ -17,7 +17,7 @@
 	is.Equal(entry.To, store.Version(3))
 	entry, ok = h.Find("b", 9)
 	is.True(ok)
-	is.Equal(entry.To, store.Version(9)) // of the object it lies in
+	is.Equal(entry.To, store.Version(9)) // version of the object that contains it
 	_, ok = h.Find("c", 9)
 	is.True(!ok)
 }
