--- a/findings/findings.go
+++ b/findings/findings.go
@@ -1,5 +1,5 @@
-// Package findings collects mistakes with their place, so that all mistakes
-// of a file are reported together instead of one a try.
+// Package findings collects mistakes in files with their positions, so that all
+// mistakes of a file are reported at once.
 package findings
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// Finding is one mistake and its place. Lines and columns count from 1; zero
-// means that the place is the whole file.
+// Finding is one mistake and its position. Lines and columns count from 1; zero
+// means the whole file.
 type Finding struct {
 	File    string
 	Line    int
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Message)
 }
 
-// At builds a finding at the start of a YAML node.
+// At returns a finding at the start of a YAML node; nil means the whole file.
 func At(file string, node ast.Node, format string, arguments ...any) Finding {
 	finding := Finding{File: file, Message: fmt.Sprintf(format, arguments...)}
 	if node == nil || node.GetToken() == nil || node.GetToken().Position == nil {
@@ -36,14 +36,14 @@
 	return finding
 }
 
-// List is a collection of findings. It is an error when it is not empty; use
-// Err to turn it into one.
+// List is a list of findings. It implements error; use Err to get nil for an
+// empty list.
 type List []Finding
 
 // Add appends a finding.
 func (l *List) Add(finding Finding) { *l = append(*l, finding) }
 
-// Sort orders the findings by place.
+// Sort sorts the findings by position.
 func (l List) Sort() {
 	slices.SortStableFunc(l, func(a, b Finding) int {
 		return cmp.Or(cmp.Compare(a.File, b.File), cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
@@ -59,7 +59,7 @@
 	return l
 }
 
-// Error renders one finding a line.
+// Error renders one finding per line.
 func (l List) Error() string {
 	lines := make([]string, len(l))
 	for i, finding := range l {
