--- a/internal/boundedlog/boundedlog.go
+++ b/internal/boundedlog/boundedlog.go
@@ -1,4 +1,4 @@
-// Package boundedlog makes a logger that never blocks the work it describes.
+// Package boundedlog provides a logger that never blocks its callers.
 package boundedlog
 
 import (
@@ -13,18 +13,18 @@
 )
 
 const (
-	// queued is how many lines wait for the output; of some 400 bytes each
-	// they take less than half a megabyte.
+	// queued is the maximum number of lines that wait for the output. At some
+	// 400 bytes per line they use less than half a megabyte.
 	queued = 1024
-	// Of lines that are alike, first go out each second, and then one in
-	// thereafter. Lines about failures have another level, and so a bound of
-	// their own.
+	// Of the lines with the same level and message, the first lines of each second
+	// are written, and after those one in thereafter. Lines about failures have
+	// another level and thus a separate limit.
 	first      = 100
 	thereafter = 50
 )
 
-// Writer writes lines in the background and drops those for which there is no
-// room, as when nobody reads the output.
+// Writer writes lines in the background. It drops lines when its queue is full,
+// for example because the output is blocked.
 type Writer struct {
 	lines   chan []byte
 	output  io.Writer
@@ -34,14 +34,16 @@
 	done    chan struct{}
 }
 
-// NewWriter returns a writer to output, which Close ends.
+// NewWriter returns a writer to output and starts its goroutine, which Close
+// ends.
 func NewWriter(output io.Writer) *Writer {
 	w := &Writer{lines: make(chan []byte, queued), output: output, closing: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes a line. It never blocks and never fails.
+// Write queues a copy of a line, or drops the line if the queue is full. It never
+// blocks and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -51,13 +53,14 @@
 	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer; lines go out by themselves.
+// Sync implements zapcore.WriteSyncer. It does nothing; lines are written in the
+// background.
 func (w *Writer) Sync() error { return nil }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes what waits, for a second at most.
+// Close writes the queued lines. It waits for at most one second.
 func (w *Writer) Close() {
 	w.once.Do(func() { close(w.closing) })
 	select {
@@ -92,20 +95,20 @@
 
 func (w *Writer) put(line []byte) {
 	if _, err := w.output.Write(line); err != nil {
-		w.dropped.Add(1) // there is nowhere to say so but the counter
+		w.dropped.Add(1) // the error can't be logged, only counted
 	}
 }
 
-// New returns a logger of JSON lines to writer. What the bound on alike lines
-// leaves out, and what the writer drops, is counted.
+// New returns a logger of JSON lines to writer. Lines left out by sampling and
+// lines dropped by the writer are counted in metrics.
 func New(writer *Writer, level zapcore.Level, registerer prometheus.Registerer) *zap.Logger {
 	sampled := prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "papayasail_log_sampled_total",
-		Help: "Log lines left out, as many alike came in one second.",
+		Help: "Log lines left out by sampling, because of too many similar lines in one second.",
 	})
 	dropped := prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "papayasail_log_dropped_total",
-		Help: "Log lines dropped, as the output did not take them.",
+		Help: "Log lines dropped because the output was blocked or failed.",
 	}, func() float64 { return float64(writer.Dropped()) })
 	registerer.MustRegister(sampled, dropped)
 	config := zap.NewProductionEncoderConfig()
--- a/internal/boundedlog/boundedlog_test.go
+++ b/internal/boundedlog/boundedlog_test.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 )
 
-// stuck is an output that nobody reads.
+// stuck is an output that blocks until release is closed.
 type stuck struct{ release chan struct{} }
 
 func (s stuck) Write(p []byte) (int, error) {
@@ -19,8 +19,8 @@
 }
 
 func TestLogNeverBlocks(t *testing.T) {
-	// Nobody reads the process's output. Requests must not wait for it; what
-	// finds no room is counted.
+	// Guards against requests that block on logging when the process's output is not
+	// read. Lines that exceed the queue are counted as dropped.
 	is := is.New(t)
 	release := make(chan struct{})
 	w := NewWriter(stuck{release})
--- a/internal/defaults/defaults.go
+++ b/internal/defaults/defaults.go
@@ -1,7 +1,7 @@
-// Package defaults fills in options that were left zero.
+// Package defaults sets options with the zero value to their defaults.
 package defaults
 
-// Set gives an option its default unless it has a value.
+// Set sets an option to its default if it has the zero value.
 func Set[T comparable](option *T, standard T) {
 	var zero T
 	if *option == zero {
--- a/internal/moment/moment.go
+++ b/internal/moment/moment.go
@@ -1,4 +1,4 @@
-// Package moment keeps the time of an event for concurrent readers.
+// Package moment stores the time of an event for concurrent use.
 package moment
 
 import (
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Never is the age of a moment that has not come.
+// Never is the age of an event that has not occurred.
 const Never = time.Duration(math.MaxInt64)
 
-// Moment is the time of the newest event of a kind. It counts by the steady
-// clock, so that a change of the time of day does not age it. The zero value
-// has not come.
+// Moment is the time of the latest event of a kind. Its age is based on the
+// monotonic clock, so that a change of the wall clock has no effect. The zero
+// value means that no event has occurred.
 type Moment struct {
 	at atomic.Pointer[time.Time]
 }
 
-// Mark notes that the event came at a time.
+// Mark records that the event occurred at the given time.
 func (m *Moment) Mark(at time.Time) { m.at.Store(&at) }
 
-// Age returns how long ago the event came, or Never.
+// Age returns the time since the event, or Never if it has not occurred.
 func (m *Moment) Age() time.Duration {
 	at := m.at.Load()
 	if at == nil {
--- a/internal/operatorclient/client.go
+++ b/internal/operatorclient/client.go
@@ -1,5 +1,5 @@
-// Package operatorclient connects the generated client of the operators'
-// interface to an entry host.
+// Package operatorclient provides clients of the operator API of an entry host,
+// based on the generated client.
 package operatorclient
 
 import (
@@ -23,9 +23,9 @@
 // ErrUnauthorized means that the entry host does not accept the token.
 var ErrUnauthorized = errors.New("the token is not accepted")
 
-// New returns a client for one entry host, given as IP:port or URL. Each
-// request uses a connection of its own. tlsConfig is for https; nil: the
-// system's roots.
+// New returns a client for one entry host, given as IP:port or URL. Each request
+// uses a new connection. tlsConfig is used for https; nil: the default
+// configuration with the system's root certificates.
 func New(host string, network link.Network, tlsConfig *tls.Config) *operator.Client {
 	scheme := "http"
 	if parsed, err := url.Parse(host); err == nil && parsed.Host != "" {
@@ -36,12 +36,12 @@
 		c.PutOrganisation(), c.RemoveOrganisation(), c.SettleOrganisation(), c.ListOrganisations())
 }
 
-// maxProblemBytes bounds a problem document.
+// maxProblemBytes is the maximum size of a problem document.
 const maxProblemBytes = 4 << 20
 
-// doer sends requests. It ends every refusal itself: the generated code knows
-// only the statuses of the design, and a refusal may come with others, such as
-// 400 for a request that could not be decoded.
+// doer sends requests and decodes all error responses itself. The generated code
+// handles only the statuses in the design, but an entry host may return others,
+// such as 400 for a request that could not be decoded.
 type doer struct{ client *http.Client }
 
 func newDoer(network link.Network, tlsConfig *tls.Config) doer {
@@ -67,12 +67,13 @@
 	return nil, refusalOf(response)
 }
 
-// refusalOf reads a refusal: ErrUnauthorized, or an *operator.Problem.
+// refusalOf decodes an error response as ErrUnauthorized or an *operator.Problem.
+// A response without a valid problem document gives another error.
 func refusalOf(response *http.Response) error {
 	if response.StatusCode == http.StatusUnauthorized {
 		return ErrUnauthorized
 	}
-	var body operatorhttp.PutConflictResponseBody // one shape for all refusals
+	var body operatorhttp.PutConflictResponseBody // all problem documents have the same fields
 	err := json.NewDecoder(io.LimitReader(response.Body, maxProblemBytes)).Decode(&body)
 	body.Name = cmp.Or(body.Name, body.Reason)
 	body.Status = &response.StatusCode
@@ -85,8 +86,8 @@
 	return operatorhttp.NewPutConflict(&body)
 }
 
-// Answered reports whether the error is an entry host's answer, so that
-// asking another one is of no use.
+// Answered reports whether the error is a response from an entry host, so that
+// there is no point in trying another host.
 func Answered(err error) bool {
 	var problem *operator.Problem
 	return errors.As(err, &problem) || errors.Is(err, ErrUnauthorized)
--- a/internal/operatorclient/client_test.go
+++ b/internal/operatorclient/client_test.go
@@ -14,9 +14,8 @@
 	"github.com/papayasail/papayasail/gen/operator"
 )
 
-// An entry host refuses with a status that the design does not name, or with
-// something that is no problem document at all. The operator must see what
-// was said, or that nothing was; never a decoding error, never a success.
+// Guards against a decoding error or a success in place of the refusal, when the
+// status is not in the design or the body is not a problem document.
 func TestEveryRefusalIsReadable(t *testing.T) {
 	const problem = `{"type":"urn:papayasail:bad_request","title":"t","status":1,"outcome":"not_run","reason":"bad_request"}`
 	cases := []struct {
@@ -24,11 +23,11 @@
 		status     int
 		reason     string // of the problem; empty: no problem document
 	}{
-		{"status of the design", problem, http.StatusConflict, "bad_request"},
+		{"status in the design", problem, http.StatusConflict, "bad_request"},
 		{"another status", problem, http.StatusRequestEntityTooLarge, "bad_request"},
 		{"no problem document", "<html>", http.StatusBadGateway, ""},
-		{"half of one", `{"reason":"x"}`, http.StatusServiceUnavailable, ""},
-		{"findings without a place", problem[:len(problem)-1] + `,"findings":[{}]}`, http.StatusUnprocessableEntity, ""},
+		{"incomplete problem document", `{"reason":"x"}`, http.StatusServiceUnavailable, ""},
+		{"findings without a position", problem[:len(problem)-1] + `,"findings":[{}]}`, http.StatusUnprocessableEntity, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -50,7 +49,7 @@
 	})
 }
 
-// list asks an entry host that gives one fixed answer.
+// list calls List on an entry host that always returns the given response.
 func list(t *testing.T, status int, body string) error {
 	t.Helper()
 	fabric := network.New(network.Options{})
--- a/internal/rapidtest/rapidtest.go
+++ b/internal/rapidtest/rapidtest.go
@@ -1,5 +1,5 @@
-// Package rapidtest fixes the flags of property tests, so that every run of a
-// package draws the same cases.
+// Package rapidtest sets the flags of property tests, so that every run of a
+// package generates the same cases.
 package rapidtest
 
 import (
@@ -13,8 +13,8 @@
 // Flags are rapid's flags by name, without the prefix.
 type Flags map[string]string
 
-// Main is the body of a TestMain: it sets the flags, but for those given on
-// the command line, and runs the tests.
+// Main is the body of a TestMain. It sets all flags that are not given on the
+// command line, runs the tests and exits.
 func Main(m *testing.M, flags Flags) {
 	flag.Parse()
 	given := map[string]bool{}
--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep waits for a time or the end of a context.
+// Package sleep waits for a duration or the end of a context.
 package sleep
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d, or until ctx ends, whose error it returns.
+// For waits for d and returns nil, or returns the error of ctx if ctx ends first.
 func For(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/strictyaml/mapping.go
+++ b/internal/strictyaml/mapping.go
@@ -10,25 +10,25 @@
 	"github.com/papayasail/papayasail/findings"
 )
 
-// Presence says whether a field may be left out.
+// Presence reports whether a field is required.
 type Presence bool
 
 const (
-	// Required fields that are missing are a finding.
+	// Required fields give a finding if they are missing.
 	Required Presence = true
 	// Optional fields may be missing.
 	Optional Presence = false
 )
 
-// Mapping is one YAML mapping. Each read method marks its field as known;
-// Close reports the fields that nobody read.
+// Mapping is one YAML mapping. Each read method marks its field as known; Close
+// reports the fields that are not known.
 type Mapping struct {
 	reader     *Reader
-	start      ast.Node // first key or, when empty, the mapping itself
+	start      ast.Node // first key or, if empty, the mapping itself
 	fields     map[string]field
-	order      []string
-	known      []string
-	unreadable bool // a finding for the whole mapping was given already
+	order      []string // field names in source order
+	known      []string // field names passed to read methods
+	unreadable bool     // a finding for the whole mapping was recorded already
 }
 
 type field struct {
@@ -36,7 +36,8 @@
 	value ast.Node
 }
 
-// mapping turns a node into a Mapping and reports a node that is none.
+// mapping converts a node to a Mapping. A node that is not a mapping gives a
+// finding.
 func (r *Reader) mapping(node ast.Node) *Mapping {
 	m := &Mapping{reader: r, start: node, fields: map[string]field{}}
 	switch n := node.(type) {
@@ -66,14 +67,14 @@
 	m.order = append(m.order, name)
 }
 
-// Has reports whether the field is given.
+// Has reports whether the field is present.
 func (m *Mapping) Has(name string) bool {
 	_, ok := m.fields[name]
 	return ok
 }
 
-// Find adds a finding at a field's value, or at the mapping's start when the
-// field is missing.
+// Find adds a finding at a field's value, or at the mapping's start if the field
+// is missing.
 func (m *Mapping) Find(name, format string, arguments ...any) {
 	if m.unreadable {
 		return
@@ -88,8 +89,8 @@
 	m.reader.list.Add(findings.At(m.reader.file, place, "%s: %s", name, fmt.Sprintf(format, arguments...)))
 }
 
-// Close reports the fields that were given but never read, with the names
-// that are allowed here.
+// Close adds a finding for each field that is present but was never read. The
+// finding lists the allowed names.
 func (m *Mapping) Close() {
 	for _, name := range m.order {
 		if !slices.Contains(m.known, name) {
@@ -98,8 +99,8 @@
 	}
 }
 
-// value marks a field as known and returns its node, or nil when it is
-// missing, null or of a form that is never allowed.
+// value marks a field as known and returns its node, or nil if it is missing, is
+// null or uses an anchor, alias or tag.
 func (m *Mapping) value(name string, presence Presence) ast.Node {
 	m.known = append(m.known, name)
 	f, given := m.fields[name]
@@ -125,19 +126,19 @@
 	return null
 }
 
-// Mapping reads a field that holds a mapping. It is never nil: a missing one
-// is empty, so that its defaults apply.
+// Mapping reads a field with a mapping. The result is never nil: a missing field
+// gives an empty mapping, so that the defaults of its fields apply.
 func (m *Mapping) Mapping(name string, presence Presence) *Mapping {
 	node := m.value(name, presence)
 	if node == nil {
-		// Only a mapping that was left out on purpose may report what
-		// it lacks; otherwise one mistake would be reported many times.
+		// Only an optional mapping that was omitted reports its missing fields.
+		// Otherwise one mistake would be reported several times.
 		return &Mapping{reader: m.reader, start: m.start, unreadable: presence == Required || m.Has(name) || m.unreadable}
 	}
 	return m.reader.mapping(node)
 }
 
-// Mappings reads a field that holds a sequence of mappings.
+// Mappings reads a field with a list of mappings.
 func (m *Mapping) Mappings(name string, presence Presence) []*Mapping {
 	var mappings []*Mapping
 	for _, node := range m.sequence(name, presence) {
--- a/internal/strictyaml/reader.go
+++ b/internal/strictyaml/reader.go
@@ -1,6 +1,6 @@
-// Package strictyaml reads YAML field by field and collects every mistake
-// with its place. A decoder that stops at the first error would let an owner
-// mend a document one mistake a try.
+// Package strictyaml reads YAML field by field and collects all mistakes with
+// their positions. With a decoder that stops at the first error, an owner could
+// fix only one mistake per attempt.
 package strictyaml
 
 import (
@@ -15,15 +15,15 @@
 	"github.com/papayasail/papayasail/findings"
 )
 
-// Reader reads one file and holds its findings.
+// Reader reads one file and collects its findings.
 type Reader struct {
 	file string
 	list findings.List
 }
 
-// Read parses data, which holds one mapping of at most limit bytes, and
-// returns it. The mapping is never nil: after a syntax error it is empty and
-// closed for further findings, so that callers need no second path.
+// Read parses data, one mapping of at most limit bytes, and returns the mapping.
+// The mapping is never nil: after a syntax error it is empty and records no more
+// findings, so that callers need no separate error path.
 func Read(file string, data []byte, limit int) (*Reader, *Mapping) {
 	r := &Reader{file: file}
 	root, err := r.root(data, limit)
@@ -36,7 +36,7 @@
 // Err returns all findings as an error, or nil.
 func (r *Reader) Err() error { return r.list.Err() }
 
-// errUnreadable stands for a finding that has been added to the list.
+// errUnreadable reports that a finding was added to the list.
 var errUnreadable = errors.New("strictyaml: unreadable")
 
 func (r *Reader) root(data []byte, limit int) (ast.Node, error) {
@@ -53,9 +53,8 @@
 	return file.Docs[0].Body, nil
 }
 
-// parse guards against a panic of the YAML parser on malformed input, which
-// would end a daemon that was handed such a document: the panic becomes an
-// ordinary finding.
+// parse parses data and turns a panic of the YAML parser into an error. A
+// malformed document would otherwise crash the daemon that receives it.
 func parse(data []byte) (file *ast.File, err error) {
 	defer func() {
 		if recovered := recover(); recovered != nil {
--- a/internal/strictyaml/reader_test.go
+++ b/internal/strictyaml/reader_test.go
@@ -10,9 +10,8 @@
 
 const limit = 256 << 10
 
-// Somebody applies a document of nothing but brackets, dashes or keys, within
-// the size limit. Parsed, it would hold a core of the entry host for minutes;
-// it has to be refused before that, with its place.
+// Guards against a document of brackets, dashes or keys only, which is within the
+// size limit but would occupy a CPU core for minutes if it were parsed.
 func TestReadRefusesFilesOfBadShape(t *testing.T) {
 	cases := map[string]struct{ unit, want string }{
 		"brackets":       {"[", "nested too deeply"},
@@ -37,8 +36,8 @@
 	is.True(strings.Contains(reader.Err().Error(), "too many keys"))
 }
 
-// A long list is no bad shape: settings name tens of thousands of
-// organisations, a document hundreds of backend servers.
+// Guards against the rejection of long lists: settings list tens of thousands of
+// organisations, documents hundreds of backend servers.
 func TestReadTakesLongLists(t *testing.T) {
 	is := is.New(t)
 	var text strings.Builder
--- a/internal/strictyaml/scalar.go
+++ b/internal/strictyaml/scalar.go
@@ -8,13 +8,13 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// Range bounds a number and gives its value when the field is missing.
+// Range is the allowed range of a number and its default for a missing field.
 type Range[T int | float64 | time.Duration] struct {
 	Min, Max T
 	Default  T
 }
 
-// Text reads a field that holds a string.
+// Text reads a string field.
 func (m *Mapping) Text(name string, presence Presence) string {
 	node := m.value(name, presence)
 	if node == nil {
@@ -31,7 +31,7 @@
 	return text
 }
 
-// Texts reads a field that holds a list of strings.
+// Texts reads a field with a list of strings.
 func (m *Mapping) Texts(name string, presence Presence) []string {
 	var texts []string
 	for _, node := range m.sequence(name, presence) {
@@ -45,7 +45,7 @@
 	return texts
 }
 
-// Choice reads a field that holds one of the allowed words.
+// Choice reads a field with one of the allowed values.
 func (m *Mapping) Choice(name string, presence Presence, allowed ...string) string {
 	text := m.Text(name, presence)
 	if text == "" {
@@ -60,7 +60,7 @@
 	return ""
 }
 
-// Bool reads a field that holds true or false.
+// Bool reads a boolean field.
 func (m *Mapping) Bool(name string, presence Presence) bool {
 	node := m.value(name, presence)
 	if node == nil {
@@ -74,7 +74,7 @@
 	return value.Value
 }
 
-// Int reads a field that holds a whole number; unit is used in findings.
+// Int reads an integer field; unit is used in findings.
 func (m *Mapping) Int(name string, presence Presence, unit string, bounds Range[int]) int {
 	node := m.value(name, presence)
 	if node == nil {
@@ -93,7 +93,7 @@
 	return value
 }
 
-// Share reads a field that holds a share such as 0.05.
+// Share reads a field with a fraction such as 0.05.
 func (m *Mapping) Share(name string, presence Presence, bounds Range[float64]) float64 {
 	node := m.value(name, presence)
 	if node == nil {
@@ -112,7 +112,7 @@
 	return value
 }
 
-// Duration reads a field that holds a time with its unit, such as 1.5s.
+// Duration reads a field with a duration and its unit, such as 1.5s.
 func (m *Mapping) Duration(name string, presence Presence, bounds Range[time.Duration]) time.Duration {
 	node := m.value(name, presence)
 	if node == nil {
@@ -131,8 +131,8 @@
 	return value
 }
 
-// Address reads a field that holds an IP:port. Host names are refused: the
-// processes talk by IP numbers.
+// Address reads a field with an IP:port. Host names are rejected: processes
+// address each other by IP only.
 func (m *Mapping) Address(name string, presence Presence) string {
 	text := m.Text(name, presence)
 	if text == "" {
@@ -146,7 +146,7 @@
 	return address.String()
 }
 
-// Addresses reads a field that holds a list of IP:port.
+// Addresses reads a field with a list of IP:port.
 func (m *Mapping) Addresses(name string, presence Presence) []string {
 	var addresses []string
 	for _, node := range m.sequence(name, presence) {
@@ -161,7 +161,7 @@
 	return addresses
 }
 
-// scalar returns the text of a scalar node as it was written.
+// scalar returns the source text of a scalar node.
 func scalar(node ast.Node) (string, bool) {
 	switch n := node.(type) {
 	case *ast.StringNode:
@@ -182,7 +182,7 @@
 	return false
 }
 
-// shown renders a node for a finding, short.
+// shown renders a node for a finding, truncated if it is long.
 func shown(node ast.Node) string {
 	text, ok := scalar(node)
 	if !ok {
--- a/internal/strictyaml/shape.go
+++ b/internal/strictyaml/shape.go
@@ -5,15 +5,15 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// Bounds of a file's shape, far above what any document or settings need.
+// Bounds of a file's structure, far above the needs of any document or settings.
 const (
 	maxDepth = 32  // nested lists and mappings
 	maxKeys  = 128 // keys of one mapping
 )
 
-// shape counts depth and keys while it reads tokens in order.
+// shape tracks nesting depth and key counts over the tokens of a file.
 type shape struct {
-	line   int
+	line   int         // current line
 	dashes int         // list entries opened on this line
 	flow   []flow      // open brackets and braces
 	keys   map[int]int // keys of the open block mapping at each column
@@ -25,12 +25,12 @@
 	entries int
 }
 
-// checkShape returns an error at the first token that is nested too deeply or
-// is one key too many of its mapping.
+// checkShape returns an error at the first token that exceeds the maximum depth
+// or the maximum number of keys of its mapping.
 //
-// It guards against a small document of nothing but brackets, dashes or keys.
-// The parser's time and stack grow with the square of depth and of keys: such
-// a document would hold a core for minutes.
+// It guards against a small document that consists of brackets, dashes or keys
+// only. The parser's time and stack grow with the square of the depth and of the
+// number of keys, so parsing such a document would occupy a CPU core for minutes.
 func checkShape(tokens token.Tokens) error {
 	s := shape{keys: map[int]int{}}
 	for _, t := range tokens {
@@ -70,7 +70,8 @@
 	return ""
 }
 
-// flowEntry counts a comma and reports whether its mapping has too many.
+// flowEntry counts an entry of a flow collection at its comma and reports whether
+// a mapping has too many entries.
 func (s *shape) flowEntry() bool {
 	if len(s.flow) == 0 {
 		return false
@@ -80,8 +81,8 @@
 	return innermost.mapping && innermost.entries >= maxKeys
 }
 
-// blockKey counts a key outside of brackets and reports whether its mapping
-// has too many.
+// blockKey counts a key of a block mapping and reports whether the mapping has
+// too many keys.
 func (s *shape) blockKey(key *token.Token) bool {
 	if len(s.flow) > 0 {
 		return false
@@ -90,7 +91,7 @@
 	return s.keys[key.Position.Column] > maxKeys
 }
 
-// startLine closes the block mappings that are indented deeper than the line.
+// startLine closes the block mappings that are indented deeper than the new line.
 func (s *shape) startLine(first *token.Token) {
 	s.line, s.dashes = first.Position.Line, 0
 	for column := range s.keys {
