--- a/cmd/papayasail/main.go
+++ b/cmd/papayasail/main.go
@@ -1,4 +1,4 @@
-// Command papayasail checks and applies service documents, calls services and
+// Command papayasail validates and applies service documents, calls services and
 // shows the state of the entry hosts.
 package main
 
--- a/cmd/papayasaild/main.go
+++ b/cmd/papayasaild/main.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = logger.Sync() }() // stderr cannot always be synced
+	defer func() { _ = logger.Sync() }() // stderr does not always support sync
 	host, err := entryhost.New(entryhost.Options{
 		Settings: loaded, Policy: policy, Logger: logger,
 		Store: platform.NewStore(link.TCP{}, loaded.Platform, float64(loaded.Limits.PlatformCalls)),
@@ -67,8 +67,8 @@
 	return config.Build()
 }
 
-// stopOnSignal stops gracefully on the first SIGTERM or interrupt, within the
-// bound of the settings; a second one cuts off what still runs.
+// stopOnSignal stops the host gracefully on the first SIGTERM or interrupt, within
+// the stop bound of the settings. A second signal cancels the requests in flight.
 func stopOnSignal(host *entryhost.Host, loaded *settings.Settings) {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
@@ -79,5 +79,5 @@
 		<-signals
 		hurry()
 	}()
-	_ = host.Stop(ctx) // what was cut off is in the counters; Run returns next
+	_ = host.Stop(ctx) // cancelled requests are counted in metrics; Run returns next
 }
--- a/cmd/papayasaild/platform.go
+++ b/cmd/papayasaild/platform.go
@@ -15,8 +15,9 @@
 )
 
 const (
-	// memoryShare of the process's limit bounds the heap; the rest is for
-	// stacks, connections' buffers in the kernel and the runtime itself.
+	// memoryShare is the Go memory limit as a share of the process's memory limit;
+	// the rest is reserved for stacks, kernel buffers of connections and the
+	// runtime itself.
 	memoryShare = 0.6
 	msgReload   = "settings read again; they take effect at the next start"
 )
@@ -39,8 +40,8 @@
 	return platform.Run(ctx, settings, logger, registry)
 }
 
-// reload checks the settings again at each SIGHUP and says what it found.
-// Addresses and limits of a running process do not change.
+// reload validates the settings file on each SIGHUP and logs the result. The
+// settings of the running process do not change.
 func reload(path string, logger *zap.Logger) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs the stand-ins of outside systems: the platform's
-// metadata store, a model engine, a plain service.
+// Command standin runs stand-ins for external systems: the platform's metadata
+// store, a model engine and a plain service.
 package main
 
 import (
