--- a/cmd/papayasaild/main.go
+++ b/cmd/papayasaild/main.go
@@ -73,11 +73,11 @@
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	<-signals
-	ctx, hurry := context.WithTimeout(context.Background(), loaded.Limits.StopBound)
-	defer hurry()
+	ctx, cancel := context.WithTimeout(context.Background(), loaded.Limits.StopBound)
+	defer cancel()
 	go func() {
 		<-signals
-		hurry()
+		cancel()
 	}()
 	_ = host.Stop(ctx) // cancelled requests are counted in metrics; Run returns next
 }
