--- a/settings/parse.go
+++ b/settings/parse.go
@@ -195,7 +195,7 @@
 	for _, item := range m.Mappings("operators", strictyaml.Optional) {
 		operator := Operator{Name: item.Text("name", strictyaml.Required), TokenSHA256: tokenHash(item, tokens)}
 		item.Close()
-		once(item, names, operator.Name)
+		checkUnique(item, names, operator.Name)
 		list = append(list, operator)
 	}
 	return list
@@ -211,13 +211,13 @@
 			Services:    item.Texts("services", strictyaml.Optional),
 		}
 		item.Close()
-		once(item, names, organisation.Name)
+		checkUnique(item, names, organisation.Name)
 		list = append(list, organisation)
 	}
 	return list
 }
 
-func once(m *strictyaml.Mapping, names map[string]bool, name string) {
+func checkUnique(m *strictyaml.Mapping, names map[string]bool, name string) {
 	if name != "" && names[name] {
 		m.Find("name", "%q is given twice", name)
 	}
@@ -246,14 +246,14 @@
 func limits(m *strictyaml.Mapping) Limits {
 	section := m.Mapping("limits", strictyaml.Optional)
 	defer section.Close()
-	number := func(name, unit string, least, most, standard int) int {
-		return section.Int(name, strictyaml.Optional, unit, strictyaml.Range[int]{Min: least, Max: most, Default: standard})
+	number := func(name, unit string, lowest, highest, fallback int) int {
+		return section.Int(name, strictyaml.Optional, unit, strictyaml.Range[int]{Min: lowest, Max: highest, Default: fallback})
 	}
-	between := func(name string, least, most, standard time.Duration) time.Duration {
-		return section.Duration(name, strictyaml.Optional, strictyaml.Range[time.Duration]{Min: least, Max: most, Default: standard})
+	between := func(name string, lowest, highest, fallback time.Duration) time.Duration {
+		return section.Duration(name, strictyaml.Optional, strictyaml.Range[time.Duration]{Min: lowest, Max: highest, Default: fallback})
 	}
-	duration := func(name string, least, standard time.Duration) time.Duration {
-		return between(name, least, 24*time.Hour, standard)
+	duration := func(name string, lowest, fallback time.Duration) time.Duration {
+		return between(name, lowest, 24*time.Hour, fallback)
 	}
 	l := Limits{
 		BodyBytes:       number("body_bytes", "bytes", 1024, maxBytes, DefaultBodyBytes),
