--- a/cli/explain.go
+++ b/cli/explain.go
@@ -46,7 +46,7 @@
 }
 
 func (a *App) printLosses(report *explain.Report) error {
-	fmt.Fprintf(a.Out, "served in time: %d, %.3f of all; with better decisions at most %.3f\n", report.Served, report.ServedShare(), report.Ceiling())
+	fmt.Fprintf(a.Out, "served in time: %d, %.3f of all; with better decisions at most %.3f\n", report.Served, report.ServedShare(), report.MaxServedShare())
 	table := tabwriter.NewWriter(a.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "lost\tcause\troute\tprompt tokens\tavoidable\tby second")
 	for _, loss := range report.Losses {
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -20,14 +20,14 @@
 // Causes that are derived from several log lines or fields. Other causes are the
 // value of "reason" in the line that ends the request.
 const (
-	CauseHostKilled   Cause = "host_killed"   // the entry host ended without a graceful stop
-	CauseHostStopped  Cause = "host_stopped"  // the entry host was stopped before the request ended
-	CauseServerFailed Cause = "server_failed" // error response of a backend server, passed through
-	CauseLate         Cause = "late"          // served after its latency goal, or with too long a pause
-	CauseReading      Cause = "full_reading"  // refused: prefill backlog of the engines too long
-	CauseMemory       Cause = "full_memory"   // refused: not enough engine memory
-	CauseSlots        Cause = "full_slots"    // refused: no free engine slots
-	CauseQuarantined  Cause = "quarantined"   // the request crashes the backend servers that run it
+	CauseHostKilled     Cause = "host_killed"   // the entry host ended without a graceful stop
+	CauseHostStopped    Cause = "host_stopped"  // the entry host was stopped before the request ended
+	CauseServerFailed   Cause = "server_failed" // error response of a backend server, passed through
+	CauseLate           Cause = "late"          // served after its latency goal, or with too long a pause
+	CausePrefillBacklog Cause = "full_reading"  // refused: prefill backlog of the engines too long
+	CauseMemory         Cause = "full_memory"   // refused: not enough engine memory
+	CauseSlots          Cause = "full_slots"    // refused: no free engine slots
+	CauseQuarantined    Cause = "quarantined"   // the request crashes the backend servers that run it
 )
 
 // unavoidable has the causes that no decision of an entry host could have
@@ -57,18 +57,18 @@
 	Findings findings.List
 }
 
-// Ceiling returns the share of requests that could have been served at most,
+// MaxServedShare returns the share of requests that could have been served at most,
 // that is, all but the unavoidable losses.
-func (r *Report) Ceiling() float64 { return r.share(false) }
+func (r *Report) MaxServedShare() float64 { return r.share(false) }
 
 // ServedShare returns the share of requests that were served.
 func (r *Report) ServedShare() float64 { return r.share(true) }
 
-func (r *Report) share(lost bool) float64 {
+func (r *Report) share(avoidableLost bool) float64 {
 	served, all := r.Served, r.Served
 	for _, loss := range r.Losses {
 		all += loss.Requests
-		if !lost && loss.Avoidable() {
+		if !avoidableLost && loss.Avoidable() {
 			served += loss.Requests
 		}
 	}
@@ -80,7 +80,7 @@
 	first    time.Time            // time of the earliest line
 	ended    map[string]*record   // line that ended a request, by request
 	placed   map[string]*record   // generations placed on a server, by request
-	refused    map[string]*record   // last refused placement, by request
+	refused  map[string]*record   // last refused placement, by request
 	starts   map[string][]*record // by host
 	stops    map[string][]*record // by host
 	findings findings.List
@@ -109,13 +109,13 @@
 			l.findings.Add(findings.Finding{File: name, Line: n, Message: err.Error()})
 		}
 		if r != nil {
-			l.take(r)
+			l.add(r)
 		}
 	}
 	return scanner.Err()
 }
 
-func (l *Log) take(r *record) {
+func (l *Log) add(r *record) {
 	if l.first.IsZero() || r.At.Before(l.first) {
 		l.first = r.At
 	}
@@ -138,7 +138,7 @@
 func (l *Log) Report() *Report {
 	report := &Report{Findings: l.findings}
 	losses := map[[2]string]*Loss{}
-	lose := func(cause Cause, at time.Time, r *record) {
+	addLoss := func(cause Cause, at time.Time, r *record) {
 		key := [2]string{string(cause), r.Route}
 		loss := losses[key]
 		if loss == nil {
@@ -149,17 +149,17 @@
 		loss.Tokens += r.PromptTokens
 		loss.BySecond[int(at.Sub(l.first).Seconds())]++
 	}
-	for _, r := range l.last() {
+	for _, r := range l.finalRecords() {
 		if cause := l.cause(r); cause != "" {
-			lose(cause, r.At, r)
-		} else if !denied(r) {
+			addLoss(cause, r.At, r)
+		} else if !rejected(r) {
 			report.Served++
 		}
 	}
 	for id, r := range l.placed {
 		if l.ended[id] == nil {
 			cause, at := l.hostEnd(r)
-			lose(cause, at, r)
+			addLoss(cause, at, r)
 		}
 	}
 	report.Losses = slices.SortedFunc(maps.Values(losses), func(a, b *Loss) int {
@@ -168,10 +168,10 @@
 	return report
 }
 
-// last returns the lines that ended requests. Of the attempts of a generation,
-// which have one fingerprint, only the last is included. Exact calls are all
+// finalRecords returns the lines that ended requests. Of the attempts of a generation,
+// which have one fingerprint, only the last one is included. Exact calls are all
 // included, as those with one fingerprint may come from several callers.
-func (l *Log) last() []*record {
+func (l *Log) finalRecords() []*record {
 	newest := map[string]*record{}
 	generations := l.generationRoutes()
 	var all []*record
@@ -198,17 +198,17 @@
 	return routes
 }
 
-// denied reports whether the request was rejected as invalid or not allowed (4xx,
+// rejected reports whether the request was refused as invalid or not allowed (4xx,
 // not run). Such requests count neither as served nor as lost.
-func denied(r *record) bool { return r.NotRun && r.Status/100 == 4 }
+func rejected(r *record) bool { return r.NotRun && r.Status/100 == 4 }
 
 // cause returns the cause of a lost request, or "" if it was not lost.
 func (l *Log) cause(r *record) Cause {
 	switch {
-	case denied(r):
+	case rejected(r):
 		return ""
 	case r.Reason == reasonFull:
-		return l.shortage(r.Request)
+		return l.lackingResource(r.Request)
 	case r.Reason != "":
 		return Cause(r.Reason)
 	case r.Status/100 == 5:
@@ -221,16 +221,16 @@
 
 const reasonFull = "full"
 
-// shortage returns the resource that most engines lacked when a request was
+// lackingResource returns the resource that most engines lacked when a request was
 // refused.
-func (l *Log) shortage(request string) Cause {
-	short := l.refused[request]
+func (l *Log) lackingResource(request string) Cause {
+	refused := l.refused[request]
 	switch {
-	case short == nil:
+	case refused == nil:
 		return reasonFull
-	case short.LackReading >= short.LackMemory && short.LackReading >= short.LackSlots:
-		return CauseReading
-	case short.LackMemory >= short.LackSlots:
+	case refused.LackReading >= refused.LackMemory && refused.LackReading >= refused.LackSlots:
+		return CausePrefillBacklog
+	case refused.LackMemory >= refused.LackSlots:
 		return CauseMemory
 	}
 	return CauseSlots
@@ -241,7 +241,7 @@
 // killed, either while running or during a graceful stop. The time is that of
 // the host's next start, or of the placement if there is none.
 func (l *Log) hostEnd(placed *record) (Cause, time.Time) {
-	host, at := placed.For, placed.At
+	host, at := placed.RequestedBy, placed.At
 	for _, start := range l.starts[host] {
 		if start.At.After(placed.At) {
 			at = start.At
@@ -249,12 +249,12 @@
 		}
 	}
 	for _, stop := range l.stops[host] {
-		if stop.At.Before(at) && at.Sub(stop.At) < longestStop {
+		if stop.At.Before(at) && at.Sub(stop.At) < maxStopTime {
 			return CauseHostStopped, at
 		}
 	}
 	return CauseHostKilled, at
 }
 
-// longestStop is the maximum time between a stop request and the next start.
-const longestStop = 15 * time.Second
+// maxStopTime is the maximum time between a stop request and the next start.
+const maxStopTime = 15 * time.Second
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -46,7 +46,7 @@
 	is.Equal(byCause[CauseHostKilled].BySecond, map[int]int{8: 1})
 	is.Equal(byCause[CauseMemory].Route, "letters")
 	is.Equal(report.ServedShare(), 2.0/7)
-	is.Equal(report.Ceiling(), 5.0/7) // a killed host and a server failure are unavoidable
+	is.Equal(report.MaxServedShare(), 5.0/7) // a killed host and a server failure are unavoidable
 }
 
 func TestUnreadableLinesAreFindings(t *testing.T) {
@@ -74,5 +74,5 @@
 	is.Equal(report.Served, 2)
 	is.Equal(len(report.Losses), 1)
 	is.Equal(report.Losses[0].Cause, CauseQuarantined)
-	is.Equal(report.Ceiling(), 2.0/3)
+	is.Equal(report.MaxServedShare(), 2.0/3)
 }
--- a/explain/record.go
+++ b/explain/record.go
@@ -26,7 +26,7 @@
 	Fingerprint  string `json:"fingerprint"`
 	PromptTokens int    `json:"prompt_tokens"`
 	// Fields of the allocator's lines.
-	For         string `json:"for"` // host that requested the placement
+	RequestedBy string `json:"for"` // host that requested the placement
 	LackReading int    `json:"lack_reading"`
 	LackSlots   int    `json:"lack_slots"`
 	LackMemory  int    `json:"lack_memory"`
