--- a/internal/boundedlog/boundedlog.go
+++ b/internal/boundedlog/boundedlog.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// queued is the maximum number of lines that wait for the output. At some
+	// queueSize is the maximum number of lines that wait for the output. At some
 	// 400 bytes per line they use less than half a megabyte.
-	queued = 1024
-	// Of the lines with the same level and message, the first lines of each second
-	// are written, and after those one in thereafter. Lines about failures have
+	queueSize = 1024
+	// Of the lines with the same level and message, the first sampleFirst lines of each second
+	// are written, and after those one in sampleThereafter. Lines about failures have
 	// another level and thus a separate limit.
-	first      = 100
-	thereafter = 50
+	sampleFirst      = 100
+	sampleThereafter = 50
 )
 
 // Writer writes lines in the background. It drops lines when its queue is full,
@@ -37,7 +37,7 @@
 // NewWriter returns a writer to output and starts its goroutine, which Close
 // ends.
 func NewWriter(output io.Writer) *Writer {
-	w := &Writer{lines: make(chan []byte, queued), output: output, closing: make(chan struct{}), done: make(chan struct{})}
+	w := &Writer{lines: make(chan []byte, queueSize), output: output, closing: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -74,7 +74,7 @@
 	for {
 		select {
 		case line := <-w.lines:
-			w.put(line)
+			w.writeLine(line)
 		case <-w.closing:
 			w.drain()
 			return
@@ -86,14 +86,14 @@
 	for {
 		select {
 		case line := <-w.lines:
-			w.put(line)
+			w.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-func (w *Writer) put(line []byte) {
+func (w *Writer) writeLine(line []byte) {
 	if _, err := w.output.Write(line); err != nil {
 		w.dropped.Add(1) // the error can't be logged, only counted
 	}
@@ -120,5 +120,5 @@
 			sampled.Inc()
 		}
 	})
-	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, first, thereafter, hook))
+	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, sampleFirst, sampleThereafter, hook))
 }
--- a/internal/boundedlog/boundedlog_test.go
+++ b/internal/boundedlog/boundedlog_test.go
@@ -10,10 +10,10 @@
 	"go.uber.org/zap"
 )
 
-// stuck is an output that blocks until release is closed.
-type stuck struct{ release chan struct{} }
+// blockedOutput is an output that blocks until release is closed.
+type blockedOutput struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedOutput) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
@@ -23,13 +23,13 @@
 	// read. Lines that exceed the queue are counted as dropped.
 	is := is.New(t)
 	release := make(chan struct{})
-	w := NewWriter(stuck{release})
-	for range 3 * queued {
+	w := NewWriter(blockedOutput{release})
+	for range 3 * queueSize {
 		n, err := w.Write([]byte("line\n"))
 		is.NoErr(err)
 		is.Equal(n, 5)
 	}
-	is.True(w.Dropped() >= 2*queued-1)
+	is.True(w.Dropped() >= 2*queueSize-1)
 	close(release)
 	w.Close()
 }
@@ -50,11 +50,11 @@
 	out := &collected{}
 	w := NewWriter(out)
 	logger := New(w, zap.InfoLevel, prometheus.NewRegistry())
-	for range 10 * first {
+	for range 10 * sampleFirst {
 		logger.Info("request")
 	}
 	logger.Warn("request")
 	w.Close()
-	is.True(strings.Count(out.text.String(), `"level":"info"`) < 2*first)
+	is.True(strings.Count(out.text.String(), `"level":"info"`) < 2*sampleFirst)
 	is.Equal(strings.Count(out.text.String(), `"level":"warn"`), 1)
 }
--- a/internal/defaults/defaults.go
+++ b/internal/defaults/defaults.go
@@ -2,9 +2,9 @@
 package defaults
 
 // Set sets an option to its default if it has the zero value.
-func Set[T comparable](option *T, standard T) {
+func Set[T comparable](option *T, value T) {
 	var zero T
 	if *option == zero {
-		*option = standard
+		*option = value
 	}
 }
--- a/internal/strictyaml/mapping.go
+++ b/internal/strictyaml/mapping.go
@@ -43,10 +43,10 @@
 	switch n := node.(type) {
 	case *ast.MappingNode:
 		for _, value := range n.Values {
-			m.take(value)
+			m.addField(value)
 		}
 	case *ast.MappingValueNode:
-		m.take(n)
+		m.addField(n)
 	default:
 		m.unreadable = true
 		r.add(node, "must be a mapping of fields to values")
@@ -54,7 +54,7 @@
 	return m
 }
 
-func (m *Mapping) take(value *ast.MappingValueNode) {
+func (m *Mapping) addField(value *ast.MappingValueNode) {
 	if len(m.fields) == 0 {
 		m.start = value.Key
 	}
--- a/internal/strictyaml/scalar.go
+++ b/internal/strictyaml/scalar.go
@@ -83,7 +83,7 @@
 	text, _ := scalar(node)
 	value, err := strconv.Atoi(text)
 	if _, number := node.(*ast.IntegerNode); !number || err != nil {
-		m.Find(name, "must be a whole number of %s without a unit, such as 100, not %s", unit, shown(node))
+		m.Find(name, "must be a whole number of %s without a unit, such as 100, not %s", unit, quoted(node))
 		return bounds.Default
 	}
 	if value < bounds.Min || value > bounds.Max {
@@ -102,7 +102,7 @@
 	text, _ := scalar(node)
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil || !isNumber(node) {
-		m.Find(name, "must be a share from %g to %g without a unit, such as 0.05, not %s", bounds.Min, bounds.Max, shown(node))
+		m.Find(name, "must be a share from %g to %g without a unit, such as 0.05, not %s", bounds.Min, bounds.Max, quoted(node))
 		return bounds.Default
 	}
 	if !(value >= bounds.Min && value <= bounds.Max) {
@@ -121,7 +121,7 @@
 	text, _ := scalar(node)
 	value, err := time.ParseDuration(text)
 	if err != nil || isNumber(node) {
-		m.Find(name, "must be a duration with its unit, such as 1.5s or 200ms, not %s", shown(node))
+		m.Find(name, "must be a duration with its unit, such as 1.5s or 200ms, not %s", quoted(node))
 		return bounds.Default
 	}
 	if value < bounds.Min || value > bounds.Max {
@@ -153,7 +153,7 @@
 		text, _ := scalar(node)
 		address, err := netip.ParseAddrPort(text)
 		if err != nil || address.Port() == 0 {
-			m.reader.add(node, "%s: must be IP:port, such as 10.0.0.1:7480, not %s", name, shown(node))
+			m.reader.add(node, "%s: must be IP:port, such as 10.0.0.1:7480, not %s", name, quoted(node))
 			continue
 		}
 		addresses = append(addresses, address.String())
@@ -182,8 +182,8 @@
 	return false
 }
 
-// shown renders a node for a finding, truncated if it is long.
-func shown(node ast.Node) string {
+// quoted renders a node for a finding, truncated if it is long.
+func quoted(node ast.Node) string {
 	text, ok := scalar(node)
 	if !ok {
 		return "a list or mapping"
--- a/internal/strictyaml/shape.go
+++ b/internal/strictyaml/shape.go
@@ -34,14 +34,14 @@
 func checkShape(tokens token.Tokens) error {
 	s := shape{keys: map[int]int{}}
 	for _, t := range tokens {
-		if message := s.take(t); message != "" {
+		if message := s.checkToken(t); message != "" {
 			return &yaml.SyntaxError{Message: message, Token: t}
 		}
 	}
 	return nil
 }
 
-func (s *shape) take(t *token.Token) string {
+func (s *shape) checkToken(t *token.Token) string {
 	if t.Position.Line != s.line {
 		s.startLine(t)
 	}
