--- a/cli/app.go
+++ b/cli/app.go
@@ -42,8 +42,8 @@
 // command runs one command.
 type command func(ctx context.Context) error
 
-// errSilent ends a command that has already printed what failed.
-var errSilent = errors.New("failed")
+// errReported ends a command that has already printed what failed.
+var errReported = errors.New("failed")
 
 // usageError reports an invalid command line.
 type usageError struct{ message string }
@@ -67,14 +67,14 @@
 		return ExitUsage
 	}
 	name, err := parser.Parse(withStandardInput(arguments))
-	if stop.asked {
+	if stop.requested {
 		return stop.code
 	}
 	if err != nil {
 		fmt.Fprintf(a.Err, "papayasail: %v, try --help\n", err)
 		return ExitUsage
 	}
-	ctx, cancel := a.bounded(ctx, name)
+	ctx, cancel := a.withTimeout(ctx, name)
 	defer cancel()
 	return a.exitCode(commands[name](ctx))
 }
@@ -93,9 +93,9 @@
 	return replaced
 }
 
-// bounded returns ctx with the --timeout flag as its timeout, except for commands
-// that run longer than one request.
-func (a *App) bounded(ctx context.Context, name string) (context.Context, context.CancelFunc) {
+// withTimeout returns ctx with the --timeout flag as its timeout, except for
+// commands that run longer than one request.
+func (a *App) withTimeout(ctx context.Context, name string) (context.Context, context.CancelFunc) {
 	switch name {
 	case "demo", "bench", "soak", "wait", "generate":
 		return context.WithCancel(ctx)
@@ -106,8 +106,8 @@
 // termination records that kingpin requested the end of the process, as after
 // --help.
 type termination struct {
-	asked bool
-	code  int
+	requested bool
+	code      int
 }
 
 func (a *App) parser(commands map[string]command) (*kingpin.Application, *termination) {
@@ -115,7 +115,7 @@
 	parser := kingpin.New("papayasail", "Serves model generations of unknown length on crowded engines: checks and applies service documents, calls services, shows the state of the entry hosts.")
 	parser.UsageWriter(a.Out).ErrorWriter(a.Err)
 	parser.Terminate(func(code int) {
-		stop.asked, stop.code = true, code
+		stop.requested, stop.code = true, code
 		parser.UsageWriter(io.Discard).ErrorWriter(io.Discard) // kingpin would continue to print
 	})
 	parser.HelpFlag.Short('h')
@@ -140,7 +140,7 @@
 	if err == nil {
 		return ExitOK
 	}
-	if errors.Is(err, errSilent) {
+	if errors.Is(err, errReported) {
 		return ExitFailed
 	}
 	fmt.Fprintf(a.Err, "papayasail: %s\n", strings.TrimSpace(err.Error()))
--- a/cli/bench.go
+++ b/cli/bench.go
@@ -72,7 +72,7 @@
 	if f.site == "" {
 		return &usageError{"give a --site, or --control"}
 	}
-	loads, err := numbers(f.loads, func(text string) (float64, error) { return strconv.ParseFloat(text, 64) })
+	loads, err := parseNumbers(f.loads, func(text string) (float64, error) { return strconv.ParseFloat(text, 64) })
 	if err != nil {
 		return err
 	}
@@ -86,11 +86,11 @@
 }
 
 func (a *App) benchControl(ctx context.Context, f *benchFlags) error {
-	hosts, err := numbers(f.hosts, strconv.Atoi)
+	hosts, err := parseNumbers(f.hosts, strconv.Atoi)
 	if err != nil {
 		return err
 	}
-	workers, err := numbers(f.workers, strconv.Atoi)
+	workers, err := parseNumbers(f.workers, strconv.Atoi)
 	if err != nil {
 		return err
 	}
@@ -123,8 +123,8 @@
 	return err
 }
 
-// numbers parses a comma-separated list of numbers.
-func numbers[T any](list string, parse func(string) (T, error)) ([]T, error) {
+// parseNumbers parses a comma-separated list of numbers.
+func parseNumbers[T any](list string, parse func(string) (T, error)) ([]T, error) {
 	var values []T
 	for _, text := range strings.FieldsFunc(list, func(c rune) bool { return c == ',' }) {
 		value, err := parse(strings.TrimSpace(text))
--- a/cli/calls.go
+++ b/cli/calls.go
@@ -37,7 +37,7 @@
 	commands["generate"] = func(ctx context.Context) error { return a.generate(ctx, *service, request) }
 }
 
-func (a *App) caller(domain string) (*caller.Client, error) {
+func (a *App) callerClient(domain string) (*caller.Client, error) {
 	seeds, err := a.seeds()
 	if err != nil {
 		return nil, err
@@ -54,7 +54,7 @@
 }
 
 func (a *App) addresses(ctx context.Context, domain string) error {
-	client, err := a.caller(domain)
+	client, err := a.callerClient(domain)
 	if err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 }
 
 func (a *App) call(ctx context.Context, service, method, path, data string) error {
-	client, err := a.caller("")
+	client, err := a.callerClient("")
 	if err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 
 // generate prints a stream. It returns nil only if the answer is complete.
 func (a *App) generate(ctx context.Context, service string, request caller.Request) error {
-	client, err := a.caller("")
+	client, err := a.callerClient("")
 	if err != nil {
 		return err
 	}
--- a/cli/documents.go
+++ b/cli/documents.go
@@ -45,9 +45,9 @@
 	commands[audit.FullCommand()] = a.audit
 
 	settle := parser.Command("settle", "Say whether a change with an unknown outcome was accepted.")
-	of := settle.Arg("service", "Name of the service.").Required().String()
+	settled := settle.Arg("service", "Name of the service.").Required().String()
 	change := settle.Arg("change-id", "Id of the change, as printed by apply.").Required().String()
-	commands["settle"] = func(ctx context.Context) error { return a.settle(ctx, *of, *change) }
+	commands["settle"] = func(ctx context.Context) error { return a.settle(ctx, *settled, *change) }
 }
 
 func (a *App) checkCommand(parser *kingpin.Application, commands map[string]command) {
@@ -65,7 +65,7 @@
 	references := contract.References{}
 	if settingsFile != "" {
 		s, err := settings.Load(settingsFile)
-		failed = a.report(settingsFile, err)
+		failed = a.printResult(settingsFile, err)
 		if err == nil {
 			references = contract.References{FailureDomains: s.FailureDomains(), Organisations: s.OrganisationNames()}
 		}
@@ -75,16 +75,16 @@
 		if err == nil {
 			_, err = contract.ParseDocumentFor(file, data, references)
 		}
-		failed = a.report(file, err) || failed
+		failed = a.printResult(file, err) || failed
 	}
 	if failed {
-		return errSilent
+		return errReported
 	}
 	return nil
 }
 
-// report prints the result for a file and reports whether it is a failure.
-func (a *App) report(file string, err error) bool {
+// printResult prints the result for a file and reports whether it is a failure.
+func (a *App) printResult(file string, err error) bool {
 	if err == nil {
 		fmt.Fprintf(a.Out, "%s: ok\n", file)
 		return false
@@ -113,7 +113,7 @@
 	change := apply.Flag("change-id", "Id of the change; repeats with the same id are one change.").String()
 	wait := apply.Flag("wait", "Wait until the change is in force everywhere.").Bool()
 	commands["apply"] = func(ctx context.Context) error {
-		return a.apply(ctx, *file, *expect, idOf(*change), *wait)
+		return a.apply(ctx, *file, *expect, changeIDOrNew(*change), *wait)
 	}
 }
 
@@ -124,37 +124,37 @@
 	}
 	document, err := contract.ParseDocument(file, data)
 	if err != nil {
-		a.report(file, err)
-		return errSilent
+		a.printResult(file, err)
+		return errReported
 	}
-	version, err := a.expected(ctx, document.Service, expect)
+	version, err := a.expectedVersion(ctx, document.Service, expect)
 	if err != nil {
 		return err
 	}
 	payload := operator.PutPayload{Service: document.Service, Document: string(data), ExpectVersion: version, ChangeID: change}
-	accepted, err := ask(ctx, a, func(client *operator.Client, token *string) (*operator.Accepted, error) {
+	accepted, err := firstAnswer(ctx, a, func(client *operator.Client, token *string) (*operator.Accepted, error) {
 		payload.Token = token
 		return client.Put(ctx, &payload)
 	})
 	if err != nil && !operatorclient.Answered(err) {
-		return lostAnswer(document.Service, change, err)
+		return unansweredError(document.Service, change, err)
 	}
 	if err != nil {
 		return err
 	}
-	if err := a.accepted("service "+document.Service, accepted); err != nil || !wait {
+	if err := a.printAccepted("service "+document.Service, accepted); err != nil || !wait {
 		return err
 	}
 	return a.wait(ctx, document.Service, accepted.Version)
 }
 
-// expected returns the expected version of a change: the given one, or the current
-// version if none was given.
-func (a *App) expected(ctx context.Context, service string, expect int64) (uint64, error) {
+// expectedVersion returns the expected version of a change: the given one, or the
+// current version if none was given.
+func (a *App) expectedVersion(ctx context.Context, service string, expect int64) (uint64, error) {
 	if expect > noVersion {
 		return uint64(expect), nil
 	}
-	current, err := a.current(ctx, service)
+	current, err := a.currentDocument(ctx, service)
 	if isNotFound(err) {
 		return 0, nil
 	}
@@ -164,21 +164,21 @@
 	return current.Version, nil
 }
 
-func (a *App) current(ctx context.Context, service string) (*operator.GetResult, error) {
-	return ask(ctx, a, func(client *operator.Client, token *string) (*operator.GetResult, error) {
+func (a *App) currentDocument(ctx context.Context, service string) (*operator.GetResult, error) {
+	return firstAnswer(ctx, a, func(client *operator.Client, token *string) (*operator.GetResult, error) {
 		return client.Get(ctx, &operator.GetPayload{Token: token, Service: service})
 	})
 }
 
-// lostAnswer returns the error for a change without an answer. The change may have
-// taken effect, so the error must not report it as failed.
-func lostAnswer(service, change string, err error) error {
+// unansweredError returns the error for a change without an answer. The change may
+// have taken effect, so the error must not report it as failed.
+func unansweredError(service, change string, err error) error {
 	return &unknownError{fmt.Sprintf("no answer, the change may have been accepted (%v)\nsettle it with: papayasail settle %s %s", err, service, change)}
 }
 
-// accepted prints the answer to a change, or returns it as an error if the change
+// printAccepted prints the answer to a change, or returns it as an error if the change
 // was not accepted.
-func (a *App) accepted(what string, answer *operator.Accepted) error {
+func (a *App) printAccepted(what string, answer *operator.Accepted) error {
 	switch answer.Outcome {
 	case outcomeAccepted:
 		fmt.Fprintf(a.Out, "accepted: %s, version %d, change %s\n", what, answer.Version, answer.ChangeID)
@@ -194,7 +194,7 @@
 }
 
 func (a *App) get(ctx context.Context, service string) error {
-	current, err := a.current(ctx, service)
+	current, err := a.currentDocument(ctx, service)
 	if err != nil {
 		return err
 	}
@@ -204,7 +204,7 @@
 }
 
 func (a *App) list(ctx context.Context) error {
-	services, err := ask(ctx, a, func(client *operator.Client, token *string) ([]*operator.ServiceInfo, error) {
+	services, err := firstAnswer(ctx, a, func(client *operator.Client, token *string) ([]*operator.ServiceInfo, error) {
 		return client.List(ctx, &operator.ListPayload{Token: token})
 	})
 	if err != nil {
@@ -215,7 +215,7 @@
 }
 
 func (a *App) history(ctx context.Context, service string) error {
-	changes, err := ask(ctx, a, func(client *operator.Client, token *string) ([]*operator.Change, error) {
+	changes, err := firstAnswer(ctx, a, func(client *operator.Client, token *string) ([]*operator.Change, error) {
 		return client.History(ctx, &operator.HistoryPayload{Token: token, Service: service})
 	})
 	if err != nil {
@@ -226,7 +226,7 @@
 }
 
 func (a *App) audit(ctx context.Context) error {
-	changes, err := ask(ctx, a, func(client *operator.Client, token *string) ([]*operator.Change, error) {
+	changes, err := firstAnswer(ctx, a, func(client *operator.Client, token *string) ([]*operator.Change, error) {
 		return client.Audit(ctx, &operator.AuditPayload{Token: token})
 	})
 	if err != nil {
@@ -237,13 +237,13 @@
 }
 
 func (a *App) settle(ctx context.Context, service, change string) error {
-	answer, err := ask(ctx, a, func(client *operator.Client, token *string) (*operator.Accepted, error) {
+	answer, err := firstAnswer(ctx, a, func(client *operator.Client, token *string) (*operator.Accepted, error) {
 		return client.Settle(ctx, &operator.SettlePayload{Token: token, Service: service, ChangeID: change})
 	})
 	if err != nil {
 		return err
 	}
-	return a.accepted("service "+service, answer)
+	return a.printAccepted("service "+service, answer)
 }
 
 func (a *App) printChanges(changes []*operator.Change) {
@@ -251,7 +251,7 @@
 	defer table.Flush()
 	fmt.Fprintln(table, "WHEN\tWHO\tWHAT\tNAME\tFROM\tTO\tCHANGE\tDETAIL")
 	for _, c := range changes {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\n", c.When, c.Who, c.What, c.Name, c.FromVersion, c.ToVersion, c.ChangeID, text(c.Detail))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\n", c.When, c.Who, c.What, c.Name, c.FromVersion, c.ToVersion, c.ChangeID, orEmpty(c.Detail))
 	}
 }
 
@@ -273,7 +273,7 @@
 	return findings.Finding{File: f.File, Line: f.Line, Column: f.Column, Message: f.Message}
 }
 
-func text(s *string) string {
+func orEmpty(s *string) string {
 	if s == nil {
 		return ""
 	}
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -50,13 +50,13 @@
 	table := tabwriter.NewWriter(a.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "lost\tcause\troute\tprompt tokens\tavoidable\tby second")
 	for _, loss := range report.Losses {
-		fmt.Fprintf(table, "%d\t%s\t%s\t%d\t%t\t%s\n", loss.Requests, loss.Cause, loss.Route, loss.Tokens, loss.Avoidable(), seconds(loss.BySecond))
+		fmt.Fprintf(table, "%d\t%s\t%s\t%d\t%t\t%s\n", loss.Requests, loss.Cause, loss.Route, loss.Tokens, loss.Avoidable(), formatSeconds(loss.BySecond))
 	}
 	return errors.Wrap(table.Flush(), "output")
 }
 
-// seconds renders counts as second:count, separated by spaces.
-func seconds(counts map[int]int) string {
+// formatSeconds renders counts as second:count, separated by spaces.
+func formatSeconds(counts map[int]int) string {
 	var parts []string
 	for _, second := range slices.Sorted(maps.Keys(counts)) {
 		parts = append(parts, fmt.Sprintf("%d:%d", second, counts[second]))
--- a/cli/operator.go
+++ b/cli/operator.go
@@ -54,8 +54,8 @@
 	return hosts, nil
 }
 
-// operators returns a client for each given entry host.
-func (a *App) operators() ([]*operator.Client, error) {
+// operatorClients returns a client for each given entry host.
+func (a *App) operatorClients() ([]*operator.Client, error) {
 	hosts, err := a.seeds()
 	if err != nil {
 		return nil, err
@@ -71,15 +71,15 @@
 	return clients, nil
 }
 
-// ask sends a request to the entry hosts in order until one answers. This is safe
-// for changes too, since they are idempotent by their change id.
-func ask[T any](ctx context.Context, a *App, request func(*operator.Client, *string) (T, error)) (T, error) {
+// firstAnswer sends a request to the entry hosts in order until one answers. This is
+// safe for changes too, since they are idempotent by their change id.
+func firstAnswer[T any](ctx context.Context, a *App, request func(*operator.Client, *string) (T, error)) (T, error) {
 	var answer T
 	token, err := a.bearer()
 	if err != nil {
 		return answer, err
 	}
-	clients, err := a.operators()
+	clients, err := a.operatorClients()
 	if err != nil {
 		return answer, err
 	}
@@ -89,11 +89,11 @@
 			break
 		}
 	}
-	return answer, readable(err)
+	return answer, readableError(err)
 }
 
-// readable wraps a problem document in an error with readable text.
-func readable(err error) error {
+// readableError wraps a problem document in an error with readable text.
+func readableError(err error) error {
 	var problem *operator.Problem
 	if !errors.As(err, &problem) {
 		return err
--- a/cli/organisations.go
+++ b/cli/organisations.go
@@ -31,25 +31,25 @@
 	put.Arg("name", "Name of the organisation.").Required().StringVar(&added.name)
 	put.Flag("token-sha256", "Hash of a token, as printed by hash-token; may be given several times, as during a token rotation.").Required().StringsVar(&added.tokens)
 	put.Flag("service", "Service that the organisation may use; may be given several times; default: all.").StringsVar(&added.services)
-	added.flags(put)
+	added.addFlags(put)
 	commands[put.FullCommand()] = func(ctx context.Context) error { return a.putOrganisation(ctx, added) }
 
 	removed := &organisationChange{}
 	remove := group.Command("remove", "Remove an organisation: its tokens are refused everywhere.")
 	remove.Arg("name", "Name of the organisation.").Required().StringVar(&removed.name)
-	removed.flags(remove)
+	removed.addFlags(remove)
 	commands[remove.FullCommand()] = func(ctx context.Context) error { return a.removeOrganisation(ctx, removed) }
 
 	list := group.Command("list", "List the organisations in force, without those in settings files.")
 	commands[list.FullCommand()] = a.listOrganisations
 
 	settle := group.Command("settle", "Say whether a change with an unknown outcome was accepted.")
-	of := settle.Arg("name", "Name of the organisation.").Required().String()
+	settled := settle.Arg("name", "Name of the organisation.").Required().String()
 	change := settle.Arg("change-id", "Id of the change, as printed by put or remove.").Required().String()
-	commands[settle.FullCommand()] = func(ctx context.Context) error { return a.settleOrganisation(ctx, *of, *change) }
+	commands[settle.FullCommand()] = func(ctx context.Context) error { return a.settleOrganisation(ctx, *settled, *change) }
 }
 
-func (c *organisationChange) flags(command *kingpin.CmdClause) {
+func (c *organisationChange) addFlags(command *kingpin.CmdClause) {
 	command.Flag("expect-version", "Change only if this is the current version, 0 for a new organisation; default: the version that is current now.").Default("-1").Int64Var(&c.expect)
 	command.Flag("change-id", "Id of the change; repeats with the same id are one change.").StringVar(&c.change)
 }
@@ -57,7 +57,7 @@
 // resolve generates a change id if none was given, and returns the expected
 // version: the given one, or the current one if none was given.
 func (c *organisationChange) resolve(ctx context.Context, a *App) (expect uint64, err error) {
-	c.change = idOf(c.change)
+	c.change = changeIDOrNew(c.change)
 	if c.expect > noVersion {
 		return uint64(c.expect), nil
 	}
@@ -69,7 +69,7 @@
 }
 
 func (a *App) organisations(ctx context.Context, payload operator.ListOrganisationsPayload) ([]*operator.OrganisationInfo, error) {
-	return ask(ctx, a, func(client *operator.Client, token *string) ([]*operator.OrganisationInfo, error) {
+	return firstAnswer(ctx, a, func(client *operator.Client, token *string) ([]*operator.OrganisationInfo, error) {
 		payload.Token = token
 		return client.ListOrganisations(ctx, &payload)
 	})
@@ -100,24 +100,24 @@
 }
 
 func (a *App) changeOrganisation(ctx context.Context, c *organisationChange, request func(*operator.Client, *string) (*operator.Accepted, error)) error {
-	answer, err := ask(ctx, a, request)
+	answer, err := firstAnswer(ctx, a, request)
 	if err != nil && !operatorclient.Answered(err) {
 		return &unknownError{fmt.Sprintf("no answer, the change may have been accepted (%v)\nsettle it with: papayasail organisation settle %s %s", err, c.name, c.change)}
 	}
 	if err != nil {
 		return err
 	}
-	return a.accepted("organisation "+c.name, answer)
+	return a.printAccepted("organisation "+c.name, answer)
 }
 
 func (a *App) settleOrganisation(ctx context.Context, name, change string) error {
-	answer, err := ask(ctx, a, func(client *operator.Client, token *string) (*operator.Accepted, error) {
+	answer, err := firstAnswer(ctx, a, func(client *operator.Client, token *string) (*operator.Accepted, error) {
 		return client.SettleOrganisation(ctx, &operator.SettleOrganisationPayload{Token: token, Name: name, ChangeID: change})
 	})
 	if err != nil {
 		return err
 	}
-	return a.accepted("organisation "+name, answer)
+	return a.printAccepted("organisation "+name, answer)
 }
 
 func (a *App) listOrganisations(ctx context.Context) error {
@@ -134,7 +134,7 @@
 			if services == "" {
 				services = "all"
 			}
-			fmt.Fprintf(table, "%s\t%d\t%s\t%s\n", o.Name, o.Version, shortened(o.TokenSha256), services)
+			fmt.Fprintf(table, "%s\t%d\t%s\t%s\n", o.Name, o.Version, hashPrefixes(o.TokenSha256), services)
 		}
 		if len(page) < organisationPage {
 			return nil
@@ -143,8 +143,8 @@
 	}
 }
 
-// shortened renders a prefix of each hash, long enough for comparison.
-func shortened(hashes []string) string {
+// hashPrefixes renders a prefix of each hash, long enough for comparison.
+func hashPrefixes(hashes []string) string {
 	const shown = 8
 	short := make([]string, len(hashes))
 	for i, hash := range hashes {
--- a/cli/site_test.go
+++ b/cli/site_test.go
@@ -28,8 +28,8 @@
 	return terminal{t, site}
 }
 
-// as runs a command with a token and returns the exit code and all output.
-func (c terminal) as(token string, arguments ...string) (int, string) {
+// runAs runs a command with a token and returns the exit code and all output.
+func (c terminal) runAs(token string, arguments ...string) (int, string) {
 	arguments = append([]string{"--host", c.site.Hosts[0].CallerAddress, "--token", token}, arguments...)
 	code, out, errs := run("", arguments...)
 	return code, out + errs
@@ -38,7 +38,7 @@
 // ok runs a command that must succeed and returns its output.
 func (c terminal) ok(token string, arguments ...string) string {
 	c.t.Helper()
-	code, out := c.as(token, arguments...)
+	code, out := c.runAs(token, arguments...)
 	if code != ExitOK {
 		c.t.Fatalf("%v: exit code %d\n%s", arguments, code, out)
 	}
@@ -70,7 +70,7 @@
 	accepted := c.ok(demo.OperatorToken, "apply", "--change-id", "c2", filepath.Join(c.write(0.02), "outlook"))
 	is.True(strings.Contains(accepted, "change c2"))
 	is.True(strings.Contains(c.ok(demo.OperatorToken, "settle", "outlook", "c2"), "accepted: service outlook"))
-	code, out := c.as(demo.OperatorToken, "apply", "--expect-version", "1", filepath.Join(files, "outlook"))
+	code, out := c.runAs(demo.OperatorToken, "apply", "--expect-version", "1", filepath.Join(files, "outlook"))
 	is.Equal(code, ExitFailed)
 	is.True(strings.Contains(out, "c2")) // the output names the change that won
 	is.True(strings.Contains(c.ok(demo.OperatorToken, "history", "outlook"), "c2"))
@@ -96,14 +96,14 @@
 	c.ok(demo.OperatorToken, "apply", "--wait", filepath.Join(files, "gauges"))
 
 	for _, command := range []string{"status", "list", "audit", "history gauges", "get gauges", "apply " + filepath.Join(files, "gauges")} {
-		code, out := c.as(demo.CallerToken, strings.Fields(command)...)
+		code, out := c.runAs(demo.CallerToken, strings.Fields(command)...)
 		is.Equal(code, ExitFailed)
 		is.True(strings.Contains(out, "the token is not accepted"))
 	}
-	code, out := c.as(demo.CallerToken, "call", "none", "GET", "/")
+	code, out := c.runAs(demo.CallerToken, "call", "none", "GET", "/")
 	is.Equal(code, ExitFailed)
 	is.True(strings.Contains(out, "unknown_service"))
-	code, out = c.as(demo.OperatorToken, "get", "none")
+	code, out = c.runAs(demo.OperatorToken, "get", "none")
 	is.Equal(code, ExitFailed)
 	is.True(strings.Contains(out, "not_found"))
 	code, _, _ = run("", "--host", "127.0.0.1:1", "--token", "t", "status")
@@ -133,17 +133,17 @@
 	c.ok(demo.OperatorToken, "organisation", "put", "seyhan", "--token-sha256", hash("second"), "--service", "gauges")
 	listed := c.ok(demo.OperatorToken, "organisation", "list")
 	is.True(strings.Contains(listed, "seyhan") && strings.Contains(listed, hash("second")[:8]) && strings.Contains(listed, "gauges"))
-	code, _ := c.as("first", "addresses")
+	code, _ := c.runAs("first", "addresses")
 	is.Equal(code, ExitFailed)
 	is.True(strings.Contains(c.ok(demo.OperatorToken, "organisation", "settle", "seyhan", "c1"), "accepted"))
 	is.True(strings.Contains(c.ok(demo.OperatorToken, "audit"), "organisation"))
 
-	code, out := c.as(demo.OperatorToken, "organisation", "remove", "seyhan", "--expect-version", "1")
+	code, out := c.runAs(demo.OperatorToken, "organisation", "remove", "seyhan", "--expect-version", "1")
 	is.Equal(code, ExitFailed)
 	is.True(strings.Contains(out, "conflict"))
 	c.ok(demo.OperatorToken, "organisation", "remove", "seyhan")
 	is.True(!strings.Contains(c.ok(demo.OperatorToken, "organisation", "list"), "seyhan"))
-	code, out = c.as(demo.OperatorToken, "organisation", "remove", "seyhan")
+	code, out = c.runAs(demo.OperatorToken, "organisation", "remove", "seyhan")
 	is.Equal(code, ExitFailed)
 	is.True(strings.Contains(out, "not_found"))
 
--- a/cli/soak.go
+++ b/cli/soak.go
@@ -47,19 +47,19 @@
 	}
 	failed := false
 	for seed := c.seed; seed < c.seed+c.seeds && ctx.Err() == nil; seed++ {
-		found, err := c.one(ctx, seed)
+		found, err := c.runSeed(ctx, seed)
 		if err != nil {
 			return err
 		}
 		failed = failed || found
 	}
 	if failed {
-		return errSilent
+		return errReported
 	}
 	return nil
 }
 
-func (c *soakCommand) one(ctx context.Context, seed uint64) (found bool, err error) {
+func (c *soakCommand) runSeed(ctx context.Context, seed uint64) (found bool, err error) {
 	directory := filepath.Join(c.logs, fmt.Sprint("seed-", seed))
 	if err := os.MkdirAll(directory, 0o700); err != nil {
 		return false, err
--- a/cli/state.go
+++ b/cli/state.go
@@ -29,31 +29,33 @@
 	address := drain.Arg("address", "IP:port of the backend server.").Required().String()
 	end := drain.Flag("end", "End the drain instead.").Bool()
 	change := drain.Flag("change-id", "Id of the change; repeats with the same id are one change.").String()
-	commands["drain"] = func(ctx context.Context) error { return a.drain(ctx, *address, *end, idOf(*change)) }
+	commands["drain"] = func(ctx context.Context) error { return a.drain(ctx, *address, *end, changeIDOrNew(*change)) }
 
 	evacuate := parser.Command("evacuate", "Keep new work from all backend servers of a failure domain.")
 	domain := evacuate.Arg("failure-domain", "Name of the failure domain, as in the service documents.").Required().String()
 	endEvacuation := evacuate.Flag("end", "End the evacuation instead.").Bool()
 	evacuation := evacuate.Flag("change-id", "Id of the change; repeats with the same id are one change.").String()
-	commands["evacuate"] = func(ctx context.Context) error { return a.evacuate(ctx, *domain, *endEvacuation, idOf(*evacuation)) }
+	commands["evacuate"] = func(ctx context.Context) error {
+		return a.evacuate(ctx, *domain, *endEvacuation, changeIDOrNew(*evacuation))
+	}
 }
 
-// idOf returns the given id of a change, or a new id if none was given.
-func idOf(given string) string {
+// changeIDOrNew returns the given id of a change, or a new id if none was given.
+func changeIDOrNew(given string) string {
 	if given == "" {
 		return uuid.NewString()
 	}
 	return given
 }
 
-func (a *App) askStatus(ctx context.Context) (*operator.HostStatus, error) {
-	return ask(ctx, a, func(client *operator.Client, token *string) (*operator.HostStatus, error) {
+func (a *App) fetchStatus(ctx context.Context) (*operator.HostStatus, error) {
+	return firstAnswer(ctx, a, func(client *operator.Client, token *string) (*operator.HostStatus, error) {
 		return client.Status(ctx, &operator.StatusPayload{Token: token})
 	})
 }
 
 func (a *App) status(ctx context.Context) error {
-	status, err := a.askStatus(ctx)
+	status, err := a.fetchStatus(ctx)
 	if err != nil {
 		return err
 	}
@@ -76,7 +78,7 @@
 	fmt.Fprintln(table, "BACKEND SERVER\tSERVICE\tADDRESS\tFAILURE DOMAIN\tSTATE\tRUNNING\tTOKENS HELD\tCAPACITY")
 	for _, s := range servers {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", s.Name, s.Service, s.Address, s.FailureDomain, s.State,
-			number(s.Running), number(s.TokensHeld), number(s.TokenCapacity))
+			formatOptional(s.Running), formatOptional(s.TokensHeld), formatOptional(s.TokenCapacity))
 	}
 }
 
@@ -85,11 +87,11 @@
 	defer table.Flush()
 	fmt.Fprintln(table, "ENTRY HOST\tFAILURE DOMAIN\tSTATE\tVERSION\tADDRESS")
 	for _, m := range members {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\n", m.Host, m.FailureDomain, m.State, m.ConfigurationVersion, text(m.CallerAddress))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\n", m.Host, m.FailureDomain, m.State, m.ConfigurationVersion, orEmpty(m.CallerAddress))
 	}
 }
 
-func number(n *int) string {
+func formatOptional(n *int) string {
 	if n == nil {
 		return "-"
 	}
@@ -97,27 +99,27 @@
 }
 
 func (a *App) drain(ctx context.Context, address string, end bool, change string) error {
-	answer, err := ask(ctx, a, func(client *operator.Client, token *string) (*operator.Accepted, error) {
+	answer, err := firstAnswer(ctx, a, func(client *operator.Client, token *string) (*operator.Accepted, error) {
 		return client.Drain(ctx, &operator.DrainPayload{Token: token, Address: address, End: end, ChangeID: change})
 	})
-	return a.acceptedOr("drain", address, "backend server", change, answer, err)
+	return a.printAcceptedOrRepeat("drain", address, "backend server", change, answer, err)
 }
 
 func (a *App) evacuate(ctx context.Context, domain string, end bool, change string) error {
-	answer, err := ask(ctx, a, func(client *operator.Client, token *string) (*operator.Accepted, error) {
+	answer, err := firstAnswer(ctx, a, func(client *operator.Client, token *string) (*operator.Accepted, error) {
 		return client.Evacuate(ctx, &operator.EvacuatePayload{Token: token, FailureDomain: domain, End: end, ChangeID: change})
 	})
-	return a.acceptedOr("evacuate", domain, "failure domain", change, answer, err)
+	return a.printAcceptedOrRepeat("evacuate", domain, "failure domain", change, answer, err)
 }
 
-// acceptedOr prints the answer to the change that a command made. Without an answer
-// it returns an error with the command that repeats the same change.
-func (a *App) acceptedOr(command, name, what, change string, answer *operator.Accepted, err error) error {
+// printAcceptedOrRepeat prints the answer to the change that a command made. Without
+// an answer it returns an error with the command that repeats the same change.
+func (a *App) printAcceptedOrRepeat(command, name, what, change string, answer *operator.Accepted, err error) error {
 	if err != nil && !operatorclient.Answered(err) {
 		return &unknownError{fmt.Sprintf("no answer, the change may have been accepted (%v)\nrepeat it with: papayasail %s %s --change-id %s", err, command, name, change)}
 	}
 	if err != nil {
 		return err
 	}
-	return a.accepted(what+" "+name, answer)
+	return a.printAccepted(what+" "+name, answer)
 }
--- a/cli/wait.go
+++ b/cli/wait.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	waitPoll   = 200 * time.Millisecond // interval between polls of the entry hosts
-	waitAtOnce = 16                     // maximum number of concurrent requests
-	memberGone = "gone"                 // state of entry hosts that are not waited for
+	waitPoll     = 200 * time.Millisecond // interval between polls of the entry hosts
+	waitParallel = 16                     // maximum number of concurrent requests
+	memberGone   = "gone"                 // state of entry hosts that are not waited for
 )
 
 // waiter waits until a version of a service is in force everywhere.
@@ -26,11 +26,11 @@
 // of the newest object of any kind, so a host may advertise a newer version because
 // of another service and still lack this one.
 type waiter struct {
-	app     *App
-	service string
-	version uint64
-	done    map[string]bool // incarnations of entry hosts with the version in force
-	last    []string        // entry hosts without the version at the last poll
+	app      *App
+	service  string
+	version  uint64
+	upToDate map[string]bool // incarnations of entry hosts with the version in force
+	lagging  []string        // entry hosts without the version at the last poll
 }
 
 // waitService waits for a version of a service; zero: the current version.
@@ -38,7 +38,7 @@
 	if version != 0 {
 		return a.wait(ctx, service, version)
 	}
-	current, err := a.current(ctx, service)
+	current, err := a.currentDocument(ctx, service)
 	if err != nil {
 		return err
 	}
@@ -48,14 +48,14 @@
 // wait returns when every entry host that is not gone has the version of the
 // service, or a newer one, in force, or when ctx ends.
 func (a *App) wait(ctx context.Context, service string, version uint64) error {
-	w := &waiter{app: a, service: service, version: version, done: map[string]bool{}}
+	w := &waiter{app: a, service: service, version: version, upToDate: map[string]bool{}}
 	for {
-		behind, err := w.behind(ctx)
+		lagging, err := w.pollLagging(ctx)
 		if err == nil {
-			w.last = behind
+			w.lagging = lagging
 		}
-		if err == nil && len(behind) == 0 {
-			fmt.Fprintf(a.Out, "version %d of %s is in force everywhere, on %d entry hosts\n", version, service, len(w.done))
+		if err == nil && len(lagging) == 0 {
+			fmt.Fprintf(a.Out, "version %d of %s is in force everywhere, on %d entry hosts\n", version, service, len(w.upToDate))
 			return nil
 		}
 		if errors.Is(err, operatorclient.ErrUnauthorized) {
@@ -63,29 +63,29 @@
 		}
 		select {
 		case <-ctx.Done():
-			return w.ended(err)
+			return w.timeoutError(err)
 		case <-time.After(waitPoll):
 		}
 	}
 }
 
-func (w *waiter) ended(err error) error {
-	if len(w.last) == 0 {
+func (w *waiter) timeoutError(err error) error {
+	if len(w.lagging) == 0 {
 		return errors.Wrapf(err, "version %d: no entry host says what is in force", w.version)
 	}
-	return errors.Newf("version %d of %s is not in force yet, or nobody answers, on: %s", w.version, w.service, strings.Join(w.last, ", "))
+	return errors.Newf("version %d of %s is not in force yet, or nobody answers, on: %s", w.version, w.service, strings.Join(w.lagging, ", "))
 }
 
-// behind polls the entry hosts and returns those not known to have the version.
-func (w *waiter) behind(ctx context.Context) ([]string, error) {
-	status, err := w.app.askStatus(ctx)
+// pollLagging polls the entry hosts and returns those not known to have the version.
+func (w *waiter) pollLagging(ctx context.Context) ([]string, error) {
+	status, err := w.app.fetchStatus(ctx)
 	if err != nil {
 		return nil, err
 	}
-	waiting := slices.DeleteFunc(status.Members, func(m *operator.MemberStatus) bool { return m.State == memberGone || w.done[life(m)] })
+	waiting := slices.DeleteFunc(status.Members, func(m *operator.MemberStatus) bool { return m.State == memberGone || w.upToDate[incarnationKey(m)] })
 	has := make([]bool, len(waiting))
 	var group errgroup.Group
-	group.SetLimit(waitAtOnce)
+	group.SetLimit(waitParallel)
 	for i, member := range waiting {
 		group.Go(func() error {
 			has[i] = w.inForce(ctx, member)
@@ -93,18 +93,20 @@
 		})
 	}
 	_ = group.Wait() // the functions return no errors
-	var behind []string
+	var lagging []string
 	for i, member := range waiting {
 		if has[i] {
-			w.done[life(member)] = true
+			w.upToDate[incarnationKey(member)] = true
 		} else {
-			behind = append(behind, member.Host)
+			lagging = append(lagging, member.Host)
 		}
 	}
-	return behind, nil
+	return lagging, nil
 }
 
-func life(m *operator.MemberStatus) string { return fmt.Sprintf("%s/%d", m.Host, m.Incarnation) }
+func incarnationKey(m *operator.MemberStatus) string {
+	return fmt.Sprintf("%s/%d", m.Host, m.Incarnation)
+}
 
 // inForce queries an entry host and reports whether it has the version in force,
 // or a newer one. Without an answer it returns false.
--- a/cli/wait_test.go
+++ b/cli/wait_test.go
@@ -16,13 +16,13 @@
 	"github.com/papayasail/papayasail/fake/network"
 )
 
-// scripted is a stand-in entry host; the test sets the version in force.
-type scripted struct {
+// stubHost is a stand-in entry host; the test sets the version in force.
+type stubHost struct {
 	ip      string
 	version atomic.Uint64 // of the service gauges
 }
 
-func (s *scripted) serve(t *testing.T, fabric *network.Fabric, members string) {
+func (s *stubHost) serve(t *testing.T, fabric *network.Fabric, members string) {
 	listener, err := fabric.Host(s.ip).Listen(s.ip + ":80")
 	is.New(t).NoErr(err)
 	mux := http.NewServeMux()
@@ -50,7 +50,7 @@
 		is := is.New(t)
 		fabric := network.New(network.Options{})
 		members := strings.Join([]string{memberJSON("a", "10.0.0.1", "alive"), memberJSON("b", "10.0.0.2", "suspect"), memberJSON("c", "10.0.0.3", "gone")}, ",")
-		a, b := &scripted{ip: "10.0.0.1"}, &scripted{ip: "10.0.0.2"}
+		a, b := &stubHost{ip: "10.0.0.1"}, &stubHost{ip: "10.0.0.2"}
 		a.serve(t, fabric, members)
 		b.serve(t, fabric, members)
 		a.version.Store(7)
