--- a/order/calls_test.go
+++ b/order/calls_test.go
@@ -15,7 +15,7 @@
 const watchersInFleet = 20
 
 // Guards against a stampede of store calls that overloads the store after an outage.
-// All hosts contend for the lease, which is the worst case. -v prints the call rates.
+// All hosts contend for the lease (worst case); -v prints the call rates in virtual time.
 func TestCallsOfAFleet(t *testing.T) {
 	for _, hosts := range []int{7, 25, 50, 100, 390} {
 		synctest.Test(t, func(t *testing.T) {
--- a/order/dispatcher.go
+++ b/order/dispatcher.go
@@ -75,7 +75,7 @@
 }
 
 // Dispatch sends one order and returns the engine's state after it. It blocks for
-// MaxExecutionTime plus the time of the store operations at most. Errors:
+// at most MaxExecutionTime plus the time of the store operations. Errors:
 // ErrLinkNotAllowed, ErrNotHolder, *WaitError, ErrOldFence, ErrRefused,
 // ErrNotSeen, the errors of store.Store, and *backend.CallError if the order
 // was not sent.
@@ -171,11 +171,11 @@
 //
 // Guards against a holder that pauses between its last check and the order:
 // another host takes over, and the order arrives after the new holder's. The
-// lease is checked immediately before the call, and the deadline of the call is
-// the end of the lease, so only the time of the order on the network remains.
-// An engine that honours the fencing number refuses such an order. For an engine
-// that ignores it, the next holder waits for MaxExecutionTime before its first order and
-// reads the state again later.
+// lease is checked immediately before the call, and the call ends with the lease
+// at the latest, so only an order in transit can still arrive late. An engine
+// that honours the fencing number refuses such an order. For an engine that
+// ignores it, the next holder waits for MaxExecutionTime before its first order
+// and reads the state again later.
 func (d *Dispatcher) send(ctx context.Context, held *lease.Lease, order Order, request backend.OrderRequest) (backend.EngineState, string, error) {
 	begun := time.Now()
 	remaining := held.Remaining()
--- a/order/duty.go
+++ b/order/duty.go
@@ -125,8 +125,9 @@
 }
 
 // release releases the lease, so that the next holder can start immediately.
-// If an order of this holder may still take effect, the lease is left to
-// expire instead, so that the next holder waits until that order cannot.
+// If an order of this holder may still take effect, the lease is left to expire
+// instead, so that the next holder waits until that order can no longer take
+// effect.
 func (d *Duty) release(held *lease.Lease) {
 	if d.Dispatcher.Unsettled() {
 		return
@@ -155,8 +156,8 @@
 	}
 }
 
-// placeModels plans and sends orders until ctx ends, the host no longer contends or
-// it yields the lease. It never returns nil.
+// placeModels plans and sends orders until ctx ends, the host no longer contends
+// or it yields the lease. It never returns nil.
 func (d *Duty) placeModels(ctx context.Context, held *lease.Lease) error {
 	if err := sleep.For(ctx, held.Quiet()); err != nil {
 		return err
--- a/order/fuzz_test.go
+++ b/order/fuzz_test.go
@@ -21,7 +21,7 @@
 // step is one action of a fuzzed script.
 type step struct {
 	action string
-	n      int // which host, engine or service, modulo their number
+	n      int // index of a host, engine or service, modulo their number
 	d      time.Duration
 }
 
--- a/order/load_limiter.go
+++ b/order/load_limiter.go
@@ -57,7 +57,7 @@
 	return l.wait()
 }
 
-// wait is Wait after refill. The caller holds mu.
+// wait implements Wait for a refilled bucket. The caller holds mu.
 func (l *LoadLimiter) wait() time.Duration {
 	perLoad := float64(time.Minute) / l.perMinute
 	return max(0, time.Duration((1-l.tokens)*perLoad))
--- a/order/order.go
+++ b/order/order.go
@@ -57,7 +57,7 @@
 	// host's failure domain to the server.
 	ErrLinkNotAllowed = errors.New("order: link not allowed by the document")
 	// ErrNotHolder means that the lease expires too soon to send an order, or
-	// that another host has recorded an intent since this one read the record.
+	// that another host has taken over and recorded an intent.
 	ErrNotHolder = errors.New("order: lease not held")
 	// ErrOldFence means that the engine has accepted a higher fencing number.
 	ErrOldFence = errors.New("order: engine refused the fencing number")
--- a/order/placement.go
+++ b/order/placement.go
@@ -67,8 +67,7 @@
 	return false
 }
 
-// Forget drops all known states. It is called when the host has lost or released
-// the lease.
+// Forget drops all known states, when the host's lease has ended.
 func (p *Placement) Forget() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
