--- a/cli/explain.go
+++ b/cli/explain.go
@@ -15,9 +15,9 @@
 	"github.com/papayasail/papayasail/explain"
 )
 
-// addExplain adds the command that says where requests were lost.
+// addExplain adds the command that reports lost requests.
 func (a *App) addExplain(parser *kingpin.Application, commands map[string]command) {
-	clause := parser.Command("explain", "Read entry hosts' logs and say where requests were lost: how many, of which route, when and why.")
+	clause := parser.Command("explain", "Read the logs of entry hosts and report lost requests by route, time and cause.")
 	files := clause.Arg("log", "Log of one host, or of several with the host's name before each line.").Required().Strings()
 	commands[clause.FullCommand()] = func(context.Context) error { return a.explain(*files) }
 }
@@ -46,17 +46,17 @@
 }
 
 func (a *App) printLosses(report *explain.Report) error {
-	fmt.Fprintf(a.Out, "served in time: %d, %.3f of all; with better decisions at most %.3f\n", report.Served, report.ServedShare(), report.Ceiling())
+	fmt.Fprintf(a.Out, "served in time: %d, %.3f of all; with better decisions at most %.3f\n", report.Served, report.ServedShare(), report.MaxServedShare())
 	table := tabwriter.NewWriter(a.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "lost\tcause\troute\tprompt tokens\tavoidable\tby second")
 	for _, loss := range report.Losses {
-		fmt.Fprintf(table, "%d\t%s\t%s\t%d\t%t\t%s\n", loss.Requests, loss.Cause, loss.Route, loss.Tokens, loss.Avoidable(), seconds(loss.BySecond))
+		fmt.Fprintf(table, "%d\t%s\t%s\t%d\t%t\t%s\n", loss.Requests, loss.Cause, loss.Route, loss.Tokens, loss.Avoidable(), formatSeconds(loss.BySecond))
 	}
 	return errors.Wrap(table.Flush(), "output")
 }
 
-// seconds writes counts as second:count.
-func seconds(counts map[int]int) string {
+// formatSeconds renders counts as second:count, separated by spaces.
+func formatSeconds(counts map[int]int) string {
 	var parts []string
 	for _, second := range slices.Sorted(maps.Keys(counts)) {
 		parts = append(parts, fmt.Sprintf("%d:%d", second, counts[second]))
--- a/cli/wait_test.go
+++ b/cli/wait_test.go
@@ -16,13 +16,13 @@
 	"github.com/papayasail/papayasail/fake/network"
 )
 
-// scripted is an entry host of which the test says what is in force.
-type scripted struct {
+// stubHost is a stand-in entry host; the test sets the version in force.
+type stubHost struct {
 	ip      string
 	version atomic.Uint64 // of the service gauges
 }
 
-func (s *scripted) serve(t *testing.T, fabric *network.Fabric, members string) {
+func (s *stubHost) serve(t *testing.T, fabric *network.Fabric, members string) {
 	listener, err := fabric.Host(s.ip).Listen(s.ip + ":80")
 	is.New(t).NoErr(err)
 	mux := http.NewServeMux()
@@ -43,15 +43,14 @@
 	return fmt.Sprintf(`{"host":%q,"incarnation":1,"failure_domain":"d","state":%q,"configuration_version":9,"caller_address":"http://%s:80"}`, name, state, ip)
 }
 
-// An owner applies version 7 and waits. Entry host b has heard of a newer
-// object of another service already, but not of this one; c is gone. "In force
-// everywhere" must not be said before b has it, and c must not hold it up.
+// Guards against a wait that ends early, as host b advertises a newer object of
+// another service but lacks this one, and against a wait for host c, which is gone.
 func TestWaitAsksEachEntryHostForTheService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		fabric := network.New(network.Options{})
 		members := strings.Join([]string{memberJSON("a", "10.0.0.1", "alive"), memberJSON("b", "10.0.0.2", "suspect"), memberJSON("c", "10.0.0.3", "gone")}, ",")
-		a, b := &scripted{ip: "10.0.0.1"}, &scripted{ip: "10.0.0.2"}
+		a, b := &stubHost{ip: "10.0.0.1"}, &stubHost{ip: "10.0.0.2"}
 		a.serve(t, fabric, members)
 		b.serve(t, fabric, members)
 		a.version.Store(7)
--- a/order/giver_test.go
+++ b/order/dispatcher_test.go
@@ -14,8 +14,8 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// setUp returns a giver with a fresh lease, and a load for engine w1.
-func setUp(t *testing.T) (*Giver, *lease.Lease, Order, *fleet) {
+// setUp returns a dispatcher, a new lease, a load order for engine w1 and the engines.
+func setUp(t *testing.T) (*Dispatcher, *lease.Lease, Order, *engineSet) {
 	w := newWorld()
 	w.addEngine("w1", false)
 	memory := store.NewMemory()
@@ -24,56 +24,56 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	giver := &Giver{Host: "a", FailureDomain: "north", Store: memory, Lessor: lessor, Engine: gatedEngine{fleet: w.fleet, host: "a", gate: &gate{}}}
+	dispatcher := &Dispatcher{Host: "a", FailureDomain: "north", Store: memory, Lessor: lessor, Engine: gatedEngine{engineSet: w.engineSet, host: "a", gate: &gate{}}}
 	document := fuzzDocument("letters", "m", 1, 1)
-	return giver, held, Order{Document: &document, Server: document.BackendServers[0], Kind: backend.OrderLoad, Model: "m@1"}, w.fleet
+	return dispatcher, held, Order{Document: &document, Server: document.BackendServers[0], Kind: backend.OrderLoad, Model: "m@1"}, w.engineSet
 }
 
 func TestGiveKeepsToAllowedLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		giver, held, order, fleet := setUp(t)
+		dispatcher, held, order, engineSet := setUp(t)
 		order.Document.OrderLinks = []contract.OrderLink{{From: "south", BackendServers: []string{"w1"}}}
-		_, err := giver.Give(t.Context(), held, order)
+		_, err := dispatcher.Dispatch(t.Context(), held, order)
 		is.True(errors.Is(err, ErrLinkNotAllowed))
-		is.Equal(len(fleet.effects), 0)
+		is.Equal(len(engineSet.effects), 0)
 	})
 }
 
 func TestGiveAfterAnotherHoldersIntent(t *testing.T) {
-	// The record of a server shows an intent under a higher fencing number:
-	// whatever this host believes, another one holds the lease.
+	// Guards against an order sent by a host that lost the lease without noticing:
+	// the server's record has an intent with a higher fencing number.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		giver, held, order, fleet := setUp(t)
+		dispatcher, held, order, engineSet := setUp(t)
 		next := intent{OrderRequest: backend.OrderRequest{OrderID: "x", Kind: backend.OrderLoad, Model: "m@2", Fence: held.Fence() + 1}, Holder: "b"}
-		_, _, err := journal{giver.Store}.open(t.Context(), "w1", serverRecord{}, next, 0)
+		_, _, err := recordStore{dispatcher.Store}.open(t.Context(), "w1", serverRecord{}, next, 0)
 		is.NoErr(err)
-		_, err = giver.Give(t.Context(), held, order)
+		_, err = dispatcher.Dispatch(t.Context(), held, order)
 		is.True(errors.Is(err, ErrNotHolder))
-		is.Equal(len(fleet.effects), 0)
+		is.Equal(len(engineSet.effects), 0)
 	})
 }
 
 func TestGiveWithoutTimeLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		giver, held, order, fleet := setUp(t)
+		dispatcher, held, order, engineSet := setUp(t)
 		time.Sleep(held.Remaining() - minRemaining/2)
-		_, err := giver.Give(t.Context(), held, order)
+		_, err := dispatcher.Dispatch(t.Context(), held, order)
 		is.True(errors.Is(err, ErrNotHolder))
-		is.Equal(len(fleet.effects), 0)
+		is.Equal(len(engineSet.effects), 0)
 	})
 }
 
 func TestGiveReadsALostAnswerBack(t *testing.T) {
-	// The engine loads the model and its answer is lost. The holder sees it in
-	// the engine's state and says so, in place of ordering again.
+	// Guards against a repeated order after a lost response: the engine's state
+	// shows that the model was loaded.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		giver, held, order, fleet := setUp(t)
-		fleet.engines["w1"].loseAnswers = 1
-		state, err := giver.Give(t.Context(), held, order)
+		dispatcher, held, order, engineSet := setUp(t)
+		engineSet.engines["w1"].loseAnswers = 1
+		state, err := dispatcher.Dispatch(t.Context(), held, order)
 		is.NoErr(err)
 		is.Equal(state.Models, []string{"m@1"})
 	})
@@ -82,18 +82,18 @@
 func TestGiveToAnEngineWithNewerFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		giver, held, order, fleet := setUp(t)
-		engine := fleet.engines["w1"]
+		dispatcher, held, order, engineSet := setUp(t)
+		engine := engineSet.engines["w1"]
 		engine.honours, engine.state.LastFence = true, held.Fence()+1
-		_, err := giver.Give(t.Context(), held, order)
+		_, err := dispatcher.Dispatch(t.Context(), held, order)
 		is.True(errors.Is(err, ErrOldFence))
-		is.Equal(len(fleet.effects), 0)
+		is.Equal(len(engineSet.effects), 0)
 	})
 }
 
 func TestWeightsAcrossHolders(t *testing.T) {
-	// Holders of the lease follow each other quickly; the weight store still
-	// sees one rate, also after the lease's record is gone.
+	// Guards against loads above the weight store's rate when the lease changes
+	// holders often or its record is deleted.
 	synctest.Test(t, func(t *testing.T) {
 		is, ctx := is.New(t), t.Context()
 		memory := store.NewMemory()
@@ -102,22 +102,22 @@
 			lessor := lease.NewStoreLessor(memory, "a", lease.Options{})
 			held, err := lessor.Acquire(ctx, LeaseName)
 			is.NoErr(err)
-			weights := NewWeights(6, 3)
+			limiter := NewLoadLimiter(6, 3)
 			for range 3 {
 				time.Sleep(time.Second)
-				if weights.Take(ctx, lessor, held) == nil {
+				if limiter.Take(ctx, lessor, held) == nil {
 					loads++
 				}
 			}
 			is.NoErr(lessor.Release(ctx, held))
 		}
-		is.True(loads <= 6) // a minute has passed
+		is.True(loads <= 6) // one minute of loads
 		object, err := memory.Get(ctx, lease.Kind, LeaseName)
 		is.NoErr(err)
 		_, err = memory.Delete(ctx, lease.Kind, LeaseName, object.Version)
 		is.NoErr(err)
 		held, err := lease.NewStoreLessor(memory, "b", lease.Options{}).Acquire(ctx, LeaseName)
 		is.NoErr(err)
-		is.Equal(NewWeights(6, 3).Wait(held), 10*time.Second)
+		is.Equal(NewLoadLimiter(6, 3).Wait(held), 10*time.Second)
 	})
 }
--- a/order/wire_test.go
+++ b/order/wire_test.go
@@ -26,9 +26,8 @@
 `
 
 func TestDutyOverTheWire(t *testing.T) {
-	// The real client, document parser and stand-in engine together: an engine
-	// that checks the caller and honours fencing numbers loads what a document
-	// says, although loading takes longer than a call usually may.
+	// Guards against load orders that time out because loading takes longer than an
+	// ordinary call. Uses the real client and parser and the stand-in engine.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -37,7 +36,7 @@
 		is.NoErr(err)
 		stand := engine.New(engine.Config{OrderToken: "secret", HonourFence: true, LoadTime: 10 * time.Second})
 		go func() { _ = stand.Serve(listener) }()
-		client := backend.NewClient(fabric.Host("10.0.0.1"), backend.ClientOptions{ControlTimeout: testLongest, OrderToken: "secret"})
+		client := backend.NewClient(fabric.Host("10.0.0.1"), backend.ClientOptions{ControlTimeout: testMaxExecutionTime, OrderToken: "secret"})
 		memory, table := store.NewMemory(), configuration.NewTable(contract.ParseDocument)
 		watcher := &replica.Follower{Store: memory, Kind: configuration.Kind, Table: table.Table}
 		duty := New(Options{Host: "a", FailureDomain: "north", Store: memory, Engine: client, Documents: table, Refresh: watcher.Refresh})
--- a/order/world_test.go
+++ b/order/world_test.go
@@ -22,30 +22,31 @@
 )
 
 const (
-	testLongest   = 30 * time.Second
-	testTerm      = 20 * time.Second
-	testPerMinute = 12
-	testBurst     = 3
+	testMaxExecutionTime = 30 * time.Second
+	testTerm             = 20 * time.Second
+	testPerMinute        = 12
+	testBurst            = 3
 )
 
-// world is a store, hosts with their duty, and engines, in one synctest bubble.
+// world is a store, entry hosts that each run a Duty, and engines, in one
+// synctest bubble.
 type world struct {
 	ctx    context.Context
 	cancel context.CancelFunc
 	group  sync.WaitGroup
 
-	memory   *store.Memory
-	fleet    *fleet
-	hosts    map[string]*host
-	gates    []*gate                   // of all hosts ever
-	accepted map[string]acceptedChange // by change id
-	changes  int
+	memory    *store.Memory
+	engineSet *engineSet
+	hosts     map[string]*host
+	gates     []*gate                   // of all hosts, including stopped ones
+	accepted  map[string]acceptedChange // by change id
+	changes   int
 
-	mu     sync.Mutex // guards broken and the hosts' versions
-	broken []string   // promises that were broken
+	mu         sync.Mutex // guards violations and the hosts' versions
+	violations []string   // violated invariants
 }
 
-// host is one entry host as far as orders go.
+// host is the part of an entry host that sends orders.
 type host struct {
 	name     string
 	gate     *gate
@@ -53,7 +54,7 @@
 	table    *configuration.Table
 	acceptor *configuration.Acceptor
 	duty     *Duty
-	versions map[string]store.Version // highest served, by service
+	versions map[string]store.Version // highest version in force, by service
 }
 
 type acceptedChange struct {
@@ -65,36 +66,36 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	return &world{
 		ctx: ctx, cancel: cancel, memory: store.NewMemory(),
-		fleet: &fleet{engines: map[string]*testEngine{}}, hosts: map[string]*host{}, accepted: map[string]acceptedChange{},
+		engineSet: &engineSet{engines: map[string]*testEngine{}}, hosts: map[string]*host{}, accepted: map[string]acceptedChange{},
 	}
 }
 
-// close ends every goroutine, as the bubble asks.
+// close ends every goroutine, as synctest requires.
 func (w *world) close() {
 	w.cancel()
 	w.resumeAll()
 	w.group.Wait()
 }
 
-// resumeAll resumes every host, those that were stopped while paused too.
+// resumeAll resumes every host, including those stopped while paused.
 func (w *world) resumeAll() {
 	for _, g := range w.gates {
 		g.resume()
 	}
 }
 
-// gate stands for a host's process: while it is paused no call begins and
-// none returns; when it is dead all fail.
+// gate simulates a host's process: while it is paused, calls neither start nor
+// return; once it is dead, all calls fail.
 type gate struct {
 	mu     sync.Mutex // guards all below
 	paused chan struct{}
 	dead   bool
-	// afterIntent pauses the host when its next intent has been written.
+	// afterIntent pauses the host after the write of its next intent.
 	afterIntent bool
 }
 
-// wroteIntent pauses the host if that was asked for.
-func (g *gate) wroteIntent() {
+// intentWritten pauses the host if pauseAfterIntent was called.
+func (g *gate) intentWritten() {
 	g.mu.Lock()
 	due := g.afterIntent
 	g.afterIntent = false
@@ -152,28 +153,28 @@
 	g.resume()
 }
 
-// gatedStore is the store as a host reaches it.
+// gatedStore is the store behind a host's gate.
 type gatedStore struct {
 	*store.Memory
 	gate *gate
 }
 
 func (s gatedStore) Get(ctx context.Context, kind, name string) (store.Object, error) {
-	return passed(s.gate, func() (store.Object, error) { return s.Memory.Get(ctx, kind, name) })
+	return throughGate(s.gate, func() (store.Object, error) { return s.Memory.Get(ctx, kind, name) })
 }
 
 func (s gatedStore) Put(ctx context.Context, kind, name string, value []byte, expect store.Version) (store.Version, error) {
-	return passed(s.gate, func() (store.Version, error) {
+	return throughGate(s.gate, func() (store.Version, error) {
 		version, err := s.Memory.Put(ctx, kind, name, value, expect)
 		if kind == audit.OrderKind {
-			s.gate.wroteIntent()
+			s.gate.intentWritten()
 		}
 		return version, err
 	})
 }
 
-// passed makes a call that a paused host neither begins nor sees the end of.
-func passed[T any](g *gate, call func() (T, error)) (T, error) {
+// throughGate passes the gate before and after a call.
+func throughGate[T any](g *gate, call func() (T, error)) (T, error) {
 	var zero T
 	if err := g.pass(); err != nil {
 		return zero, errors.Mark(err, store.ErrUnavailable)
@@ -185,9 +186,9 @@
 	return answer, err
 }
 
-// gatedEngine is the engines as a host reaches them.
+// gatedEngine is the set of engines behind a host's gate.
 type gatedEngine struct {
-	*fleet
+	*engineSet
 	host string
 	gate *gate
 }
@@ -209,18 +210,18 @@
 	return &document, err
 }
 
-// addHost starts a host; one that does not watch learns documents only when
-// it becomes the holder.
+// addHost starts a host. A host that does not watch the store receives documents
+// only when it becomes the lease holder.
 func (w *world) addHost(name, failureDomain string, watches bool) {
 	ctx, cancel := context.WithCancel(w.ctx)
 	h := &host{name: name, gate: &gate{}, cancel: cancel, table: configuration.NewTable(parseJSON), versions: map[string]store.Version{}}
 	memory := gatedStore{Memory: w.memory, gate: h.gate}
-	engine := gatedEngine{fleet: w.fleet, host: name, gate: h.gate}
+	engine := gatedEngine{engineSet: w.engineSet, host: name, gate: h.gate}
 	h.acceptor = configuration.NewAcceptor(memory, parseJSON)
 	watcher := &replica.Follower{Store: memory, Kind: configuration.Kind, Table: h.table.Table, Active: func() bool { return watches }}
 	h.duty = New(Options{
 		Host: name, FailureDomain: failureDomain, Store: memory, Engine: engine, Documents: h.table, Refresh: watcher.Refresh,
-		LoadsPerMinute: testPerMinute, LoadsAtOnce: testBurst, Term: testTerm, Longest: testLongest,
+		LoadsPerMinute: testPerMinute, LoadsAtOnce: testBurst, Term: testTerm, Longest: testMaxExecutionTime,
 	})
 	h.table.Subscribe(func() { w.checkVersions(h) })
 	w.hosts[name] = h
@@ -229,25 +230,26 @@
 	w.group.Go(func() { _ = h.duty.Run(ctx) })
 }
 
-// checkVersions notes a host that serves an older version than it has served.
+// checkVersions records a violation if a host's version in force decreased.
 func (w *world) checkVersions(h *host) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, document := range h.table.Documents() {
 		_, version, _ := h.table.Document(document.Service)
 		if version < h.versions[document.Service] {
-			w.breach("host %s serves %s at %d after %d", h.name, document.Service, version, h.versions[document.Service])
+			w.recordViolation("host %s has %s in force at version %d after %d", h.name, document.Service, version, h.versions[document.Service])
 		}
 		h.versions[document.Service] = version
 	}
 }
 
-// breach notes a broken promise. The caller holds mu or is alone.
-func (w *world) breach(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf(format, args...))
+// recordViolation records a violated invariant. The caller holds mu or is the only
+// goroutine that uses violations.
+func (w *world) recordViolation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// killHost ends a host without a word to anyone.
+// killHost ends a host without notifying any peer.
 func (w *world) killHost(name string) {
 	h := w.hosts[name]
 	h.gate.kill()
@@ -255,17 +257,17 @@
 	delete(w.hosts, name)
 }
 
-// stopHost stops a host as its operator would.
+// stopHost stops a host gracefully.
 func (w *world) stopHost(name string) {
 	w.hosts[name].cancel()
 	delete(w.hosts, name)
 }
 
 func (w *world) addEngine(address string, honours bool) {
-	w.fleet.engines[address] = &testEngine{honours: honours, alive: true, carry: time.Second}
+	w.engineSet.engines[address] = &testEngine{honours: honours, alive: true, executionTime: time.Second}
 }
 
-// apply asks a host to accept a document for a service.
+// apply submits a document to a host.
 func (w *world) apply(h *host, document contract.Document, expect store.Version) (configuration.Result, error) {
 	w.changes++
 	id := fmt.Sprintf("c%d", w.changes)
@@ -279,12 +281,13 @@
 func changeOf(document contract.Document, expect store.Version, id, who string) configuration.Change {
 	text, err := json.Marshal(document)
 	if err != nil {
-		panic(err) // plain data always encodes
+		panic(err) // cannot happen: plain data
 	}
 	return configuration.Change{Service: document.Service, Document: text, Expect: expect, ChangeID: id, Who: who}
 }
 
-// stored returns the version of a service in the store.
+// stored returns the stored version of a service, with store faults disabled
+// during the read.
 func (w *world) stored(service string) store.Version {
 	faults := w.memory.Faults()
 	w.memory.SetFaults(store.Faults{})
@@ -301,55 +304,56 @@
 	synctest.Wait()
 }
 
-// show renders engines and the holder.
+// show renders the engines, the lease holders and the violations.
 func (w *world) show() string {
 	var b strings.Builder
-	for _, address := range slices.Sorted(maps.Keys(w.fleet.engines)) {
-		fmt.Fprintf(&b, "%s %s\n", address, w.fleet.engines[address])
+	for _, address := range slices.Sorted(maps.Keys(w.engineSet.engines)) {
+		fmt.Fprintf(&b, "%s %s\n", address, w.engineSet.engines[address])
 	}
 	for _, name := range slices.Sorted(maps.Keys(w.hosts)) {
 		if w.hosts[name].duty.Holding() {
 			fmt.Fprintf(&b, "holder %s\n", name)
 		}
 	}
-	for _, line := range w.broken {
+	for _, line := range w.violations {
 		fmt.Fprintf(&b, "BROKEN %s\n", line)
 	}
 	return b.String()
 }
 
-// checkEffects checks the oracle over the orders that took effect.
+// checkEffects checks the invariants of the orders that took effect: one holder
+// per fencing number, and fencing numbers that never decrease.
 func (w *world) checkEffects(jitter time.Duration) {
 	holders := map[uint64]string{}
 	highest := uint64(0)
 	byEngine := map[string]uint64{}
-	for _, e := range w.fleet.effects {
+	for _, e := range w.engineSet.effects {
 		if holder, ok := holders[e.order.Fence]; ok && holder != e.holder {
-			w.breach("fence %d was used by %s and %s", e.order.Fence, holder, e.holder)
+			w.recordViolation("fence %d was used by %s and %s", e.order.Fence, holder, e.holder)
 		}
 		holders[e.order.Fence] = e.holder
 		if e.order.Fence < byEngine[e.address] {
-			w.breach("%s obeyed fence %d after %d (honours: %v)", e.address, e.order.Fence, byEngine[e.address], e.honours)
+			w.recordViolation("%s executed an order under fence %d after %d (honours: %v)", e.address, e.order.Fence, byEngine[e.address], e.honours)
 		}
 		byEngine[e.address] = e.order.Fence
 		if e.order.Fence < highest {
-			w.breach("an order under fence %d took effect after one under %d", e.order.Fence, highest)
+			w.recordViolation("an order under fence %d took effect after one under %d", e.order.Fence, highest)
 		}
 		highest = max(highest, e.order.Fence)
 	}
 	w.checkRate(jitter)
 }
 
-// checkRate checks that loads kept to the weight store's rate, whoever held
-// the lease. Jitter is how late a load may reach its engine after it was taken
-// from the allowance.
+// checkRate checks that loads stayed within the weight store's rate across lease
+// holders. Jitter is the maximum delay between taking a load from the bucket and
+// its arrival at the engine.
 func (w *world) checkRate(jitter time.Duration) {
-	loads := w.fleet.loads
+	loads := w.engineSet.loads
 	for i := range loads {
 		for j := i; j < len(loads); j++ {
 			allowed := testBurst + (loads[j].Sub(loads[i])+jitter).Minutes()*testPerMinute
 			if float64(j-i+1) > allowed+1e-6 {
-				w.breach("%d loads in %v", j-i+1, loads[j].Sub(loads[i]))
+				w.recordViolation("%d loads in %v", j-i+1, loads[j].Sub(loads[i]))
 				return
 			}
 		}
