--- a/configuration/acceptor.go
+++ b/configuration/acceptor.go
@@ -10,82 +10,83 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// Outcome says what became of a change.
+// Outcome is the outcome of a change.
 type Outcome string
 
 const (
 	Accepted    Outcome = "accepted"
-	NotAccepted Outcome = "not_accepted" // and never will be, under this change id
-	Unknown     Outcome = "unknown"      // Settle tells later
+	NotAccepted Outcome = "not_accepted" // final for this change id
+	Unknown     Outcome = "unknown"      // Settle resolves it later
 )
 
-// Change asks for a service document to be put in force.
+// Change is a request to put a service document in force.
 type Change struct {
 	Service  string
 	Document []byte        // YAML
-	Expect   store.Version // 0: the service must be new
-	ChangeID string        // repeats with the same id are one change
+	Expect   store.Version // version to replace; 0: the service must be new
+	ChangeID string        // idempotency key: retries with the same id are one change
 	Who      string
 }
 
-// Result is the answer to a change.
+// Result is the result of a change.
 type Result struct {
 	Outcome Outcome
-	// Version is the one that the change made if it was accepted, else the
-	// current one as far as it is known.
+	// Version is the version that an accepted change made; otherwise the
+	// current version, zero if it is not known.
 	Version store.Version
-	// Winner is the change that made the current version, when a conditional
-	// write lost to it.
+	// Winner is the change that made the current version, if a conditional
+	// write failed because of it.
 	Winner *audit.Entry
 	Detail string // for operators; may be empty
 }
 
 var (
-	// ErrChangeIDReused means that the id already names another change.
+	// ErrChangeIDReused means that the id was already used for another change.
 	ErrChangeIDReused = errors.New("configuration: change id names another change")
 	// ErrNoChangeID means that a change carries no id.
 	ErrNoChangeID = errors.New("configuration: change id required")
-	// ErrWrongService means that a document names another service than the
-	// one that it is put in force for.
+	// ErrWrongService means that a document names a service other than the one
+	// it is submitted for.
 	ErrWrongService = errors.New("configuration: document names another service")
 	// ErrNoFailureDomain means that an evacuation names no failure domain.
 	ErrNoFailureDomain = errors.New("configuration: failure domain required")
 )
 
-// Acceptor takes changes: accepted means that the conditional write to the
-// platform's store took effect.
+// Acceptor accepts configuration changes. A change is accepted when its
+// conditional write to the platform's store has taken effect. It is safe for
+// concurrent use once its fields are set.
 type Acceptor struct {
 	store store.Store
 	parse Parser
-	// SettleFor bounds how long a change is tried and its outcome settled
-	// while the store fails. Set before first use.
+	// SettleFor bounds how long a change is retried and its outcome settled
+	// while the store fails. It must be set before first use.
 	SettleFor time.Duration
-	// Seen is told of each object that was read or written; nil: nobody. The
-	// accepting host takes its own write into force by it.
+	// Seen is called with each object that was read or written; nil: no call.
+	// It puts this host's own writes in force on this host.
 	//
-	// Guards against a store that goes away right after it took the write: a
-	// host that waits for its watch would not hear of the change, and neither
-	// would its peers, although the operator was told "accepted".
+	// Failure: the store becomes unavailable right after a write. If the host
+	// waited for its watch, neither it nor its peers would learn of the change,
+	// although the operator was told that it was accepted.
 	Seen func(store.Object)
-	// Clash tells whether an organisation may not be put in force because its
-	// name or one of its tokens is another one's; nil: nobody is asked.
+	// Clash returns an error if an organisation must not be put in force
+	// because another one has its name or one of its tokens; nil: no check.
 	Clash func(Organisation) error
 }
 
 const (
 	defaultSettleFor = 10 * time.Second
-	maxTrail         = 1000 // entries
+	maxTrail         = 1000 // entries that Trail returns
 )
 
-// NewAcceptor returns an Acceptor that checks documents with parse.
+// NewAcceptor returns an Acceptor that validates documents with parse.
 func NewAcceptor(store store.Store, parse Parser) *Acceptor {
 	return &Acceptor{store: store, parse: parse, SettleFor: defaultSettleFor}
 }
 
 // Put puts a document in force if the service's version is the expected one.
-// Unknown comes without an error: call Settle, or Put again with the same
-// change id. Errors: those of the parser, ErrWrongService, ErrNoChangeID,
-// ErrChangeIDReused, store.ErrUnavailable; all mean NotAccepted.
+// The outcome Unknown is returned without an error: call Settle, or Put again
+// with the same change id. Errors: those of the parser, ErrWrongService,
+// ErrNoChangeID, ErrChangeIDReused, store.ErrUnavailable; all mean NotAccepted.
 func (a *Acceptor) Put(ctx context.Context, change Change) (Result, error) {
 	document, err := a.parse(change.Service, change.Document)
 	if err != nil {
@@ -105,8 +106,9 @@
 	})
 }
 
-// Drain marks the backend server at address, an IP:port, as drained, or ends
-// that. It has no expected version: the last drain or end wins. Errors as Put.
+// Drain marks the backend server at address, an IP:port, as drained; if end is
+// set, it ends the drain. There is no expected version: the last call wins. It
+// returns the errors of Put, and an error for a malformed address.
 func (a *Acceptor) Drain(ctx context.Context, address string, end bool, changeID, who string) (Result, error) {
 	if err := checkAddress(address); err != nil {
 		return Result{Outcome: NotAccepted}, err
@@ -114,9 +116,9 @@
 	return a.write(ctx, drainEdit(audit.WhatDrain, DrainName(address), address, end, changeID, who))
 }
 
-// Evacuate keeps new work from all backend servers of a failure domain, or ends
-// that. It has no expected version: the last one wins. Errors:
-// ErrNoFailureDomain, and as Put.
+// Evacuate keeps new work from all backend servers of a failure domain; if end
+// is set, it ends the evacuation. There is no expected version: the last call
+// wins. It returns ErrNoFailureDomain and the errors of Put.
 func (a *Acceptor) Evacuate(ctx context.Context, domain string, end bool, changeID, who string) (Result, error) {
 	if domain == "" {
 		return Result{Outcome: NotAccepted}, ErrNoFailureDomain
@@ -135,22 +137,23 @@
 	}
 }
 
-// Settle tells whether a change to a service was accepted. A change that is
-// not found may still be on its way to the store, so Settle first makes sure
-// that it can no longer take effect: it writes an entry about it, which
-// raises the version that the late write expects. Unknown comes with an error
-// while the store is away, without one when the change may be older than the
-// record of changes.
+// Settle determines whether a change to a service was accepted. A change that
+// is not found may still be in flight to the store. Settle therefore first
+// ensures that it can no longer take effect: it writes a history entry for the
+// change id, so that the object's version is no longer the one that the late
+// write expects. The outcome is Unknown with an error if the store is
+// unavailable, and Unknown without an error if the change may be older than the
+// oldest history entry.
 func (a *Acceptor) Settle(ctx context.Context, service, changeID string) (Result, error) {
 	return a.settle(ctx, &edit{stored: ServiceName(service), name: service, changeID: changeID})
 }
 
-// settle writes that the edit's change was not accepted, unless it was.
+// settle records that the edit's change was not accepted, unless it was.
 func (a *Acceptor) settle(ctx context.Context, e *edit) (Result, error) {
 	e.what, e.detail, e.apply = audit.WhatSettled, "found not accepted", func(*Envelope) {}
 	result, err := a.write(ctx, e)
 	if result.Outcome == NotAccepted && err != nil {
-		result.Outcome = Unknown // NotAccepted was said of Settle's own entry
+		result.Outcome = Unknown // NotAccepted concerns only the entry that settle writes
 	}
 	return result, err
 }
@@ -169,8 +172,8 @@
 	return envelope.History.At(object.Version), nil
 }
 
-// Trail returns the newest entries about documents, drains and orders, newest
-// first. Errors: store.ErrUnavailable.
+// Trail returns the newest history entries of all configuration objects and
+// orders, newest first, maxTrail at most. Errors: store.ErrUnavailable.
 func (a *Acceptor) Trail(ctx context.Context) ([]audit.Entry, error) {
 	var entries []audit.Entry
 	for _, kind := range []string{Kind, audit.OrderKind} {
--- a/configuration/acceptor_test.go
+++ b/configuration/acceptor_test.go
@@ -20,8 +20,8 @@
 }
 
 func TestLostAnswerIsSettled(t *testing.T) {
-	// An operator's change takes effect, but the store's answer is lost. She
-	// hears "accepted", and the change is there once.
+	// Guards against a wrong outcome or a second write of a change that took
+	// effect while the store's answer was lost.
 	synctest.Test(t, func(t *testing.T) {
 		is, ctx := is.New(t), t.Context()
 		memory := store.NewMemory()
@@ -32,7 +32,7 @@
 		is.Equal(result.Outcome, Accepted)
 		again, err := acceptor.Put(ctx, change("c1", "x", 0))
 		is.NoErr(err)
-		is.Equal(again, result) // a repeat is the same change
+		is.Equal(again, result) // a retry is the same change
 		entries, err := acceptor.History(ctx, "a")
 		is.NoErr(err)
 		is.Equal(len(entries), 1)
@@ -52,8 +52,8 @@
 }
 
 func TestRacingOperators(t *testing.T) {
-	// Two operators edit the same version. One wins; the other hears "not
-	// accepted" and sees whose change it was.
+	// Guards against lost updates when two operators edit the same version:
+	// one is accepted; the other is not, and gets the accepted change.
 	synctest.Test(t, func(t *testing.T) {
 		is, ctx := is.New(t), t.Context()
 		acceptor := NewAcceptor(store.NewMemory(), parseTest)
@@ -70,7 +70,8 @@
 	})
 }
 
-// Guards against changes reported wrongly when the store goes away before or after the write.
+// Guards against wrong outcomes if the store becomes unavailable before or after
+// the write.
 func TestStoreAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, ctx := is.New(t), t.Context()
@@ -112,9 +113,9 @@
 		result, err := acceptor.Settle(ctx, "a", "c1")
 		is.NoErr(err)
 		is.Equal(result.Outcome, NotAccepted)
-		_, err = memory.Put(ctx, Kind, ServiceName("a"), late, 0) // the late write
+		_, err = memory.Put(ctx, Kind, ServiceName("a"), late, 0) // delayed write
 		is.True(err != nil)
-		result, err = acceptor.Put(ctx, change("c1", "x", 0)) // the same change again
+		result, err = acceptor.Put(ctx, change("c1", "x", 0)) // retry of the change
 		is.NoErr(err)
 		is.Equal(result.Outcome, NotAccepted)
 		result, err = acceptor.Put(ctx, change("c2", "x", 0)) // the service still counts as new
@@ -144,8 +145,8 @@
 }
 
 func TestHistoryStaysUnderTheLimit(t *testing.T) {
-	// A service is changed again and again, and its history grows; it must
-	// give way before the store refuses the object.
+	// Guards against objects that the store refuses because the history of
+	// many changes has grown over its limit.
 	is, ctx := is.New(t), t.Context()
 	const rounds, nameBytes = 70, 20 << 10 // 1.4 MB of entries in all
 	memory := store.NewMemory()
@@ -163,7 +164,7 @@
 	is.NoErr(err)
 	is.True(len(entries) > 20 && len(entries) < rounds)
 	is.Equal(entries[0].To, version)
-	result, err := acceptor.Settle(ctx, "a", "0") // dropped from the record
+	result, err := acceptor.Settle(ctx, "a", "0") // dropped from the history
 	is.NoErr(err)
 	is.Equal(result.Outcome, Unknown)
 }
@@ -195,8 +196,8 @@
 }
 
 func TestEvacuationAndTrail(t *testing.T) {
-	// An operator evacuates a failure domain and takes it back; the trail says
-	// who did. A repeat with the same change id is one change.
+	// An evacuation takes effect, can be ended, and is in the audit trail. A
+	// retry with the same change id is one change.
 	synctest.Test(t, func(t *testing.T) {
 		is, ctx := is.New(t), t.Context()
 		memory := store.NewMemory()
--- a/configuration/directory.go
+++ b/configuration/directory.go
@@ -7,18 +7,19 @@
 	"github.com/papayasail/papayasail/settings"
 )
 
-// directory finds organisations by token. Shards replace their part of it one
-// by one; Table.mu guards it.
+// directory indexes organisations by token and by name. It is updated one shard
+// at a time. Table.mu guards it.
 type directory struct {
 	byToken map[settings.TokenHash]*Organisation
-	// rivals holds the tokens that several organisations have, ordered by
-	// name. The first one is in byToken.
+	// rivals has, for each token of several organisations, all of them ordered
+	// by name. The first one is in byToken.
 	//
-	// Guards against two operators who give one token to two organisations at
-	// the same moment over two hosts: neither sees the other's change before
-	// it is accepted. All hosts then know the token as the same one's.
+	// Failure: two operators assign one token to two organisations at the same
+	// time through two hosts, and neither host sees the other's change before
+	// it is accepted. The order by name makes all hosts resolve the token to
+	// the same organisation.
 	rivals map[settings.TokenHash][]*Organisation
-	shards map[string][]Organisation
+	shards map[string][]Organisation // each ordered by name
 }
 
 func newDirectory() directory {
@@ -29,8 +30,8 @@
 	}
 }
 
-// take replaces a shard and returns how many of its tokens clash with others.
-// The slice belongs to the directory from then on.
+// take replaces a shard and returns how many of its tokens another organisation
+// has too. The directory takes ownership of the slice.
 func (d *directory) take(shard string, organisations []Organisation) (clashes int) {
 	old := d.shards[shard]
 	for i := range old {
@@ -91,7 +92,8 @@
 	return &shard[at], true
 }
 
-// page returns organisations behind a name, ordered, limit at most.
+// page returns the organisations whose names sort after a name, ordered by
+// name, limit at most.
 func (d *directory) page(after string, limit int) []*Organisation {
 	var all []*Organisation
 	for _, shard := range d.shards {
@@ -109,9 +111,8 @@
 
 func byName(a, b *Organisation) int { return cmp.Compare(a.Name, b.Name) }
 
-// Clash returns who else holds the name or a token of an organisation that is
-// to be put in force, as far as this host knows; ErrOrganisation if somebody
-// does.
+// Clash returns an error marked ErrOrganisation if, on this host, a token of o
+// belongs to an organisation in force with another name.
 func (t *Table) Clash(o Organisation) error {
 	for _, token := range o.TokenSHA256 {
 		if holder, ok := t.Organisation(token); ok && holder.Name != o.Name {
--- a/configuration/edit.go
+++ b/configuration/edit.go
@@ -14,7 +14,7 @@
 
 var changes = prometheus.NewCounterVec(prometheus.CounterOpts{
 	Namespace: "papayasail", Subsystem: "configuration", Name: "changes_total",
-	Help: "Changes asked of this host by kind and outcome.",
+	Help: "Configuration changes requested from this host, by kind and outcome.",
 }, []string{"what", "outcome"})
 
 func init() { prometheus.MustRegister(changes) }
@@ -27,25 +27,26 @@
 	changeID string
 	who      string
 	detail   string
-	expect   *store.Version // nil: whatever the version is
+	expect   *store.Version // nil: any version
 	apply    func(*Envelope)
-	// content stands for what the edit writes where the object holds more
-	// than that; empty: the object's own digest does.
+	// content is hashed to identify the edit if the object also has content of
+	// others; empty: the digest of the whole object is used.
 	content string
-	// versionOf is the version that expect is compared with, where the object
-	// holds more than the edit's own part; nil: the object's.
+	// versionOf returns the version to compare with expect if the object also
+	// has content of others; nil: the object's version is used.
 	versionOf func(stored) store.Version
-	keep      int // history entries that are kept; 0: audit.MaxEntries
+	keep      int // maximum number of history entries; 0: audit.MaxEntries
 }
 
-// stored is an object as read; its zero value is one that does not exist.
+// stored is an object as read; the zero value is an object that does not exist.
 type stored struct {
 	version  store.Version
 	envelope Envelope
 }
 
-// write makes an edit take effect once, or tells why it did not. It reads
-// before each write: the history tells whether this change is already there.
+// write makes an edit take effect at most once and returns its outcome. It
+// reads the object before each write: its history shows whether the change has
+// already taken effect.
 func (a *Acceptor) write(ctx context.Context, e *edit) (result Result, err error) {
 	defer func() { changes.WithLabelValues(string(e.what), string(result.Outcome)).Inc() }()
 	if e.changeID == "" {
@@ -54,7 +55,7 @@
 	ctx, cancel := context.WithTimeout(ctx, a.SettleFor)
 	defer cancel()
 	var backoff store.Backoff
-	sent := false // a write may be on its way or its answer lost
+	sent := false // a write may be in flight, or its answer was lost
 	for {
 		result, err := a.try(ctx, e)
 		sent = sent || errors.Is(err, store.ErrOutcomeUnknown)
@@ -74,8 +75,8 @@
 	}
 }
 
-// try reads and writes once. Without an outcome the edit is to be tried again;
-// an error then says what the store did.
+// try reads and writes once. If the result has no outcome, the edit must be
+// retried, and a non-nil error is the store's.
 func (a *Acceptor) try(ctx context.Context, e *edit) (Result, error) {
 	current, err := a.read(ctx, e.stored)
 	if err != nil {
@@ -95,7 +96,7 @@
 		a.saw(store.Object{Kind: Kind, Name: e.stored, Version: version, Value: value})
 		return e.written(version), nil
 	case errors.As(err, &bad):
-		return Result{}, nil // another change came between: read again
+		return Result{}, nil // another change was written in between: read again
 	}
 	return Result{}, err
 }
@@ -119,7 +120,8 @@
 	}
 }
 
-// decide tells the outcome if the stored object already settles it.
+// decide returns the outcome if the stored object already determines it, and
+// a result without outcome otherwise.
 func (e *edit) decide(current stored) (Result, error) {
 	history := current.envelope.History
 	if entry, ok := history.Find(e.changeID, current.version); ok {
@@ -132,8 +134,8 @@
 	if e.expect == nil || e.expects(current) {
 		return Result{}, nil
 	}
-	// The version moved on, so an earlier try of this change that is still on
-	// its way cannot take effect any more: this is final.
+	// The version has changed, so an earlier attempt of this change that is
+	// still in flight can no longer take effect: this outcome is final.
 	result := Result{Outcome: NotAccepted, Version: e.version(current)}
 	for _, entry := range history.At(current.version) {
 		if e.versionOf == nil || entry.Name == e.name {
@@ -151,7 +153,7 @@
 	return current.version
 }
 
-// found tells the outcome of a change that is in the history.
+// found returns the outcome of a change that is in the history.
 func (e *edit) found(entry audit.Entry, current stored) (Result, error) {
 	if entry.What == audit.WhatSettled {
 		return Result{Outcome: NotAccepted, Version: current.version, Detail: "settled as not accepted; use a new change id"}, nil
@@ -162,8 +164,8 @@
 	return Result{Outcome: Accepted, Version: entry.To}, nil
 }
 
-// expects reports whether the edit may replace the current object. A service
-// that only has entries of settled changes counts as new.
+// expects reports whether the current object has the expected version. A
+// service without a document, which only has settled changes, counts as new.
 func (e *edit) expects(current stored) bool {
 	if e.versionOf != nil {
 		return *e.expect == e.versionOf(current)
@@ -171,7 +173,7 @@
 	return *e.expect == current.version || *e.expect == 0 && current.envelope.Document == ""
 }
 
-// next is the envelope that the edit writes over current.
+// next returns the envelope that the edit writes to replace current.
 func (e *edit) next(current stored) Envelope {
 	envelope := current.envelope
 	envelope.Organisations = stamped(envelope.Organisations, current.version)
@@ -196,7 +198,7 @@
 	return envelope.digest()
 }
 
-// written is the result of a write that took effect.
+// written returns the result of a write that took effect at a version.
 func (e *edit) written(version store.Version) Result {
 	if e.what == audit.WhatSettled {
 		return Result{Outcome: NotAccepted, Version: version}
--- a/configuration/fuzz_test.go
+++ b/configuration/fuzz_test.go
@@ -12,14 +12,14 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// spread is the state machine of configuration going from the store to hosts
-// and from host to host, with answers that come late and in any order.
+// spread is the state machine of configuration that propagates from the store
+// to hosts and between hosts, with delayed and reordered answers.
 type spread struct {
 	store   *store.Memory
 	tables  []*Table
-	served  []map[string]store.Version // by table: highest served of each service
-	late    []func(*Table)             // answers on their way
-	reached map[string]int
+	served  []map[string]store.Version // by table: highest served version of each service
+	late    []func(*Table)             // answers in flight
+	reached map[string]int             // number of runs of each action
 }
 
 const (
@@ -28,10 +28,8 @@
 )
 
 func TestFuzzSpread(t *testing.T) {
-	// Hosts learn documents from lists, watches and peers; some answers are
-	// old when they arrive; hosts are replaced; services are removed. No host
-	// ever serves an older version than it has served, and once all have
-	// asked each other again, all serve what the store has.
+	// Guards against hosts that go back to an older version, or do not converge
+	// to the store's, after stale answers, replaced hosts and removals.
 	reached := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
 		s := &spread{store: store.NewMemory(), reached: reached}
@@ -109,25 +107,24 @@
 func (s *spread) watch(t *rapid.T) {
 	after := s.tables[s.table(t)].Version()
 	ctx, cancel := context.WithCancel(s.did("watch"))
-	cancel() // takes what is there, does not wait
+	cancel() // returns available changes without waiting
 	objects, _, err := s.store.Watch(ctx, Kind, after)
 	if err == nil {
 		s.late = append(s.late, func(table *Table) { table.Adopt(objects) })
 	}
 }
 
-// pull asks one host for what it has; the answer is on its way.
+// pull requests objects from one host; the answer is in flight.
 func (s *spread) pull(t *rapid.T) {
 	s.did("pull")
 	objects := s.tables[s.table(t)].Since(store.Version(rapid.IntRange(0, 5).Draw(t, "after")))
 	s.late = append(s.late, func(table *Table) { table.Adopt(objects) })
 }
 
-// deliver brings any answer that is on its way, again or for the first time,
-// to any host.
+// deliver delivers any answer in flight, possibly a second time, to any host.
 func (s *spread) deliver(t *rapid.T) {
 	if len(s.late) == 0 {
-		return // nothing on its way
+		return // nothing in flight
 	}
 	s.did("deliver")
 	s.late[rapid.IntRange(0, len(s.late)-1).Draw(t, "answer")](s.tables[s.table(t)])
@@ -152,7 +149,8 @@
 	}
 }
 
-// settle lets one host list, all hosts ask each other, and compares.
+// settle makes one host list, lets all hosts pull from each other repeatedly,
+// and compares them with the store.
 func (s *spread) settle(t *rapid.T) {
 	ctx := context.Background()
 	objects, revision, err := s.store.List(ctx, Kind)
--- a/configuration/helper_test.go
+++ b/configuration/helper_test.go
@@ -9,7 +9,7 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// parseTest reads "SERVICE OWNER"; "bad" cannot be parsed.
+// parseTest is a Parser of the form "SERVICE OWNER"; other text is an error.
 func parseTest(_ string, data []byte) (*contract.Document, error) {
 	service, owner, ok := strings.Cut(string(data), " ")
 	if !ok {
--- a/configuration/object.go
+++ b/configuration/object.go
@@ -1,5 +1,6 @@
-// Package configuration holds the service documents and drains in force on an
-// entry host, takes changes to them, and follows the platform's store.
+// Package configuration keeps the service documents, drains, evacuations and
+// organisations in force on an entry host, and writes changes to them to the
+// platform's store.
 package configuration
 
 import (
@@ -14,44 +15,45 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// Kind is the kind of all stored configuration objects. Documents and drains
-// share it so that one list and one watch see both in one order of versions.
+// Kind is the kind of all stored configuration objects. They share one kind so
+// that one list and one watch return them all in one order of versions.
 const Kind = "configuration"
 
 const (
 	servicePrefix    = "service/"
 	drainPrefix      = "drain/"
 	evacuationPrefix = "evacuation/"
-	// organisationsPrefix is followed by the name of a shard.
+	// organisationsPrefix is followed by the id of a shard.
 	organisationsPrefix = "organisations/"
-	// headroomBytes is kept free below the store's limit.
+	// headroomBytes is left unused below the store's limit on a value.
 	headroomBytes = 4 << 10
 )
 
-// ServiceName is the stored name of a service's document.
+// ServiceName returns the stored name of a service's document.
 func ServiceName(service string) string { return servicePrefix + service }
 
-// DrainName is the stored name of a backend server's drain.
+// DrainName returns the stored name of a backend server's drain.
 func DrainName(address string) string { return drainPrefix + address }
 
-// EvacuationName is the stored name of a failure domain's evacuation.
+// EvacuationName returns the stored name of a failure domain's evacuation.
 func EvacuationName(domain string) string { return evacuationPrefix + domain }
 
 // Envelope is the stored form of a document, a drain, an evacuation or a shard
-// of organisations. The change that wrote it stands in the history, so a read settles a write whose answer was lost.
+// of organisations. Its history contains the change that wrote it, so that a
+// read determines the outcome of a write whose answer was lost.
 type Envelope struct {
-	// Document is the service document; empty in a drain, and in a service
-	// that only ever had changes settled as not accepted.
+	// Document is the service document. It is empty in objects of other types
+	// and in a service whose changes were all settled as not accepted.
 	Document string `json:"document,omitempty"`
-	// Drained says that the backend server, or all of the failure domain, gets
-	// no new work.
+	// Drained is set if the backend server, or all servers of the failure
+	// domain, get no new work.
 	Drained bool `json:"drained,omitempty"`
-	// Organisations is one shard of them, ordered by name.
+	// Organisations are those of one shard, ordered by name.
 	Organisations []Organisation `json:"organisations,omitempty"`
 	History       audit.History  `json:"history"`
 }
 
-// ParseEnvelope reads a stored object's value.
+// ParseEnvelope decodes a stored object's value.
 func ParseEnvelope(value []byte) (Envelope, error) {
 	var envelope Envelope
 	if err := json.Unmarshal(value, &envelope); err != nil {
@@ -60,9 +62,9 @@
 	return envelope, nil
 }
 
-// Encode renders the envelope for the store. Oldest history entries go first
-// when it would be over the store's limit; a document that alone is over it
-// is an error.
+// Encode encodes the envelope for the store. While it is over the store's
+// limit, the older half of its history is dropped; if it is over the limit
+// with one entry left, Encode returns an error.
 func (e Envelope) Encode() ([]byte, error) {
 	for {
 		value, err := json.Marshal(e)
@@ -79,7 +81,7 @@
 	}
 }
 
-// digest is the hash of what an envelope puts in force.
+// digest returns a hash of the envelope's document or drain state.
 func (e Envelope) digest() uint64 {
 	text := "drain"
 	if !e.Drained {
@@ -88,13 +90,14 @@
 	return xxhash.Sum64String(text)
 }
 
-// checkAddress reports whether address is an IP:port.
+// checkAddress returns an error if address is not an IP:port.
 func checkAddress(address string) error {
 	_, err := netip.ParseAddrPort(address)
 	return errors.Wrap(err, "configuration: backend server address")
 }
 
-// nameOf splits a stored name into what it is about.
+// nameOf splits a stored name into the object's type and its name. An unknown
+// type is empty.
 func nameOf(stored string) (what audit.What, name string) {
 	if service, ok := strings.CutPrefix(stored, servicePrefix); ok {
 		return audit.WhatDocument, service
--- a/configuration/organisation.go
+++ b/configuration/organisation.go
@@ -15,34 +15,35 @@
 )
 
 const (
-	// organisationShards is the number of stored objects that organisations
-	// are spread over by name; docs/design/010-organisations.md weighs it. A
-	// change of it needs a migration: a name's shard must not move.
+	// organisationShards is the number of stored objects among which
+	// organisations are distributed by a hash of the name; see
+	// docs/design/010-organisations.md for the reasons. Changing it requires a
+	// migration, because a name must stay in its shard.
 	organisationShards = 256
-	// shardHistory is how many changes a shard's history keeps. With 256 it
-	// would outweigh the organisations.
+	// shardHistory is the maximum number of entries in a shard's history. With
+	// audit.MaxEntries (256) the history would be larger than the organisations.
 	shardHistory = 32
 
 	maxOrganisationTokens   = 8
 	maxOrganisationServices = 64
 )
 
-// Organisation may use the services that are named. It is known by tokens, of
-// which it has several while one replaces another.
+// Organisation is a client organisation and the services that it may use. It is
+// identified by its tokens, of which there are several during a rotation.
 type Organisation struct {
 	Name        string               `json:"name"`
 	TokenSHA256 []settings.TokenHash `json:"token_sha256"`
 	Services    []string             `json:"services,omitempty"` // empty: all services
-	// Version is that of the change that made it. It is zero inside the
-	// object that the change wrote, whose own version it is.
+	// Version is the version of the organisation's last change. It is zero in
+	// the stored object that this change wrote: there it is the object's.
 	Version store.Version `json:"version,omitempty"`
 }
 
-// noToken is the hash that a request without a token has.
+// noToken is the token hash of a request without a token.
 var noToken = settings.HashToken("")
 
-// ErrOrganisation means that an organisation is not well formed, or that its
-// name or a token is another one's.
+// ErrOrganisation means that an organisation is invalid, or that its name or a
+// token belongs to another one.
 var ErrOrganisation = errors.New("configuration: organisation")
 
 // MayUse reports whether the organisation may use a service.
@@ -50,7 +51,7 @@
 	return len(o.Services) == 0 || slices.Contains(o.Services, service)
 }
 
-// Check returns what is wrong with the organisation; it is ErrOrganisation.
+// Check validates the organisation. Its errors are marked ErrOrganisation.
 func (o *Organisation) Check() error {
 	switch {
 	case !contract.ValidName(o.Name):
@@ -80,17 +81,18 @@
 	return errors.Mark(errors.Newf("organisation "+format, arguments...), ErrOrganisation)
 }
 
-// shardOf is the shard that holds an organisation.
+// shardOf returns the id of the shard that an organisation belongs to.
 func shardOf(name string) string {
 	return fmt.Sprintf("%02x", xxhash.Sum64String(name)%organisationShards)
 }
 
-// OrganisationsName is the stored name of the shard that holds an organisation.
+// OrganisationsName returns the stored name of the shard that an organisation
+// belongs to.
 func OrganisationsName(organisation string) string {
 	return organisationsPrefix + shardOf(organisation)
 }
 
-// checkShard checks what a shard puts in force.
+// checkShard validates the organisations of a shard and their order.
 func checkShard(shard string, organisations []Organisation) error {
 	for i := range organisations {
 		o := &organisations[i]
@@ -107,8 +109,8 @@
 	return nil
 }
 
-// stamped returns the organisations of an object of this version, each with
-// the version that made it.
+// stamped returns a copy of the organisations of an object. Those without a
+// version were written by the object's last change and get the object's.
 func stamped(organisations []Organisation, version store.Version) []Organisation {
 	all := slices.Clone(organisations)
 	for i := range all {
@@ -119,16 +121,18 @@
 	return all
 }
 
-// place finds a name among ordered organisations.
+// place returns the position of a name among organisations ordered by name, or
+// the position at which to insert it.
 func place(organisations []Organisation, name string) (int, bool) {
 	return slices.BinarySearchFunc(organisations, name, func(o Organisation, name string) int { return cmp.Compare(o.Name, name) })
 }
 
-// text stands for the organisation in the digest of a change.
+// text returns the form of the organisation that is hashed into the digest of a
+// change.
 func (o *Organisation) text() string {
 	text, err := json.Marshal(o)
 	if err != nil {
-		panic(err) // strings and numbers only
+		panic(err) // unreachable: the fields are strings, hashes and numbers
 	}
 	return string(text)
 }
--- a/configuration/organisation_bench_test.go
+++ b/configuration/organisation_bench_test.go
@@ -15,10 +15,11 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// targetOrganisations is how many organisations there are at the target.
+// targetOrganisations is the number of organisations to be supported.
 const targetOrganisations = 30_000
 
-// targetShards returns the stored objects at the target, with full histories.
+// targetShards returns the stored objects of targetOrganisations, with full
+// histories.
 func targetShards() []store.Object {
 	shards := map[string][]Organisation{}
 	for i := range targetOrganisations {
@@ -62,8 +63,8 @@
 	return stats.HeapAlloc
 }
 
-// An object near the store's limit could not take one more organisation. The
-// figures of memory and bytes are printed for the pages.
+// Guards against shards near the store's size limit, to which no organisation
+// could be added. It logs the sizes in memory and on the wire.
 func TestSizesAtTheTarget(t *testing.T) {
 	objects := targetShards()
 	largest, bytes, sent := 0, 0, 0
--- a/configuration/organisation_change.go
+++ b/configuration/organisation_change.go
@@ -10,21 +10,21 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// OrganisationChange asks for an organisation to be put in force or removed.
+// OrganisationChange is a request to put an organisation in force or to remove
+// it.
 type OrganisationChange struct {
-	Organisation Organisation  // of a removal only the name counts
-	Expect       store.Version // of the organisation; 0: it must be new
-	ChangeID     string        // repeats with the same id are one change
+	Organisation Organisation  // for a removal, only the name is used
+	Expect       store.Version // organisation's current version; 0: it must be new
+	ChangeID     string        // idempotency key: retries with the same id are one change
 	Who          string
 }
 
-// ErrNoExpectedVersion means that a removal does not say which version it
-// removes.
+// ErrNoExpectedVersion means that a removal has no expected version.
 var ErrNoExpectedVersion = errors.New("configuration: a removal needs the version that it removes")
 
 // PutOrganisation puts an organisation in force if its version is the expected
-// one; changes to others of its shard do not come in between. Outcomes and
-// errors as Put, and ErrOrganisation.
+// one. Concurrent changes to other organisations of its shard do not conflict.
+// It has the outcomes and errors of Put, and ErrOrganisation.
 func (a *Acceptor) PutOrganisation(ctx context.Context, change OrganisationChange) (Result, error) {
 	o := change.Organisation
 	o.Version = 0
@@ -46,7 +46,7 @@
 }
 
 // RemoveOrganisation removes an organisation if its version is the expected
-// one. Outcomes and errors as Put, and ErrNoExpectedVersion.
+// one. It has the outcomes and errors of Put, and ErrNoExpectedVersion.
 func (a *Acceptor) RemoveOrganisation(ctx context.Context, change OrganisationChange) (Result, error) {
 	if change.Expect == 0 {
 		return Result{Outcome: NotAccepted}, ErrNoExpectedVersion
--- a/configuration/organisation_test.go
+++ b/configuration/organisation_test.go
@@ -39,18 +39,18 @@
 	return names
 }
 
-// directories is the state machine of organisations changed over one host and
-// learned by others, beside a map that says what was accepted.
+// directories is the state machine of organisations that are changed through one
+// host and propagate to others. The oracle has all accepted changes.
 type directories struct {
 	memory   *store.Memory
 	acceptor *Acceptor
 	tables   []*Table
-	seen     []map[string]store.Version // by table: version last served of a name
-	gone     []map[string]bool          // by table: names that it served and then did not
+	seen     []map[string]store.Version // by table: version last served of each name
+	gone     []map[string]bool          // by table: names that it no longer serves
 	oracle   map[string]Organisation
 	names    []string
 	changes  int
-	late     [][]store.Object
+	late     [][]store.Object // answers in flight
 }
 
 const fuzzTokens = 6
@@ -59,7 +59,8 @@
 	return fmt.Sprintf("token %d", rapid.IntRange(0, fuzzTokens-1).Draw(t, "token"))
 }
 
-// Guards against hosts that go back, or disagree on whose a token is.
+// Guards against hosts that go back to an older version of an organisation, or
+// that disagree on the owner of a token.
 func TestFuzzOrganisations(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d := &directories{memory: store.NewMemory(), oracle: map[string]Organisation{}, names: append(namesOfOneShard(3), "x", "y")}
@@ -76,7 +77,7 @@
 	})
 }
 
-// expect draws the version that a change is made over, at times a wrong one.
+// expect draws the expected version of a change, sometimes a wrong one.
 func (d *directories) expect(t *rapid.T, name string) (version store.Version, right bool) {
 	if rapid.IntRange(0, 4).Draw(t, "wrong") == 0 {
 		return d.oracle[name].Version + 1, false
@@ -101,7 +102,7 @@
 		o.Version = result.Version
 		d.oracle[name] = o
 	} else if result.Version != d.oracle[name].Version {
-		t.Fatalf("put %s is told version %d, current is %d", name, result.Version, d.oracle[name].Version)
+		t.Fatalf("put %s returned version %d, current is %d", name, result.Version, d.oracle[name].Version)
 	}
 }
 
@@ -140,7 +141,7 @@
 
 func (d *directories) deliver(t *rapid.T) {
 	if len(d.late) == 0 {
-		return // nothing on its way
+		return // nothing in flight
 	}
 	d.tables[d.table(t)].Adopt(rapid.SampledFrom(d.late).Draw(t, "answer"))
 }
@@ -160,12 +161,13 @@
 			}
 		}
 		if len(table.directory.rivals) > fuzzTokens {
-			t.Fatal("clashes are kept that are over")
+			t.Fatal("conflicts remain for tokens that no longer conflict")
 		}
 	}
 }
 
-// settle has one host list and the others pull, and compares with the map.
+// settle makes one host list and the others pull from it, and compares them
+// with the oracle.
 func (d *directories) settle(t *rapid.T) {
 	objects, revision, err := d.memory.List(context.Background(), Kind)
 	if err != nil {
@@ -189,11 +191,11 @@
 		}
 	}
 	if len(table.directory.byToken) != len(holders) {
-		t.Fatalf("host %d knows %d tokens, want %d", host, len(table.directory.byToken), len(holders))
+		t.Fatalf("host %d has %d tokens, want %d", host, len(table.directory.byToken), len(holders))
 	}
 	for hash, name := range holders {
 		if o, ok := table.Organisation(hash); !ok || o.Name != name || o.Version != d.oracle[name].Version {
-			t.Fatalf("host %d: a token of %s is that of %v", host, name, o)
+			t.Fatalf("host %d resolves a token of %s to %v", host, name, o)
 		}
 	}
 	if page := table.Organisations("", len(d.names)); len(page) != len(d.oracle) || !slices.IsSortedFunc(page, byName) {
@@ -201,7 +203,8 @@
 	}
 }
 
-// Guards against a change reported twice or wrongly when its answer is lost.
+// Guards against a second write or a wrong outcome of a change whose answer is
+// lost.
 func TestLostAnswerOfAnOrganisationIsSettled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, ctx := is.New(t), t.Context()
@@ -236,7 +239,8 @@
 	})
 }
 
-// Guards against lost updates of one organisation, and conflicts with its neighbours.
+// Guards against lost updates of one organisation, and against conflicts with
+// others of its shard.
 func TestRacingOperatorsOfOneOrganisation(t *testing.T) {
 	is, ctx := is.New(t), t.Context()
 	acceptor := NewAcceptor(store.NewMemory(), parseTest)
@@ -257,8 +261,8 @@
 	is.Equal(lost.Winner.ChangeID, "c3")
 }
 
-// Whatever could lock an organisation out or let a stranger in is refused
-// before it is written.
+// Guards against invalid organisations that would lock a client out or admit
+// others: they are refused before they are written.
 func TestOrganisationsAreCheckedStrictly(t *testing.T) {
 	is, ctx := is.New(t), t.Context()
 	memory, table := store.NewMemory(), NewTable(parseTest)
@@ -284,8 +288,8 @@
 	is.Equal(len(table.Organisations("", 10)), 1)
 }
 
-// A shard that cannot be read, or that holds an organisation of another shard,
-// leaves the last good one in force.
+// Guards against losing the last valid shard to one that is invalid or contains
+// an organisation of another shard.
 func TestUnreadableShardLeavesTheLastGoodOne(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(parseTest)
--- a/configuration/table.go
+++ b/configuration/table.go
@@ -16,19 +16,19 @@
 
 var clashes = prometheus.NewCounter(prometheus.CounterOpts{
 	Namespace: "papayasail", Subsystem: "configuration", Name: "organisation_clashes_total",
-	Help: "Tokens put in force that another organisation holds too; the first by name has it.",
+	Help: "Tokens put in force that another organisation has too; the first by name gets the token.",
 })
 
 func init() { prometheus.MustRegister(clashes) }
 
-// Parser reads a service document. File names it in findings.
+// Parser parses a service document; file names it in findings.
 type Parser func(file string, data []byte) (*contract.Document, error)
 
-// Finding says that a stored object could not be put in force.
+// Finding reports a stored object that could not be put in force.
 type Finding = replica.Finding
 
 // Table is the configuration in force on this host: a replica of the stored
-// objects and what they say.
+// objects and their decoded content. It is safe for concurrent use.
 //
 // Lock order: the replica's lock, then mu.
 type Table struct {
@@ -41,20 +41,20 @@
 	directory directory
 }
 
-// inForce is the last good document of a service.
+// inForce is the last valid document of a service.
 type inForce struct {
 	document *contract.Document
 	version  store.Version
 }
 
-// target is what is kept from new work: a backend server (a drain) or a
-// failure domain (an evacuation).
+// target is a backend server (drain) or failure domain (evacuation) that gets
+// no new work.
 type target struct {
 	what audit.What
 	name string
 }
 
-// NewTable returns an empty table that reads documents with parse.
+// NewTable returns an empty table that parses documents with parse.
 func NewTable(parse Parser) *Table {
 	t := &Table{
 		parse:     parse,
@@ -66,8 +66,8 @@
 	return t
 }
 
-// putInForce applies an object's content. On an error the last good content
-// stays in force.
+// putInForce applies an object's content. On an error the last valid content
+// stays in force. The replica calls it with its lock held.
 func (t *Table) putInForce(object store.Object) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -118,7 +118,7 @@
 	}
 }
 
-// Document returns the document in force of a service and its version.
+// Document returns a service's document in force and its version.
 // Documents are shared: callers must not change them.
 func (t *Table) Document(service string) (*contract.Document, store.Version, bool) {
 	t.mu.RLock()
@@ -127,8 +127,8 @@
 	return current.document, current.version, ok
 }
 
-// Source returns the newest stored document of a service as its team wrote it,
-// and its version.
+// Source returns the newest stored document of a service, unparsed, and its
+// version. An invalid document is returned too, although it is not in force.
 func (t *Table) Source(service string) (string, store.Version, bool) {
 	object, ok := t.Get(Kind, ServiceName(service))
 	envelope, err := ParseEnvelope(object.Value)
@@ -163,8 +163,8 @@
 	return t.drained[target{audit.WhatEvacuation, domain}]
 }
 
-// Organisation returns the organisation in force that holds a token. It is
-// shared: callers must not change it.
+// Organisation returns the organisation in force to which a token belongs. It
+// is shared: callers must not change it.
 func (t *Table) Organisation(token settings.TokenHash) (*Organisation, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -172,15 +172,17 @@
 	return organisation, ok
 }
 
-// Organisations returns those in force whose names come after a name, in
-// order, limit at most. They are shared: callers must not change them.
+// Organisations returns the organisations in force whose names sort after a
+// name, ordered by name, limit at most. They are shared: callers must not
+// change them.
 func (t *Table) Organisations(after string, limit int) []*Organisation {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.directory.page(after, limit)
 }
 
-// OrganisationNamed returns the organisation in force of a name.
+// OrganisationNamed returns the organisation in force with a name. It is
+// shared: callers must not change it.
 func (t *Table) OrganisationNamed(name string) (*Organisation, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
--- a/configuration/table_bench_test.go
+++ b/configuration/table_bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// benchServices is the number of documents in the benchmarks: 13 models and
-// their plain services, several for each.
+// benchServices is the number of documents in the benchmarks: 13 models with
+// several plain services each.
 const benchServices = 60
 
 func benchTable() *Table {
--- a/configuration/table_test.go
+++ b/configuration/table_test.go
@@ -8,7 +8,7 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// Guards against an older version taken from a peer that was cut off.
+// Guards against adopting an older version from a peer that was partitioned.
 func TestTableNeverGoesBack(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(parseTest)
@@ -24,8 +24,8 @@
 }
 
 func TestTableDeletedStaysDeleted(t *testing.T) {
-	// A service is removed, and comes back on one host: a peer that did not
-	// hear of the removal offers the document.
+	// Guards against a removed service that reappears on a host, offered by a
+	// peer that has not received the removal.
 	is := is.New(t)
 	table := NewTable(parseTest)
 	table.Adopt([]store.Object{object("service/a", "a x", 5)})
@@ -39,8 +39,8 @@
 }
 
 func TestTableMissedDeletion(t *testing.T) {
-	// A host does not watch while a service is removed; the store has since
-	// dropped the event. The list that it takes then lacks the service.
+	// Guards against keeping a service whose removal event the store compacted
+	// while the host did not watch: the next list lacks the service.
 	is := is.New(t)
 	table := NewTable(parseTest)
 	table.Adopt([]store.Object{object("service/a", "a x", 5), object("service/b", "b x", 6)})
@@ -51,8 +51,8 @@
 }
 
 func TestTableKeepsLastGood(t *testing.T) {
-	// A document is written past the checks. Hosts that have a good version
-	// go on with it and still count the version as seen.
+	// Guards against losing the last valid document to an invalid one that was
+	// written without validation; its version still counts as seen.
 	is := is.New(t)
 	table := NewTable(parseTest)
 	table.Adopt([]store.Object{object("service/a", "a good", 5)})
--- a/configuration/watcher_test.go
+++ b/configuration/watcher_test.go
@@ -12,7 +12,8 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// Guards against lost documents, and a store asked too often, through a long outage.
+// Guards against lost documents and too frequent calls to the store during a
+// long outage.
 func TestWatcherThroughTwoHourOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -34,12 +35,12 @@
 		_, _, ok := table.Document("a")
 		is.True(ok)
 		is.True(!watcher.Reachable())
-		is.True(memory.Calls()-before < 2*60*8+10) // one call each 7.5 to 15 s
+		is.True(memory.Calls()-before < 2*60*8+10) // one call every 7.5 to 15 s
 
 		memory.SetFaults(store.Faults{})
 		second, err := acceptor.Put(ctx, change("c2", "y", first.Version))
 		is.NoErr(err)
-		time.Sleep(15 * time.Second) // the longest step of the backoff
+		time.Sleep(15 * time.Second) // the longest backoff
 		is.Equal(table.Version(), second.Version)
 	})
 }
