--- a/organisation/limits.go
+++ b/organisation/limits.go
@@ -6,27 +6,27 @@
 	"github.com/papayasail/papayasail/contract"
 )
 
-// Limits counts what organisations run at one service against their limits.
-// It is not safe for concurrent use.
+// Limits enforces the organisations' limits at one service: requests in flight
+// and tokens per minute. It is not safe for concurrent use.
 type Limits struct {
 	usage map[string]*usage
 }
 
 type usage struct {
 	inFlight int
-	balance  float64   // tokens left of the minute; below zero: debt
-	at       time.Time // of balance; zero: never used
+	balance  float64   // tokens available now; negative: overdrawn
+	at       time.Time // time of the last refill; zero: never
 }
 
-// retryInFlight is when to come back after too many requests in flight; when
-// one of them ends is not known.
+// retryInFlight is the retry delay if too many requests are in flight. It is a
+// constant because the end of a running request cannot be predicted.
 const retryInFlight = time.Second
 
 // NewLimits returns an empty table.
 func NewLimits() *Limits { return &Limits{usage: map[string]*usage{}} }
 
-// Admit counts a request in, or returns when to come back. share is the part
-// of the stated limit that this host may give out, 0 to 1.
+// Admit counts a request as in flight, or returns false and when to retry.
+// share is the fraction of the limit that this host may use, 0 to 1; see Share.
 func (l *Limits) Admit(limit contract.Limit, share float64, now time.Time) (retryAfter time.Duration, ok bool) {
 	u := l.of(limit.Organisation)
 	if limit.MaxInFlight > 0 && u.inFlight >= Share(limit.MaxInFlight, share) {
@@ -44,20 +44,22 @@
 	return 0, true
 }
 
-// Leave counts a request out that Admit counted in.
+// Leave ends a request that Admit counted as in flight.
 func (l *Limits) Leave(organisation string) { l.of(organisation).inFlight-- }
 
-// Spend takes tokens off an organisation's minute. How long a generation will
-// run is not known before, so a minute may end in debt; it is worked off
-// before anything else is admitted, and the rate holds in the long run.
+// Spend deducts tokens from an organisation's balance. The length of a
+// generation is not known in advance, so the balance may become negative. No
+// further request is admitted until it is positive again, so that the limit
+// holds on average.
 func (l *Limits) Spend(organisation string, tokens int) {
 	l.of(organisation).balance -= float64(tokens)
 }
 
-// InFlight returns how many requests of an organisation are counted in.
+// InFlight returns how many requests of an organisation are in flight.
 func (l *Limits) InFlight(organisation string) int { return l.of(organisation).inFlight }
 
-// Share returns a host's part of a limit, at least 1.
+// Share returns a host's share of a limit, at least 1. A share outside of 0 to
+// 1 (exclusive) returns the whole limit.
 func Share(limit int, share float64) int {
 	if share <= 0 || share >= 1 {
 		return limit
@@ -74,8 +76,8 @@
 	return u
 }
 
-// refill adds what a minute's rate has given since the last time. A first use
-// finds the minute full.
+// refill adds the tokens accrued since the last refill, up to one minute's
+// worth. The first refill adds a full minute.
 func (u *usage) refill(perMinute int, now time.Time) {
 	full := float64(perMinute)
 	if u.at.IsZero() {
--- a/organisation/queue.go
+++ b/organisation/queue.go
@@ -1,5 +1,5 @@
-// Package organisation holds what keeps organisations apart at one service:
-// fair queueing by tokens and limits on their running work.
+// Package organisation isolates organisations from each other at one service,
+// by weighted fair queueing and by limits on requests in flight and tokens.
 package organisation
 
 import (
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// headStart is how much earlier a request counts as queued for each step of
-// priority. Being finite, it cannot starve low priorities.
+// headStart is how much earlier a request counts as queued for each level of
+// priority. As it is finite, it cannot starve low priorities.
 const headStart = time.Second
 
 // Item is a queued request.
@@ -19,18 +19,18 @@
 	Cost         float64   // expected tokens
 	QueuedAt     time.Time // when it was added
 
-	rank  time.Time // QueuedAt less the head start
+	rank  time.Time // QueuedAt minus the head start
 	index int       // in the organisation's heap; -1: not queued
 }
 
-// Queue orders requests fairly across organisations: the one that has been
-// served the fewest tokens for its weight goes next (start-time fair
-// queueing). Within an organisation, earlier requests go first, with a head
-// start for priority. It is not safe for concurrent use.
+// Queue orders requests fairly across organisations by start-time fair
+// queueing: the organisation that has been served the fewest tokens per weight
+// is next. Within an organisation, requests are ordered by queueing time, with
+// a head start for priority. It is not safe for concurrent use.
 type Queue[T any] struct {
 	weights func(organisation string) float64
 	orgs    map[string]*orgQueue[T]
-	active  []*orgQueue[T] // with queued requests
+	active  []*orgQueue[T] // those with queued requests
 	clock   float64        // virtual time: start tag of the last request served
 	length  int
 	cost    float64
@@ -40,7 +40,7 @@
 	name   string
 	items  itemHeap[T]
 	cost   float64 // of all items
-	served float64 // virtual time up to which it has been served
+	served float64 // start tag of the next request, in virtual time (tokens per weight)
 }
 
 // NewQueue returns an empty queue; weights returns an organisation's weight.
@@ -58,8 +58,8 @@
 func (q *Queue[T]) Push(item *Item[T]) {
 	org := q.org(item.Organisation)
 	if len(org.items) == 0 {
-		// An idle organisation saves up nothing: otherwise one that was quiet
-		// for an hour could hold everybody else up for as long.
+		// An idle organisation accrues no credit: otherwise one that was idle
+		// for an hour could delay all others for as long.
 		org.served = max(org.served, q.clock)
 		q.active = append(q.active, org)
 	}
@@ -70,9 +70,9 @@
 	org.cost += item.Cost
 }
 
-// Ahead returns the expected tokens that will be served before a request which
-// an organisation queued now: its own queue, and of the others' as much as
-// fair order gives them meanwhile.
+// Ahead returns the expected number of tokens that are served before a request
+// that an organisation queues now: the cost of its own queue, plus the others'
+// fair shares in the same period, each limited to the cost of its queue.
 func (q *Queue[T]) Ahead(organisation string) float64 {
 	own := q.org(organisation)
 	weight := q.weight(organisation)
@@ -85,7 +85,7 @@
 	return ahead
 }
 
-// Peek returns the request to be served next, nil if there is none.
+// Peek returns the request to serve next, nil if the queue is empty.
 func (q *Queue[T]) Peek() *Item[T] {
 	if org := q.next(); org != nil {
 		return org.items[0]
@@ -93,8 +93,9 @@
 	return nil
 }
 
-// Each visits the head of each organisation, the next to be served first,
-// until f returns false. f must not change the queue.
+// Each calls f with the first request of each organisation, in the order in
+// which they would be served, until f returns false. f must not change the
+// queue.
 func (q *Queue[T]) Each(f func(*Item[T]) bool) {
 	for i := range q.active {
 		least := i
@@ -110,7 +111,8 @@
 	}
 }
 
-// Serve takes an item out of the queue and charges its organisation.
+// Serve removes an item from the queue and charges its cost to its
+// organisation.
 func (q *Queue[T]) Serve(item *Item[T]) {
 	org := q.orgs[item.Organisation]
 	q.Remove(item)
@@ -118,9 +120,9 @@
 	q.Charge(item.Organisation, item.Cost)
 }
 
-// Charge adds tokens to what an organisation has been served; negative ones
-// give back what it was charged too much. A request that is served without
-// waiting is charged too.
+// Charge adds tokens to the service that an organisation has received; a
+// negative number refunds an overestimate. It is also to be called for requests
+// that are served without being queued.
 func (q *Queue[T]) Charge(organisation string, tokens float64) {
 	org := q.org(organisation)
 	if tokens > 0 && len(org.items) == 0 {
@@ -129,7 +131,8 @@
 	org.served += tokens / q.weight(organisation)
 }
 
-// Remove takes an item out of the queue without serving it.
+// Remove removes an item from the queue without charging for it. It does
+// nothing if the item is not queued.
 func (q *Queue[T]) Remove(item *Item[T]) {
 	org := q.orgs[item.Organisation]
 	if org == nil || item.index < 0 || item.index >= len(org.items) || org.items[item.index] != item {
@@ -182,8 +185,8 @@
 	return 1
 }
 
-// before orders by tokens served for the weight, then by name, so that the
-// same input gives the same order.
+// before orders by tokens served per weight, then by name, so that the order is
+// deterministic.
 func (o *orgQueue[T]) before(other *orgQueue[T]) bool {
 	if o.served != other.served {
 		return o.served < other.served
--- a/organisation/queue_test.go
+++ b/organisation/queue_test.go
@@ -13,8 +13,8 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// A large organisation queues a thousand letters at once. A small one that
-// asks a moment later must not wait behind them all.
+// Guards against one organisation that queues many requests at once delaying
+// all others until they are served.
 func TestServedTokensFollowWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := map[string]float64{}
@@ -45,8 +45,8 @@
 	})
 }
 
-// An organisation is quiet for an hour. When it comes back it gets its share
-// from now on, not the hour at once.
+// Guards against an organisation that was idle getting more than its share once
+// it is active again.
 func TestIdleTimeIsNotSavedUp(t *testing.T) {
 	is := is.New(t)
 	queue := NewQueue[int](func(string) float64 { return 1 })
@@ -70,8 +70,8 @@
 	is.True(back >= 4 && back <= 6)
 }
 
-// Urgent requests keep coming. A plain one that waits longer than their head
-// start goes before new ones.
+// Guards against starving a low-priority request under a steady stream of
+// urgent ones: it must be served once it has waited for their head start.
 func TestPriorityDoesNotStarve(t *testing.T) {
 	is := is.New(t)
 	queue := NewQueue[string](func(string) float64 { return 1 })
@@ -82,11 +82,11 @@
 		item := queue.Peek()
 		queue.Serve(item)
 		if item.Value == "plain" {
-			is.True(i >= 3) // the first ones had their head start
+			is.True(i >= 3) // the first urgent requests had their head start
 			return
 		}
 	}
-	t.Fatal("never served")
+	t.Fatal("low-priority request was never served")
 }
 
 func TestRemoveKeepsCounts(t *testing.T) {
@@ -101,7 +101,7 @@
 		left := len(items)
 		for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, len(items)-1), 0, len(items), rapid.ID).Draw(t, "removed") {
 			queue.Remove(items[i])
-			queue.Remove(items[i]) // a second time changes nothing
+			queue.Remove(items[i]) // a second removal has no effect
 			left--
 		}
 		for queue.Peek() != nil {
@@ -136,7 +136,7 @@
 			}
 		}
 		if limit.TokensPerMinute > 0 && limit.MaxInFlight > 0 {
-			// one full minute to begin with, the rate, and the last generations
+			// one initial minute, the refill rate, and the last generations
 			bound := float64(limit.TokensPerMinute)*(1+now.Sub(start).Minutes()) + float64((limit.MaxInFlight+1)*largest)
 			if float64(spent) > bound {
 				t.Fatalf("%d tokens spent, bound %v", spent, bound)
