--- a/configuration/acceptor.go
+++ b/configuration/acceptor.go
@@ -58,9 +58,9 @@
 type Acceptor struct {
 	store store.Store
 	parse Parser
-	// SettleFor bounds how long a change is retried and its outcome settled
+	// SettleTimeout bounds how long a change is retried and its outcome settled
 	// while the store fails. It must be set before first use.
-	SettleFor time.Duration
+	SettleTimeout time.Duration
 	// Seen is called with each object that was read or written; nil: no call.
 	// It puts this host's own writes in force on this host.
 	//
@@ -74,13 +74,13 @@
 }
 
 const (
-	defaultSettleFor = 10 * time.Second
-	maxTrail         = 1000 // entries that Trail returns
+	defaultSettleTimeout = 10 * time.Second
+	maxTrail             = 1000 // entries that Trail returns
 )
 
 // NewAcceptor returns an Acceptor that validates documents with parse.
 func NewAcceptor(store store.Store, parse Parser) *Acceptor {
-	return &Acceptor{store: store, parse: parse, SettleFor: defaultSettleFor}
+	return &Acceptor{store: store, parse: parse, SettleTimeout: defaultSettleTimeout}
 }
 
 // Put puts a document in force if the service's version is the expected one.
@@ -96,13 +96,13 @@
 		return Result{Outcome: NotAccepted}, ErrWrongService
 	}
 	return a.write(ctx, &edit{
-		stored:   ServiceName(change.Service),
-		what:     audit.WhatDocument,
-		name:     change.Service,
-		changeID: change.ChangeID,
-		who:      change.Who,
-		expect:   &change.Expect,
-		apply:    func(e *Envelope) { e.Document = string(change.Document) },
+		objectName: ServiceName(change.Service),
+		what:       audit.WhatDocument,
+		name:       change.Service,
+		changeID:   change.ChangeID,
+		who:        change.Who,
+		expect:     &change.Expect,
+		apply:      func(e *Envelope) { e.Document = string(change.Document) },
 	})
 }
 
@@ -132,7 +132,7 @@
 		detail = "end"
 	}
 	return &edit{
-		stored: stored, what: what, name: name, changeID: changeID, who: who, detail: detail,
+		objectName: stored, what: what, name: name, changeID: changeID, who: who, detail: detail,
 		apply: func(e *Envelope) { e.Drained = !end },
 	}
 }
@@ -145,7 +145,7 @@
 // unavailable, and Unknown without an error if the change may be older than the
 // oldest history entry.
 func (a *Acceptor) Settle(ctx context.Context, service, changeID string) (Result, error) {
-	return a.settle(ctx, &edit{stored: ServiceName(service), name: service, changeID: changeID})
+	return a.settle(ctx, &edit{objectName: ServiceName(service), name: service, changeID: changeID})
 }
 
 // settle records that the edit's change was not accepted, unless it was.
--- a/configuration/acceptor_test.go
+++ b/configuration/acceptor_test.go
@@ -70,8 +70,8 @@
 	})
 }
 
-// Guards against wrong outcomes if the store becomes unavailable before or after
-// the write.
+// Guards against wrong outcomes if the store becomes unavailable before or
+// after the write.
 func TestStoreAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, ctx := is.New(t), t.Context()
@@ -102,7 +102,8 @@
 	})
 }
 
-// Guards against a change that takes effect after it was settled as not accepted.
+// Guards against a change that takes effect after it was settled as not
+// accepted.
 func TestSettledAsNotAcceptedIsFinal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, ctx := is.New(t), t.Context()
--- a/configuration/edit.go
+++ b/configuration/edit.go
@@ -21,25 +21,26 @@
 
 // edit is one change to one stored object.
 type edit struct {
-	stored   string
-	what     audit.What
-	name     string
-	changeID string
-	who      string
-	detail   string
-	expect   *store.Version // nil: any version
-	apply    func(*Envelope)
-	// content is hashed to identify the edit if the object also has content of
-	// others; empty: the digest of the whole object is used.
-	content string
+	objectName string
+	what       audit.What
+	name       string
+	changeID   string
+	who        string
+	detail     string
+	expect     *store.Version // nil: any version
+	apply      func(*Envelope)
+	// digestText is hashed to identify the edit if the object also has content
+	// of others; empty: the digest of the whole object is used.
+	digestText string
 	// versionOf returns the version to compare with expect if the object also
 	// has content of others; nil: the object's version is used.
-	versionOf func(stored) store.Version
-	keep      int // maximum number of history entries; 0: audit.MaxEntries
+	versionOf  func(storedObject) store.Version
+	maxHistory int // maximum number of history entries; 0: audit.MaxEntries
 }
 
-// stored is an object as read; the zero value is an object that does not exist.
-type stored struct {
+// storedObject is an object as read; the zero value is an object that does not
+// exist.
+type storedObject struct {
 	version  store.Version
 	envelope Envelope
 }
@@ -52,12 +53,12 @@
 	if e.changeID == "" {
 		return Result{Outcome: NotAccepted}, ErrNoChangeID
 	}
-	ctx, cancel := context.WithTimeout(ctx, a.SettleFor)
+	ctx, cancel := context.WithTimeout(ctx, a.SettleTimeout)
 	defer cancel()
 	var backoff store.Backoff
 	sent := false // a write may be in flight, or its answer was lost
 	for {
-		result, err := a.try(ctx, e)
+		result, err := a.attempt(ctx, e)
 		sent = sent || errors.Is(err, store.ErrOutcomeUnknown)
 		if result.Outcome != "" {
 			return result, err
@@ -75,46 +76,46 @@
 	}
 }
 
-// try reads and writes once. If the result has no outcome, the edit must be
+// attempt reads and writes once. If the result has no outcome, the edit must be
 // retried, and a non-nil error is the store's.
-func (a *Acceptor) try(ctx context.Context, e *edit) (Result, error) {
-	current, err := a.read(ctx, e.stored)
+func (a *Acceptor) attempt(ctx context.Context, e *edit) (Result, error) {
+	current, err := a.read(ctx, e.objectName)
 	if err != nil {
 		return Result{}, err
 	}
 	if result, err := e.decide(current); result.Outcome != "" {
 		return result, err
 	}
-	value, err := e.next(current).Encode()
+	value, err := e.nextEnvelope(current).Encode()
 	if err != nil {
 		return Result{Outcome: NotAccepted, Version: current.version}, err
 	}
-	version, err := a.store.Put(ctx, Kind, e.stored, value, current.version)
+	version, err := a.store.Put(ctx, Kind, e.objectName, value, current.version)
 	var bad *store.VersionError
 	switch {
 	case err == nil:
-		a.saw(store.Object{Kind: Kind, Name: e.stored, Version: version, Value: value})
-		return e.written(version), nil
+		a.notifySeen(store.Object{Kind: Kind, Name: e.objectName, Version: version, Value: value})
+		return e.writtenResult(version), nil
 	case errors.As(err, &bad):
 		return Result{}, nil // another change was written in between: read again
 	}
 	return Result{}, err
 }
 
-func (a *Acceptor) read(ctx context.Context, name string) (stored, error) {
+func (a *Acceptor) read(ctx context.Context, name string) (storedObject, error) {
 	object, err := a.store.Get(ctx, Kind, name)
 	if errors.Is(err, store.ErrNoObject) {
-		return stored{}, nil
+		return storedObject{}, nil
 	}
 	if err != nil {
-		return stored{}, err
+		return storedObject{}, err
 	}
-	a.saw(object)
+	a.notifySeen(object)
 	envelope, err := ParseEnvelope(object.Value)
-	return stored{version: object.Version, envelope: envelope}, err
+	return storedObject{version: object.Version, envelope: envelope}, err
 }
 
-func (a *Acceptor) saw(object store.Object) {
+func (a *Acceptor) notifySeen(object store.Object) {
 	if a.Seen != nil {
 		a.Seen(object)
 	}
@@ -122,16 +123,16 @@
 
 // decide returns the outcome if the stored object already determines it, and
 // a result without outcome otherwise.
-func (e *edit) decide(current stored) (Result, error) {
+func (e *edit) decide(current storedObject) (Result, error) {
 	history := current.envelope.History
 	if entry, ok := history.Find(e.changeID, current.version); ok {
-		return e.found(entry, current)
+		return e.resultOf(entry, current)
 	}
 	if e.what == audit.WhatSettled && history.Dropped > 0 {
 		oldest := history.Entries[len(history.Entries)-1].When.Format(time.RFC3339)
 		return Result{Outcome: Unknown, Version: current.version, Detail: "not among the changes since " + oldest}, nil
 	}
-	if e.expect == nil || e.expects(current) {
+	if e.expect == nil || e.versionMatches(current) {
 		return Result{}, nil
 	}
 	// The version has changed, so an earlier attempt of this change that is
@@ -146,15 +147,15 @@
 	return result, nil
 }
 
-func (e *edit) version(current stored) store.Version {
+func (e *edit) version(current storedObject) store.Version {
 	if e.versionOf != nil {
 		return e.versionOf(current)
 	}
 	return current.version
 }
 
-// found returns the outcome of a change that is in the history.
-func (e *edit) found(entry audit.Entry, current stored) (Result, error) {
+// resultOf returns the outcome of a change that is in the history.
+func (e *edit) resultOf(entry audit.Entry, current storedObject) (Result, error) {
 	if entry.What == audit.WhatSettled {
 		return Result{Outcome: NotAccepted, Version: current.version, Detail: "settled as not accepted; use a new change id"}, nil
 	}
@@ -164,42 +165,42 @@
 	return Result{Outcome: Accepted, Version: entry.To}, nil
 }
 
-// expects reports whether the current object has the expected version. A
+// versionMatches reports whether the current object has the expected version. A
 // service without a document, which only has settled changes, counts as new.
-func (e *edit) expects(current stored) bool {
+func (e *edit) versionMatches(current storedObject) bool {
 	if e.versionOf != nil {
 		return *e.expect == e.versionOf(current)
 	}
 	return *e.expect == current.version || *e.expect == 0 && current.envelope.Document == ""
 }
 
-// next returns the envelope that the edit writes to replace current.
-func (e *edit) next(current stored) Envelope {
+// nextEnvelope returns the envelope that the edit writes to replace current.
+func (e *edit) nextEnvelope(current storedObject) Envelope {
 	envelope := current.envelope
-	envelope.Organisations = stamped(envelope.Organisations, current.version)
+	envelope.Organisations = withVersions(envelope.Organisations, current.version)
 	e.apply(&envelope)
 	entry := audit.Entry{
 		ChangeID: e.changeID, Who: e.who, When: time.Now().UTC(), What: e.what, Name: e.name,
 		From: current.version, Detail: e.detail, Digest: e.digest(current),
 	}
 	envelope.History = envelope.History.With(entry, current.version)
-	if e.keep > 0 {
-		envelope.History = envelope.History.Truncate(e.keep)
+	if e.maxHistory > 0 {
+		envelope.History = envelope.History.Truncate(e.maxHistory)
 	}
 	return envelope
 }
 
-func (e *edit) digest(current stored) uint64 {
-	if e.content != "" {
-		return xxhash.Sum64String(e.content)
+func (e *edit) digest(current storedObject) uint64 {
+	if e.digestText != "" {
+		return xxhash.Sum64String(e.digestText)
 	}
 	envelope := current.envelope
 	e.apply(&envelope)
 	return envelope.digest()
 }
 
-// written returns the result of a write that took effect at a version.
-func (e *edit) written(version store.Version) Result {
+// writtenResult returns the result of a write that took effect at a version.
+func (e *edit) writtenResult(version store.Version) Result {
 	if e.what == audit.WhatSettled {
 		return Result{Outcome: NotAccepted, Version: version}
 	}
--- a/configuration/fuzz_test.go
+++ b/configuration/fuzz_test.go
@@ -12,14 +12,14 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// spread is the state machine of configuration that propagates from the store
-// to hosts and between hosts, with delayed and reordered answers.
-type spread struct {
-	store   *store.Memory
-	tables  []*Table
-	served  []map[string]store.Version // by table: highest served version of each service
-	late    []func(*Table)             // answers in flight
-	reached map[string]int             // number of runs of each action
+// propagation is the state machine of configuration that propagates from the
+// store to hosts and between hosts, with delayed and reordered answers.
+type propagation struct {
+	store    *store.Memory
+	tables   []*Table
+	served   []map[string]store.Version // by table: highest served version of each service
+	inFlight []func(*Table)             // answers in flight
+	counts   map[string]int             // number of runs of each action
 }
 
 const (
@@ -32,7 +32,7 @@
 	// to the store's, after stale answers, replaced hosts and removals.
 	reached := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
-		s := &spread{store: store.NewMemory(), reached: reached}
+		s := &propagation{store: store.NewMemory(), counts: reached}
 		for range fuzzTables {
 			s.tables = append(s.tables, NewTable(parseTest))
 			s.served = append(s.served, map[string]store.Version{})
@@ -54,12 +54,12 @@
 	}
 }
 
-func (s *spread) did(action string) context.Context {
-	s.reached[action]++
+func (s *propagation) count(action string) context.Context {
+	s.counts[action]++
 	return context.Background()
 }
 
-func (s *spread) current(service string) store.Version {
+func (s *propagation) current(service string) store.Version {
 	object, err := s.store.Get(context.Background(), Kind, ServiceName(service))
 	if err != nil {
 		return 0
@@ -71,9 +71,9 @@
 	return fmt.Sprintf("s%d", rapid.IntRange(0, fuzzServices-1).Draw(t, "service"))
 }
 
-func (s *spread) table(t *rapid.T) int { return rapid.IntRange(0, fuzzTables-1).Draw(t, "table") }
+func (s *propagation) table(t *rapid.T) int { return rapid.IntRange(0, fuzzTables-1).Draw(t, "table") }
 
-func (s *spread) write(t *rapid.T) {
+func (s *propagation) write(t *rapid.T) {
 	name := service(t)
 	text := name + " x"
 	if rapid.IntRange(0, 9).Draw(t, "bad") == 0 {
@@ -83,61 +83,61 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.store.Put(s.did("write"), Kind, ServiceName(name), value, s.current(name)); err != nil {
+	if _, err := s.store.Put(s.count("write"), Kind, ServiceName(name), value, s.current(name)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (s *spread) remove(t *rapid.T) {
+func (s *propagation) remove(t *rapid.T) {
 	name := service(t)
 	if version := s.current(name); version != 0 {
-		if _, err := s.store.Delete(s.did("remove"), Kind, ServiceName(name), version); err != nil {
+		if _, err := s.store.Delete(s.count("remove"), Kind, ServiceName(name), version); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-func (s *spread) list(*rapid.T) {
-	objects, revision, err := s.store.List(s.did("list"), Kind)
+func (s *propagation) list(*rapid.T) {
+	objects, revision, err := s.store.List(s.count("list"), Kind)
 	if err == nil {
-		s.late = append(s.late, func(table *Table) { table.AdoptList(Kind, objects, revision) })
+		s.inFlight = append(s.inFlight, func(table *Table) { table.AdoptList(Kind, objects, revision) })
 	}
 }
 
-func (s *spread) watch(t *rapid.T) {
+func (s *propagation) watch(t *rapid.T) {
 	after := s.tables[s.table(t)].Version()
-	ctx, cancel := context.WithCancel(s.did("watch"))
+	ctx, cancel := context.WithCancel(s.count("watch"))
 	cancel() // returns available changes without waiting
 	objects, _, err := s.store.Watch(ctx, Kind, after)
 	if err == nil {
-		s.late = append(s.late, func(table *Table) { table.Adopt(objects) })
+		s.inFlight = append(s.inFlight, func(table *Table) { table.Adopt(objects) })
 	}
 }
 
 // pull requests objects from one host; the answer is in flight.
-func (s *spread) pull(t *rapid.T) {
-	s.did("pull")
+func (s *propagation) pull(t *rapid.T) {
+	s.count("pull")
 	objects := s.tables[s.table(t)].Since(store.Version(rapid.IntRange(0, 5).Draw(t, "after")))
-	s.late = append(s.late, func(table *Table) { table.Adopt(objects) })
+	s.inFlight = append(s.inFlight, func(table *Table) { table.Adopt(objects) })
 }
 
 // deliver delivers any answer in flight, possibly a second time, to any host.
-func (s *spread) deliver(t *rapid.T) {
-	if len(s.late) == 0 {
+func (s *propagation) deliver(t *rapid.T) {
+	if len(s.inFlight) == 0 {
 		return // nothing in flight
 	}
-	s.did("deliver")
-	s.late[rapid.IntRange(0, len(s.late)-1).Draw(t, "answer")](s.tables[s.table(t)])
+	s.count("deliver")
+	s.inFlight[rapid.IntRange(0, len(s.inFlight)-1).Draw(t, "answer")](s.tables[s.table(t)])
 }
 
-func (s *spread) replace(t *rapid.T) {
-	s.did("replace")
+func (s *propagation) replace(t *rapid.T) {
+	s.count("replace")
 	i := s.table(t)
 	s.tables[i], s.served[i] = NewTable(parseTest), map[string]store.Version{}
 }
 
 // check is the oracle after each action.
-func (s *spread) check(t *rapid.T) {
+func (s *propagation) check(t *rapid.T) {
 	for i, table := range s.tables {
 		for _, document := range table.Documents() {
 			_, version, _ := table.Document(document.Service)
@@ -151,7 +151,7 @@
 
 // settle makes one host list, lets all hosts pull from each other repeatedly,
 // and compares them with the store.
-func (s *spread) settle(t *rapid.T) {
+func (s *propagation) settle(t *rapid.T) {
 	ctx := context.Background()
 	objects, revision, err := s.store.List(ctx, Kind)
 	if err != nil {
--- a/configuration/object.go
+++ b/configuration/object.go
@@ -96,9 +96,9 @@
 	return errors.Wrap(err, "configuration: backend server address")
 }
 
-// nameOf splits a stored name into the object's type and its name. An unknown
-// type is empty.
-func nameOf(stored string) (what audit.What, name string) {
+// parseStoredName splits a stored name into the object's type and its name. An
+// unknown type is empty.
+func parseStoredName(stored string) (what audit.What, name string) {
 	if service, ok := strings.CutPrefix(stored, servicePrefix); ok {
 		return audit.WhatDocument, service
 	}
--- a/configuration/organisation.go
+++ b/configuration/organisation.go
@@ -21,7 +21,8 @@
 	// migration, because a name must stay in its shard.
 	organisationShards = 256
 	// shardHistory is the maximum number of entries in a shard's history. With
-	// audit.MaxEntries (256) the history would be larger than the organisations.
+	// audit.MaxEntries (256) the history would be larger than the
+	// organisations.
 	shardHistory = 32
 
 	maxOrganisationTokens   = 8
@@ -55,29 +56,29 @@
 func (o *Organisation) Check() error {
 	switch {
 	case !contract.ValidName(o.Name):
-		return wrong("name %q must be lower-case letters, digits, - and _, beginning with a letter", o.Name)
+		return invalidOrganisation("name %q must be lower-case letters, digits, - and _, beginning with a letter", o.Name)
 	case len(o.TokenSHA256) == 0 || len(o.TokenSHA256) > maxOrganisationTokens:
-		return wrong("%s has %d tokens, must have 1 to %d", o.Name, len(o.TokenSHA256), maxOrganisationTokens)
+		return invalidOrganisation("%s has %d tokens, must have 1 to %d", o.Name, len(o.TokenSHA256), maxOrganisationTokens)
 	case len(o.Services) > maxOrganisationServices:
-		return wrong("%s names %d services, at most %d", o.Name, len(o.Services), maxOrganisationServices)
+		return invalidOrganisation("%s names %d services, at most %d", o.Name, len(o.Services), maxOrganisationServices)
 	}
 	for i, token := range o.TokenSHA256 {
 		if token == noToken {
-			return wrong("%s has the hash of an empty token", o.Name)
+			return invalidOrganisation("%s has the hash of an empty token", o.Name)
 		}
 		if slices.Contains(o.TokenSHA256[:i], token) {
-			return wrong("%s has token %s twice", o.Name, token)
+			return invalidOrganisation("%s has token %s twice", o.Name, token)
 		}
 	}
 	for i, service := range o.Services {
 		if !contract.ValidName(service) || slices.Contains(o.Services[:i], service) {
-			return wrong("%s: service %q is no name or given twice", o.Name, service)
+			return invalidOrganisation("%s: service %q is no name or given twice", o.Name, service)
 		}
 	}
 	return nil
 }
 
-func wrong(format string, arguments ...any) error {
+func invalidOrganisation(format string, arguments ...any) error {
 	return errors.Mark(errors.Newf("organisation "+format, arguments...), ErrOrganisation)
 }
 
@@ -100,18 +101,18 @@
 			return err
 		}
 		if shardOf(o.Name) != shard {
-			return wrong("%s does not belong to shard %s", o.Name, shard)
+			return invalidOrganisation("%s does not belong to shard %s", o.Name, shard)
 		}
 		if i > 0 && organisations[i-1].Name >= o.Name {
-			return wrong("%s is out of order in shard %s", o.Name, shard)
+			return invalidOrganisation("%s is out of order in shard %s", o.Name, shard)
 		}
 	}
 	return nil
 }
 
-// stamped returns a copy of the organisations of an object. Those without a
-// version were written by the object's last change and get the object's.
-func stamped(organisations []Organisation, version store.Version) []Organisation {
+// withVersions returns a copy of the organisations of an object. Those without
+// a version were written by the object's last change and get the object's.
+func withVersions(organisations []Organisation, version store.Version) []Organisation {
 	all := slices.Clone(organisations)
 	for i := range all {
 		if all[i].Version == 0 {
@@ -121,15 +122,15 @@
 	return all
 }
 
-// place returns the position of a name among organisations ordered by name, or
+// search returns the position of a name among organisations ordered by name, or
 // the position at which to insert it.
-func place(organisations []Organisation, name string) (int, bool) {
+func search(organisations []Organisation, name string) (int, bool) {
 	return slices.BinarySearchFunc(organisations, name, func(o Organisation, name string) int { return cmp.Compare(o.Name, name) })
 }
 
-// text returns the form of the organisation that is hashed into the digest of a
-// change.
-func (o *Organisation) text() string {
+// digestText returns the form of the organisation that is hashed into the
+// digest of a change.
+func (o *Organisation) digestText() string {
 	text, err := json.Marshal(o)
 	if err != nil {
 		panic(err) // unreachable: the fields are strings, hashes and numbers
--- a/configuration/organisation_bench_test.go
+++ b/configuration/organisation_bench_test.go
@@ -47,7 +47,7 @@
 	return objects
 }
 
-func packed(value []byte) int {
+func compressedSize(value []byte) int {
 	var buffer bytes.Buffer
 	writer := gzip.NewWriter(&buffer)
 	_, _ = writer.Write(value)
@@ -67,9 +67,9 @@
 // could be added. It logs the sizes in memory and on the wire.
 func TestSizesAtTheTarget(t *testing.T) {
 	objects := targetShards()
-	largest, bytes, sent := 0, 0, 0
+	largest, bytes, compressed := 0, 0, 0
 	for _, object := range objects {
-		largest, bytes, sent = max(largest, len(object.Value)), bytes+len(object.Value), sent+packed(object.Value)
+		largest, bytes, compressed = max(largest, len(object.Value)), bytes+len(object.Value), compressed+compressedSize(object.Value)
 	}
 	if largest > store.MaxValueBytes/16 {
 		t.Errorf("largest shard has %d bytes", largest)
@@ -77,9 +77,9 @@
 	before := heap()
 	table := NewTable(parseTest)
 	table.Adopt(objects)
-	held := heap() - before
+	tableBytes := heap() - before
 	t.Logf("%d objects, largest %d bytes, all %d, compressed %d (%d each); lookup table %d bytes beside the objects",
-		len(objects), largest, bytes, sent, sent/len(objects), held)
+		len(objects), largest, bytes, compressed, compressed/len(objects), tableBytes)
 	if _, ok := table.Organisation(settings.HashToken("token 29999")); !ok {
 		t.Error("not found")
 	}
--- a/configuration/organisation_change.go
+++ b/configuration/organisation_change.go
@@ -35,8 +35,8 @@
 	if err != nil {
 		return Result{Outcome: NotAccepted}, err
 	}
-	return a.write(ctx, change.edit("put", o.text(), func(e *Envelope) {
-		at, found := place(e.Organisations, o.Name)
+	return a.write(ctx, change.edit("put", o.digestText(), func(e *Envelope) {
+		at, found := search(e.Organisations, o.Name)
 		if found {
 			e.Organisations[at] = o
 			return
@@ -53,7 +53,7 @@
 	}
 	name := change.Organisation.Name
 	return a.write(ctx, change.edit("remove", "remove "+name, func(e *Envelope) {
-		if at, found := place(e.Organisations, name); found {
+		if at, found := search(e.Organisations, name); found {
 			e.Organisations = slices.Delete(e.Organisations, at, at+1)
 		}
 	}))
@@ -61,17 +61,17 @@
 
 // SettleOrganisation is Settle for a change to an organisation.
 func (a *Acceptor) SettleOrganisation(ctx context.Context, name, changeID string) (Result, error) {
-	return a.settle(ctx, &edit{stored: OrganisationsName(name), name: name, changeID: changeID, keep: shardHistory})
+	return a.settle(ctx, &edit{objectName: OrganisationsName(name), name: name, changeID: changeID, maxHistory: shardHistory})
 }
 
 func (c *OrganisationChange) edit(detail, content string, apply func(*Envelope)) *edit {
 	name := c.Organisation.Name
 	return &edit{
-		stored: OrganisationsName(name), what: audit.WhatOrganisation, name: name, changeID: c.ChangeID, who: c.Who,
-		detail: detail, content: content, expect: &c.Expect, keep: shardHistory, apply: apply,
-		versionOf: func(current stored) store.Version {
-			organisations := stamped(current.envelope.Organisations, current.version)
-			if at, found := place(organisations, name); found {
+		objectName: OrganisationsName(name), what: audit.WhatOrganisation, name: name, changeID: c.ChangeID, who: c.Who,
+		detail: detail, digestText: content, expect: &c.Expect, maxHistory: shardHistory, apply: apply,
+		versionOf: func(current storedObject) store.Version {
+			organisations := withVersions(current.envelope.Organisations, current.version)
+			if at, found := search(organisations, name); found {
 				return organisations[at].Version
 			}
 			return 0
--- a/configuration/organisation_index.go
+++ b/configuration/organisation_index.go
@@ -7,85 +7,85 @@
 	"github.com/papayasail/papayasail/settings"
 )
 
-// directory indexes organisations by token and by name. It is updated one shard
-// at a time. Table.mu guards it.
-type directory struct {
+// organisationIndex indexes organisations by token and by name. It is updated
+// one shard at a time. Table.mu guards it.
+type organisationIndex struct {
 	byToken map[settings.TokenHash]*Organisation
-	// rivals has, for each token of several organisations, all of them ordered
-	// by name. The first one is in byToken.
+	// conflicts has, for each token of several organisations, all of them
+	// ordered by name. The first one is in byToken.
 	//
 	// Failure: two operators assign one token to two organisations at the same
 	// time through two hosts, and neither host sees the other's change before
 	// it is accepted. The order by name makes all hosts resolve the token to
 	// the same organisation.
-	rivals map[settings.TokenHash][]*Organisation
-	shards map[string][]Organisation // each ordered by name
+	conflicts map[settings.TokenHash][]*Organisation
+	shards    map[string][]Organisation // each ordered by name
 }
 
-func newDirectory() directory {
-	return directory{
-		byToken: map[settings.TokenHash]*Organisation{},
-		rivals:  map[settings.TokenHash][]*Organisation{},
-		shards:  map[string][]Organisation{},
+func newOrganisationIndex() organisationIndex {
+	return organisationIndex{
+		byToken:   map[settings.TokenHash]*Organisation{},
+		conflicts: map[settings.TokenHash][]*Organisation{},
+		shards:    map[string][]Organisation{},
 	}
 }
 
-// take replaces a shard and returns how many of its tokens another organisation
-// has too. The directory takes ownership of the slice.
-func (d *directory) take(shard string, organisations []Organisation) (clashes int) {
-	old := d.shards[shard]
+// replaceShard replaces a shard and returns how many of its tokens another
+// organisation has too. The index takes ownership of the slice.
+func (x *organisationIndex) replaceShard(shard string, organisations []Organisation) (clashes int) {
+	old := x.shards[shard]
 	for i := range old {
 		for _, token := range old[i].TokenSHA256 {
-			d.drop(token, &old[i])
+			x.removeToken(token, &old[i])
 		}
 	}
 	for i := range organisations {
 		for _, token := range organisations[i].TokenSHA256 {
-			if d.add(token, &organisations[i]) {
+			if x.addToken(token, &organisations[i]) {
 				clashes++
 			}
 		}
 	}
 	if len(organisations) == 0 {
-		delete(d.shards, shard)
+		delete(x.shards, shard)
 	} else {
-		d.shards[shard] = organisations
+		x.shards[shard] = organisations
 	}
 	return clashes
 }
 
-func (d *directory) add(token settings.TokenHash, o *Organisation) (clash bool) {
-	holder, held := d.byToken[token]
+func (x *organisationIndex) addToken(token settings.TokenHash, o *Organisation) (clash bool) {
+	holder, held := x.byToken[token]
 	if !held {
-		d.byToken[token] = o
+		x.byToken[token] = o
 		return false
 	}
-	all := d.rivals[token]
+	all := x.conflicts[token]
 	if all == nil {
 		all = []*Organisation{holder}
 	}
 	all = append(all, o)
 	slices.SortFunc(all, byName)
-	d.rivals[token], d.byToken[token] = all, all[0]
+	x.conflicts[token], x.byToken[token] = all, all[0]
 	return true
 }
 
-func (d *directory) drop(token settings.TokenHash, o *Organisation) {
-	all, clash := d.rivals[token]
+func (x *organisationIndex) removeToken(token settings.TokenHash, o *Organisation) {
+	all, clash := x.conflicts[token]
 	if !clash {
-		delete(d.byToken, token)
+		delete(x.byToken, token)
 		return
 	}
 	all = slices.DeleteFunc(all, func(other *Organisation) bool { return other == o })
-	d.rivals[token], d.byToken[token] = all, all[0]
+	x.conflicts[token], x.byToken[token] = all, all[0]
 	if len(all) == 1 {
-		delete(d.rivals, token)
+		delete(x.conflicts, token)
 	}
 }
 
-func (d *directory) named(name string) (*Organisation, bool) {
-	shard := d.shards[shardOf(name)]
-	at, found := place(shard, name)
+func (x *organisationIndex) find(name string) (*Organisation, bool) {
+	shard := x.shards[shardOf(name)]
+	at, found := search(shard, name)
 	if !found {
 		return nil, false
 	}
@@ -94,10 +94,10 @@
 
 // page returns the organisations whose names sort after a name, ordered by
 // name, limit at most.
-func (d *directory) page(after string, limit int) []*Organisation {
+func (x *organisationIndex) page(after string, limit int) []*Organisation {
 	var all []*Organisation
-	for _, shard := range d.shards {
-		at, found := place(shard, after)
+	for _, shard := range x.shards {
+		at, found := search(shard, after)
 		if found {
 			at++
 		}
@@ -116,7 +116,7 @@
 func (t *Table) Clash(o Organisation) error {
 	for _, token := range o.TokenSHA256 {
 		if holder, ok := t.Organisation(token); ok && holder.Name != o.Name {
-			return wrong("%s: token %s is already that of organisation %s", o.Name, token.String()[:8], holder.Name)
+			return invalidOrganisation("%s: token %s is already that of organisation %s", o.Name, token.String()[:8], holder.Name)
 		}
 	}
 	return nil
--- a/configuration/organisation_test.go
+++ b/configuration/organisation_test.go
@@ -39,9 +39,9 @@
 	return names
 }
 
-// directories is the state machine of organisations that are changed through one
-// host and propagate to others. The oracle has all accepted changes.
-type directories struct {
+// organisationModel is the state machine of organisations changed through one
+// host and propagated to others; the oracle has all accepted changes.
+type organisationModel struct {
 	memory   *store.Memory
 	acceptor *Acceptor
 	tables   []*Table
@@ -50,7 +50,7 @@
 	oracle   map[string]Organisation
 	names    []string
 	changes  int
-	late     [][]store.Object // answers in flight
+	inFlight [][]store.Object // answers in flight
 }
 
 const fuzzTokens = 6
@@ -63,7 +63,7 @@
 // that disagree on the owner of a token.
 func TestFuzzOrganisations(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		d := &directories{memory: store.NewMemory(), oracle: map[string]Organisation{}, names: append(namesOfOneShard(3), "x", "y")}
+		d := &organisationModel{memory: store.NewMemory(), oracle: map[string]Organisation{}, names: append(namesOfOneShard(3), "x", "y")}
 		d.acceptor = NewAcceptor(d.memory, parseTest)
 		for range 3 {
 			d.tables = append(d.tables, NewTable(parseTest))
@@ -78,19 +78,19 @@
 }
 
 // expect draws the expected version of a change, sometimes a wrong one.
-func (d *directories) expect(t *rapid.T, name string) (version store.Version, right bool) {
+func (d *organisationModel) expect(t *rapid.T, name string) (version store.Version, right bool) {
 	if rapid.IntRange(0, 4).Draw(t, "wrong") == 0 {
 		return d.oracle[name].Version + 1, false
 	}
 	return d.oracle[name].Version, true
 }
 
-func (d *directories) change(t *rapid.T, o Organisation, expect store.Version) OrganisationChange {
+func (d *organisationModel) change(t *rapid.T, o Organisation, expect store.Version) OrganisationChange {
 	d.changes++
 	return organisationChange(fmt.Sprint("c", d.changes), expect, o)
 }
 
-func (d *directories) put(t *rapid.T) {
+func (d *organisationModel) put(t *rapid.T) {
 	name := rapid.SampledFrom(d.names).Draw(t, "name")
 	o := organisation(name, slices.Compact([]string{"own " + name, token(t)})...)
 	expect, right := d.expect(t, name)
@@ -106,7 +106,7 @@
 	}
 }
 
-func (d *directories) remove(t *rapid.T) {
+func (d *organisationModel) remove(t *rapid.T) {
 	name := rapid.SampledFrom(d.names).Draw(t, "name")
 	expect, right := d.expect(t, name)
 	result, err := d.acceptor.RemoveOrganisation(context.Background(), d.change(t, Organisation{Name: name}, expect))
@@ -124,29 +124,31 @@
 	}
 }
 
-func (d *directories) table(t *rapid.T) int {
+func (d *organisationModel) table(t *rapid.T) int {
 	return rapid.IntRange(0, len(d.tables)-1).Draw(t, "table")
 }
 
-func (d *directories) list(t *rapid.T) {
+func (d *organisationModel) list(t *rapid.T) {
 	objects, revision, err := d.memory.List(context.Background(), Kind)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.late = append(d.late, objects)
+	d.inFlight = append(d.inFlight, objects)
 	d.tables[d.table(t)].AdoptList(Kind, objects, revision)
 }
 
-func (d *directories) pull(t *rapid.T) { d.late = append(d.late, d.tables[d.table(t)].Since(0)) }
+func (d *organisationModel) pull(t *rapid.T) {
+	d.inFlight = append(d.inFlight, d.tables[d.table(t)].Since(0))
+}
 
-func (d *directories) deliver(t *rapid.T) {
-	if len(d.late) == 0 {
+func (d *organisationModel) deliver(t *rapid.T) {
+	if len(d.inFlight) == 0 {
 		return // nothing in flight
 	}
-	d.tables[d.table(t)].Adopt(rapid.SampledFrom(d.late).Draw(t, "answer"))
+	d.tables[d.table(t)].Adopt(rapid.SampledFrom(d.inFlight).Draw(t, "answer"))
 }
 
-func (d *directories) check(t *rapid.T) {
+func (d *organisationModel) check(t *rapid.T) {
 	for i, table := range d.tables {
 		for _, name := range d.names {
 			o, ok := table.OrganisationNamed(name)
@@ -160,7 +162,7 @@
 				d.seen[i][name], d.gone[i][name] = o.Version, false
 			}
 		}
-		if len(table.directory.rivals) > fuzzTokens {
+		if len(table.index.conflicts) > fuzzTokens {
 			t.Fatal("conflicts remain for tokens that no longer conflict")
 		}
 	}
@@ -168,7 +170,7 @@
 
 // settle makes one host list and the others pull from it, and compares them
 // with the oracle.
-func (d *directories) settle(t *rapid.T) {
+func (d *organisationModel) settle(t *rapid.T) {
 	objects, revision, err := d.memory.List(context.Background(), Kind)
 	if err != nil {
 		t.Fatal(err)
@@ -181,7 +183,7 @@
 	d.check(t)
 }
 
-func (d *directories) compare(t *rapid.T, host int, table *Table) {
+func (d *organisationModel) compare(t *rapid.T, host int, table *Table) {
 	holders := map[settings.TokenHash]string{}
 	for name, o := range d.oracle {
 		for _, hash := range o.TokenSHA256 {
@@ -190,8 +192,8 @@
 			}
 		}
 	}
-	if len(table.directory.byToken) != len(holders) {
-		t.Fatalf("host %d has %d tokens, want %d", host, len(table.directory.byToken), len(holders))
+	if len(table.index.byToken) != len(holders) {
+		t.Fatalf("host %d has %d tokens, want %d", host, len(table.index.byToken), len(holders))
 	}
 	for hash, name := range holders {
 		if o, ok := table.Organisation(hash); !ok || o.Name != name || o.Version != d.oracle[name].Version {
--- a/configuration/table.go
+++ b/configuration/table.go
@@ -35,21 +35,21 @@
 	*replica.Table
 	parse Parser
 
-	mu        sync.RWMutex // guards all below
-	services  map[string]inForce
-	drained   map[target]bool
-	directory directory
+	mu       sync.RWMutex // guards all below
+	services map[string]activeDocument
+	drained  map[drainTarget]bool
+	index    organisationIndex
 }
 
-// inForce is the last valid document of a service.
-type inForce struct {
+// activeDocument is the last valid document of a service.
+type activeDocument struct {
 	document *contract.Document
 	version  store.Version
 }
 
-// target is a backend server (drain) or failure domain (evacuation) that gets
-// no new work.
-type target struct {
+// drainTarget is a backend server (drain) or failure domain (evacuation) that
+// gets no new work.
+type drainTarget struct {
 	what audit.What
 	name string
 }
@@ -57,23 +57,23 @@
 // NewTable returns an empty table that parses documents with parse.
 func NewTable(parse Parser) *Table {
 	t := &Table{
-		parse:     parse,
-		services:  map[string]inForce{},
-		drained:   map[target]bool{},
-		directory: newDirectory(),
+		parse:    parse,
+		services: map[string]activeDocument{},
+		drained:  map[drainTarget]bool{},
+		index:    newOrganisationIndex(),
 	}
-	t.Table = replica.New(t.putInForce)
+	t.Table = replica.New(t.apply)
 	return t
 }
 
-// putInForce applies an object's content. On an error the last valid content
+// apply applies an object's content. On an error the last valid content
 // stays in force. The replica calls it with its lock held.
-func (t *Table) putInForce(object store.Object) error {
+func (t *Table) apply(object store.Object) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	what, name := nameOf(object.Name)
+	what, name := parseStoredName(object.Name)
 	if object.Deleted {
-		t.forget(what, name)
+		t.remove(what, name)
 		return nil
 	}
 	envelope, err := ParseEnvelope(object.Value)
@@ -83,16 +83,16 @@
 	switch what {
 	case audit.WhatDrain, audit.WhatEvacuation:
 		if envelope.Drained {
-			t.drained[target{what, name}] = true
+			t.drained[drainTarget{what, name}] = true
 		} else {
-			delete(t.drained, target{what, name})
+			delete(t.drained, drainTarget{what, name})
 		}
 	case audit.WhatOrganisation:
-		organisations := stamped(envelope.Organisations, object.Version)
+		organisations := withVersions(envelope.Organisations, object.Version)
 		if err := checkShard(name, organisations); err != nil {
 			return err
 		}
-		clashes.Add(float64(t.directory.take(name, organisations)))
+		clashes.Add(float64(t.index.replaceShard(name, organisations)))
 	case audit.WhatDocument:
 		if envelope.Document == "" {
 			return nil
@@ -101,18 +101,18 @@
 		if err != nil {
 			return err
 		}
-		t.services[name] = inForce{document: document, version: object.Version}
+		t.services[name] = activeDocument{document: document, version: object.Version}
 	}
 	return nil
 }
 
-// forget takes a deleted object out of force. The caller holds mu.
-func (t *Table) forget(what audit.What, name string) {
+// remove takes a deleted object out of force. The caller holds mu.
+func (t *Table) remove(what audit.What, name string) {
 	switch what {
 	case audit.WhatDrain, audit.WhatEvacuation:
-		delete(t.drained, target{what, name})
+		delete(t.drained, drainTarget{what, name})
 	case audit.WhatOrganisation:
-		t.directory.take(name, nil)
+		t.index.replaceShard(name, nil)
 	case audit.WhatDocument:
 		delete(t.services, name)
 	}
@@ -153,14 +153,14 @@
 func (t *Table) Drained(address string) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return t.drained[target{audit.WhatDrain, address}]
+	return t.drained[drainTarget{audit.WhatDrain, address}]
 }
 
 // Evacuated reports whether an operator evacuated a failure domain.
 func (t *Table) Evacuated(domain string) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return t.drained[target{audit.WhatEvacuation, domain}]
+	return t.drained[drainTarget{audit.WhatEvacuation, domain}]
 }
 
 // Organisation returns the organisation in force to which a token belongs. It
@@ -168,7 +168,7 @@
 func (t *Table) Organisation(token settings.TokenHash) (*Organisation, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	organisation, ok := t.directory.byToken[token]
+	organisation, ok := t.index.byToken[token]
 	return organisation, ok
 }
 
@@ -178,7 +178,7 @@
 func (t *Table) Organisations(after string, limit int) []*Organisation {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return t.directory.page(after, limit)
+	return t.index.page(after, limit)
 }
 
 // OrganisationNamed returns the organisation in force with a name. It is
@@ -186,5 +186,5 @@
 func (t *Table) OrganisationNamed(name string) (*Organisation, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return t.directory.named(name)
+	return t.index.find(name)
 }
