--- a/organisation/limits.go
+++ b/organisation/limits.go
@@ -13,14 +13,14 @@
 }
 
 type usage struct {
-	inFlight int
-	balance  float64   // tokens available now; negative: overdrawn
-	at       time.Time // time of the last refill; zero: never
+	inFlight   int
+	balance    float64   // tokens available now; negative: overdrawn
+	refilledAt time.Time // time of the last refill; zero: never
 }
 
-// retryInFlight is the retry delay if too many requests are in flight. It is a
-// constant because the end of a running request cannot be predicted.
-const retryInFlight = time.Second
+// inFlightRetryDelay is the retry delay if too many requests are in flight. It
+// is a constant because the end of a running request cannot be predicted.
+const inFlightRetryDelay = time.Second
 
 // NewLimits returns an empty table.
 func NewLimits() *Limits { return &Limits{usage: map[string]*usage{}} }
@@ -28,9 +28,9 @@
 // Admit counts a request as in flight, or returns false and when to retry.
 // share is the fraction of the limit that this host may use, 0 to 1; see Share.
 func (l *Limits) Admit(limit contract.Limit, share float64, now time.Time) (retryAfter time.Duration, ok bool) {
-	u := l.of(limit.Organisation)
+	u := l.usageOf(limit.Organisation)
 	if limit.MaxInFlight > 0 && u.inFlight >= Share(limit.MaxInFlight, share) {
-		return retryInFlight, false
+		return inFlightRetryDelay, false
 	}
 	if limit.TokensPerMinute > 0 {
 		perMinute := Share(limit.TokensPerMinute, share)
@@ -45,18 +45,18 @@
 }
 
 // Leave ends a request that Admit counted as in flight.
-func (l *Limits) Leave(organisation string) { l.of(organisation).inFlight-- }
+func (l *Limits) Leave(organisation string) { l.usageOf(organisation).inFlight-- }
 
 // Spend deducts tokens from an organisation's balance. The length of a
 // generation is not known in advance, so the balance may become negative. No
 // further request is admitted until it is positive again, so that the limit
 // holds on average.
 func (l *Limits) Spend(organisation string, tokens int) {
-	l.of(organisation).balance -= float64(tokens)
+	l.usageOf(organisation).balance -= float64(tokens)
 }
 
 // InFlight returns how many requests of an organisation are in flight.
-func (l *Limits) InFlight(organisation string) int { return l.of(organisation).inFlight }
+func (l *Limits) InFlight(organisation string) int { return l.usageOf(organisation).inFlight }
 
 // Share returns a host's share of a limit, at least 1. A share outside of 0 to
 // 1 (exclusive) returns the whole limit.
@@ -67,7 +67,7 @@
 	return max(1, int(float64(limit)*share))
 }
 
-func (l *Limits) of(organisation string) *usage {
+func (l *Limits) usageOf(organisation string) *usage {
 	u := l.usage[organisation]
 	if u == nil {
 		u = &usage{}
@@ -80,11 +80,11 @@
 // worth. The first refill adds a full minute.
 func (u *usage) refill(perMinute int, now time.Time) {
 	full := float64(perMinute)
-	if u.at.IsZero() {
+	if u.refilledAt.IsZero() {
 		u.balance += full
 	} else {
-		u.balance += full * now.Sub(u.at).Minutes()
+		u.balance += full * now.Sub(u.refilledAt).Minutes()
 	}
 	u.balance = min(u.balance, full)
-	u.at = now
+	u.refilledAt = now
 }
--- a/organisation/queue.go
+++ b/organisation/queue.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// headStart is how much earlier a request counts as queued for each level of
-// priority. As it is finite, it cannot starve low priorities.
-const headStart = time.Second
+// priorityHeadStart is how much earlier a request counts as queued for each
+// level of priority. As it is finite, it cannot starve low priorities.
+const priorityHeadStart = time.Second
 
 // Item is a queued request.
 type Item[T any] struct {
@@ -63,7 +63,7 @@
 		org.served = max(org.served, q.clock)
 		q.active = append(q.active, org)
 	}
-	item.rank = item.QueuedAt.Add(-time.Duration(item.Priority) * headStart)
+	item.rank = item.QueuedAt.Add(-time.Duration(item.Priority) * priorityHeadStart)
 	heap.Push(&org.items, item)
 	q.length++
 	q.cost += item.Cost
