--- a/configuration/organisation_change.go
+++ b/configuration/organisation_change.go
@@ -10,21 +10,21 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// OrganisationChange asks for an organisation to be put in force or removed.
+// OrganisationChange is a request to put an organisation in force or to remove
+// it.
 type OrganisationChange struct {
-	Organisation Organisation  // of a removal only the name counts
-	Expect       store.Version // of the organisation; 0: it must be new
-	ChangeID     string        // repeats with the same id are one change
+	Organisation Organisation  // for a removal, only the name is used
+	Expect       store.Version // organisation's current version; 0: it must be new
+	ChangeID     string        // idempotency key: retries with the same id are one change
 	Who          string
 }
 
-// ErrNoExpectedVersion means that a removal does not say which version it
-// removes.
+// ErrNoExpectedVersion means that a removal has no expected version.
 var ErrNoExpectedVersion = errors.New("configuration: a removal needs the version that it removes")
 
 // PutOrganisation puts an organisation in force if its version is the expected
-// one; changes to others of its shard do not come in between. Outcomes and
-// errors as Put, and ErrOrganisation.
+// one. Concurrent changes to other organisations of its shard do not conflict.
+// It has the outcomes and errors of Put, and ErrOrganisation.
 func (a *Acceptor) PutOrganisation(ctx context.Context, change OrganisationChange) (Result, error) {
 	o := change.Organisation
 	o.Version = 0
@@ -35,8 +35,8 @@
 	if err != nil {
 		return Result{Outcome: NotAccepted}, err
 	}
-	return a.write(ctx, change.edit("put", o.text(), func(e *Envelope) {
-		at, found := place(e.Organisations, o.Name)
+	return a.write(ctx, change.edit("put", o.digestText(), func(e *Envelope) {
+		at, found := search(e.Organisations, o.Name)
 		if found {
 			e.Organisations[at] = o
 			return
@@ -46,14 +46,14 @@
 }
 
 // RemoveOrganisation removes an organisation if its version is the expected
-// one. Outcomes and errors as Put, and ErrNoExpectedVersion.
+// one. It has the outcomes and errors of Put, and ErrNoExpectedVersion.
 func (a *Acceptor) RemoveOrganisation(ctx context.Context, change OrganisationChange) (Result, error) {
 	if change.Expect == 0 {
 		return Result{Outcome: NotAccepted}, ErrNoExpectedVersion
 	}
 	name := change.Organisation.Name
 	return a.write(ctx, change.edit("remove", "remove "+name, func(e *Envelope) {
-		if at, found := place(e.Organisations, name); found {
+		if at, found := search(e.Organisations, name); found {
 			e.Organisations = slices.Delete(e.Organisations, at, at+1)
 		}
 	}))
@@ -61,17 +61,17 @@
 
 // SettleOrganisation is Settle for a change to an organisation.
 func (a *Acceptor) SettleOrganisation(ctx context.Context, name, changeID string) (Result, error) {
-	return a.settle(ctx, &edit{stored: OrganisationsName(name), name: name, changeID: changeID, keep: shardHistory})
+	return a.settle(ctx, &edit{objectName: OrganisationsName(name), name: name, changeID: changeID, maxHistory: shardHistory})
 }
 
 func (c *OrganisationChange) edit(detail, content string, apply func(*Envelope)) *edit {
 	name := c.Organisation.Name
 	return &edit{
-		stored: OrganisationsName(name), what: audit.WhatOrganisation, name: name, changeID: c.ChangeID, who: c.Who,
-		detail: detail, content: content, expect: &c.Expect, keep: shardHistory, apply: apply,
-		versionOf: func(current stored) store.Version {
-			organisations := stamped(current.envelope.Organisations, current.version)
-			if at, found := place(organisations, name); found {
+		objectName: OrganisationsName(name), what: audit.WhatOrganisation, name: name, changeID: c.ChangeID, who: c.Who,
+		detail: detail, digestText: content, expect: &c.Expect, maxHistory: shardHistory, apply: apply,
+		versionOf: func(current storedObject) store.Version {
+			organisations := withVersions(current.envelope.Organisations, current.version)
+			if at, found := search(organisations, name); found {
 				return organisations[at].Version
 			}
 			return 0
--- a/configuration/organisation_test.go
+++ b/configuration/organisation_test.go
@@ -39,18 +39,18 @@
 	return names
 }
 
-// directories is the state machine of organisations changed over one host and
-// learned by others, beside a map that says what was accepted.
-type directories struct {
+// organisationModel is the state machine of organisations changed through one
+// host and propagated to others; the oracle has all accepted changes.
+type organisationModel struct {
 	memory   *store.Memory
 	acceptor *Acceptor
 	tables   []*Table
-	seen     []map[string]store.Version // by table: version last served of a name
-	gone     []map[string]bool          // by table: names that it served and then did not
+	seen     []map[string]store.Version // by table: version last served of each name
+	gone     []map[string]bool          // by table: names that it no longer serves
 	oracle   map[string]Organisation
 	names    []string
 	changes  int
-	late     [][]store.Object
+	inFlight [][]store.Object // answers in flight
 }
 
 const fuzzTokens = 6
@@ -59,10 +59,11 @@
 	return fmt.Sprintf("token %d", rapid.IntRange(0, fuzzTokens-1).Draw(t, "token"))
 }
 
-// Guards against hosts that go back, or disagree on whose a token is.
+// Guards against hosts that go back to an older version of an organisation, or
+// that disagree on the owner of a token.
 func TestFuzzOrganisations(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		d := &directories{memory: store.NewMemory(), oracle: map[string]Organisation{}, names: append(namesOfOneShard(3), "x", "y")}
+		d := &organisationModel{memory: store.NewMemory(), oracle: map[string]Organisation{}, names: append(namesOfOneShard(3), "x", "y")}
 		d.acceptor = NewAcceptor(d.memory, parseTest)
 		for range 3 {
 			d.tables = append(d.tables, NewTable(parseTest))
@@ -76,20 +77,20 @@
 	})
 }
 
-// expect draws the version that a change is made over, at times a wrong one.
-func (d *directories) expect(t *rapid.T, name string) (version store.Version, right bool) {
+// expect draws the expected version of a change, sometimes a wrong one.
+func (d *organisationModel) expect(t *rapid.T, name string) (version store.Version, right bool) {
 	if rapid.IntRange(0, 4).Draw(t, "wrong") == 0 {
 		return d.oracle[name].Version + 1, false
 	}
 	return d.oracle[name].Version, true
 }
 
-func (d *directories) change(t *rapid.T, o Organisation, expect store.Version) OrganisationChange {
+func (d *organisationModel) change(t *rapid.T, o Organisation, expect store.Version) OrganisationChange {
 	d.changes++
 	return organisationChange(fmt.Sprint("c", d.changes), expect, o)
 }
 
-func (d *directories) put(t *rapid.T) {
+func (d *organisationModel) put(t *rapid.T) {
 	name := rapid.SampledFrom(d.names).Draw(t, "name")
 	o := organisation(name, slices.Compact([]string{"own " + name, token(t)})...)
 	expect, right := d.expect(t, name)
@@ -101,11 +102,11 @@
 		o.Version = result.Version
 		d.oracle[name] = o
 	} else if result.Version != d.oracle[name].Version {
-		t.Fatalf("put %s is told version %d, current is %d", name, result.Version, d.oracle[name].Version)
+		t.Fatalf("put %s returned version %d, current is %d", name, result.Version, d.oracle[name].Version)
 	}
 }
 
-func (d *directories) remove(t *rapid.T) {
+func (d *organisationModel) remove(t *rapid.T) {
 	name := rapid.SampledFrom(d.names).Draw(t, "name")
 	expect, right := d.expect(t, name)
 	result, err := d.acceptor.RemoveOrganisation(context.Background(), d.change(t, Organisation{Name: name}, expect))
@@ -123,29 +124,31 @@
 	}
 }
 
-func (d *directories) table(t *rapid.T) int {
+func (d *organisationModel) table(t *rapid.T) int {
 	return rapid.IntRange(0, len(d.tables)-1).Draw(t, "table")
 }
 
-func (d *directories) list(t *rapid.T) {
+func (d *organisationModel) list(t *rapid.T) {
 	objects, revision, err := d.memory.List(context.Background(), Kind)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.late = append(d.late, objects)
+	d.inFlight = append(d.inFlight, objects)
 	d.tables[d.table(t)].AdoptList(Kind, objects, revision)
 }
 
-func (d *directories) pull(t *rapid.T) { d.late = append(d.late, d.tables[d.table(t)].Since(0)) }
+func (d *organisationModel) pull(t *rapid.T) {
+	d.inFlight = append(d.inFlight, d.tables[d.table(t)].Since(0))
+}
 
-func (d *directories) deliver(t *rapid.T) {
-	if len(d.late) == 0 {
-		return // nothing on its way
+func (d *organisationModel) deliver(t *rapid.T) {
+	if len(d.inFlight) == 0 {
+		return // nothing in flight
 	}
-	d.tables[d.table(t)].Adopt(rapid.SampledFrom(d.late).Draw(t, "answer"))
+	d.tables[d.table(t)].Adopt(rapid.SampledFrom(d.inFlight).Draw(t, "answer"))
 }
 
-func (d *directories) check(t *rapid.T) {
+func (d *organisationModel) check(t *rapid.T) {
 	for i, table := range d.tables {
 		for _, name := range d.names {
 			o, ok := table.OrganisationNamed(name)
@@ -159,14 +162,15 @@
 				d.seen[i][name], d.gone[i][name] = o.Version, false
 			}
 		}
-		if len(table.directory.rivals) > fuzzTokens {
-			t.Fatal("clashes are kept that are over")
+		if len(table.index.conflicts) > fuzzTokens {
+			t.Fatal("conflicts remain for tokens that no longer conflict")
 		}
 	}
 }
 
-// settle has one host list and the others pull, and compares with the map.
-func (d *directories) settle(t *rapid.T) {
+// settle makes one host list and the others pull from it, and compares them
+// with the oracle.
+func (d *organisationModel) settle(t *rapid.T) {
 	objects, revision, err := d.memory.List(context.Background(), Kind)
 	if err != nil {
 		t.Fatal(err)
@@ -179,7 +183,7 @@
 	d.check(t)
 }
 
-func (d *directories) compare(t *rapid.T, host int, table *Table) {
+func (d *organisationModel) compare(t *rapid.T, host int, table *Table) {
 	holders := map[settings.TokenHash]string{}
 	for name, o := range d.oracle {
 		for _, hash := range o.TokenSHA256 {
@@ -188,12 +192,12 @@
 			}
 		}
 	}
-	if len(table.directory.byToken) != len(holders) {
-		t.Fatalf("host %d knows %d tokens, want %d", host, len(table.directory.byToken), len(holders))
+	if len(table.index.byToken) != len(holders) {
+		t.Fatalf("host %d has %d tokens, want %d", host, len(table.index.byToken), len(holders))
 	}
 	for hash, name := range holders {
 		if o, ok := table.Organisation(hash); !ok || o.Name != name || o.Version != d.oracle[name].Version {
-			t.Fatalf("host %d: a token of %s is that of %v", host, name, o)
+			t.Fatalf("host %d resolves a token of %s to %v", host, name, o)
 		}
 	}
 	if page := table.Organisations("", len(d.names)); len(page) != len(d.oracle) || !slices.IsSortedFunc(page, byName) {
@@ -201,7 +205,8 @@
 	}
 }
 
-// Guards against a change reported twice or wrongly when its answer is lost.
+// Guards against a second write or a wrong outcome of a change whose answer is
+// lost.
 func TestLostAnswerOfAnOrganisationIsSettled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, ctx := is.New(t), t.Context()
@@ -236,7 +241,8 @@
 	})
 }
 
-// Guards against lost updates of one organisation, and conflicts with its neighbours.
+// Guards against lost updates of one organisation, and against conflicts with
+// others of its shard.
 func TestRacingOperatorsOfOneOrganisation(t *testing.T) {
 	is, ctx := is.New(t), t.Context()
 	acceptor := NewAcceptor(store.NewMemory(), parseTest)
@@ -257,8 +263,8 @@
 	is.Equal(lost.Winner.ChangeID, "c3")
 }
 
-// Whatever could lock an organisation out or let a stranger in is refused
-// before it is written.
+// Guards against invalid organisations that would lock a client out or admit
+// others: they are refused before they are written.
 func TestOrganisationsAreCheckedStrictly(t *testing.T) {
 	is, ctx := is.New(t), t.Context()
 	memory, table := store.NewMemory(), NewTable(parseTest)
@@ -284,8 +290,8 @@
 	is.Equal(len(table.Organisations("", 10)), 1)
 }
 
-// A shard that cannot be read, or that holds an organisation of another shard,
-// leaves the last good one in force.
+// Guards against losing the last valid shard to one that is invalid or contains
+// an organisation of another shard.
 func TestUnreadableShardLeavesTheLastGoodOne(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(parseTest)
