--- a/fake/engine/cache.go
+++ b/fake/engine/cache.go
@@ -7,15 +7,15 @@
 	"github.com/papayasail/papayasail/backend"
 )
 
-// maxCacheEvents bounds the published log; older events are gone.
+// maxCacheEvents bounds the log of cache events; older events are dropped.
 const maxCacheEvents = 1024
 
-// prefixCache keeps the prompt prefixes used last, up to a number of tokens.
-// The engine's mutex guards it.
+// prefixCache is an LRU cache of prompt prefixes, bounded by its capacity in
+// tokens. The engine's mutex guards it.
 type prefixCache struct {
 	capacity int
 	held     int
-	order    *list.List // of prefixEntry, used last first
+	order    *list.List // of prefixEntry, most recently used first
 	entries  map[uint64]*list.Element
 	sequence uint64
 	log      []cacheEvent
@@ -26,7 +26,7 @@
 	tokens int
 }
 
-// cacheEvent is an event with the time from which it is published.
+// cacheEvent is an event and the time at which it becomes visible.
 type cacheEvent struct {
 	event backend.CacheEvent
 	at    time.Time
@@ -36,8 +36,8 @@
 	return prefixCache{capacity: capacity, order: list.New(), entries: map[uint64]*list.Element{}}
 }
 
-// use looks a prefix up and returns how many of its tokens need no computing;
-// a prefix that is absent is taken in. Changes go to publish.
+// use looks up a prefix and returns how many of its tokens need no prefill. It
+// inserts a missing prefix and evicts others if needed; publish gets each change.
 func (c *prefixCache) use(prefix uint64, tokens int, publish func(backend.CacheEvent)) int {
 	if element := c.entries[prefix]; element != nil {
 		c.order.MoveToFront(element)
@@ -56,7 +56,7 @@
 	return 0
 }
 
-// publishLocked logs a cache event, or loses it.
+// publishLocked logs a cache event, or drops it with probability CacheLoss.
 func (e *Engine) publishLocked(event backend.CacheEvent) {
 	e.cache.sequence++
 	event.Sequence = e.cache.sequence
@@ -69,13 +69,13 @@
 	}
 }
 
-// cacheEventsLocked returns the published events after a sequence number.
+// cacheEventsLocked returns the visible events after a sequence number.
 func (e *Engine) cacheEventsLocked(after uint64) []backend.CacheEvent {
 	events := []backend.CacheEvent{}
 	now := time.Now()
-	for _, logged := range e.cache.log {
-		if logged.event.Sequence > after && !now.Before(logged.at) {
-			events = append(events, logged.event)
+	for _, entry := range e.cache.log {
+		if entry.event.Sequence > after && !now.Before(entry.at) {
+			events = append(events, entry.event)
 		}
 	}
 	return events
--- a/fake/engine/config.go
+++ b/fake/engine/config.go
@@ -1,7 +1,7 @@
 // Package engine is a small stand-in for a model engine, for tests, the demo
-// and benches. docs/ENGINE.md is its published interface. It batches
-// continuously, fills its memory and preempts, caches prompt prefixes, lags in
-// its reports and takes orders. It works in testing/synctest bubbles.
+// and benchmarks. docs/ENGINE.md is its published interface. It simulates
+// continuous batching, preemption when memory is full, a prompt prefix cache and
+// stale reports, and it executes orders. It works in testing/synctest bubbles.
 package engine
 
 import (
@@ -12,41 +12,41 @@
 	"github.com/papayasail/papayasail/internal/defaults"
 )
 
-// Config sets up an Engine. Zero values take the defaults given, where one is
-// named; switches are off.
+// Config configures an Engine. A zero value selects the default that the field's
+// comment ends with, if any.
 type Config struct {
 	Name string
-	Seed uint64 // of lengths, lost reports and lost cache events
+	Seed uint64 // for output lengths, lost reports and lost cache events
 
-	TokenCapacity       int           // tokens in memory, prompt and generated: 16,384
-	MaxBatch            int           // generations running at once: 32
-	MaxWaiting          int           // generations queued before new ones are refused: 256
-	StepBase            time.Duration // time of one step: 10 ms
-	StepPerRunning      time.Duration // and for each running generation: 200 µs
-	StepPerPrefillToken time.Duration // and for each prompt token computed: 20 µs
+	TokenCapacity       int           // tokens that fit into memory, prompt and output: 16,384
+	MaxBatch            int           // generations in one batch: 32
+	MaxWaiting          int           // queued generations above which new ones are refused: 256
+	StepBase            time.Duration // base duration of a step: 10 ms
+	StepPerRunning      time.Duration // plus this for each running generation: 200 µs
+	StepPerPrefillToken time.Duration // plus this for each prefilled token: 20 µs
 
-	MedianTokens int     // median output length where x_stop_after is absent: 120
-	LengthSigma  float64 // spread of its log-normal distribution: 1.0
-	MaxTokens    int     // longest output: 4,096
+	MedianTokens int     // median output length if x_stop_after is absent: 120
+	LengthSigma  float64 // sigma of the log-normal distribution of lengths: 1.0
+	MaxTokens    int     // maximum output length: 4,096
 
-	Grace     time.Duration // a generation without a reader is cancelled after: 10 s
-	Keep      time.Duration // an ended generation can be resumed for: 60 s
-	KeepAlive time.Duration // comment on a stream without tokens: 1 s
+	Grace     time.Duration // cancel a generation without readers after: 10 s
+	Keep      time.Duration // keep an ended generation for resumption for: 60 s
+	KeepAlive time.Duration // interval of SSE comments on an idle stream: 1 s
 
-	// StreamReports puts a load report into every so many-th chunk of a stream; 0: none.
+	// StreamReports is the interval, in chunks, of load reports in a stream; 0: none.
 	StreamReports int
 	ReportLag     time.Duration             // age of load reports
-	ReportLoss    float64                   // share of load requests refused
-	ReportLie     func(*backend.LoadReport) // changes reports before they go out
+	ReportLoss    float64                   // ratio of load requests refused, 0 to 1
+	ReportLie     func(*backend.LoadReport) // alters each report before it is sent
 
-	CacheTokens int           // tokens of prefixes kept: 8,192
-	CacheLag    time.Duration // age at which cache events are published
-	CacheLoss   float64       // share of cache events never published
+	CacheTokens int           // capacity of the prefix cache in tokens: 8,192
+	CacheLag    time.Duration // delay until cache events become visible
+	CacheLoss   float64       // ratio of cache events dropped, 0 to 1
 
 	Models      []string      // loaded at start, as name@version
-	LoadTime    time.Duration // how long loading or unloading takes
-	HonourFence bool          // refuse orders with an old fencing number
-	OrderToken  string        // bearer token that orders need; empty: none
+	LoadTime    time.Duration // duration of loading or unloading a model
+	HonourFence bool          // refuse orders with a stale fencing token
+	OrderToken  string        // bearer token required for orders; empty: none
 }
 
 const (
@@ -82,8 +82,8 @@
 	return c
 }
 
-// TokenText returns the text of a generation's token, so that a caller can
-// check origin and order of every token it receives.
+// TokenText returns the text of a generation's token, which lets a caller check
+// the origin and the order of every token that it receives.
 func TokenText(generationID string, index int) string {
 	return fmt.Sprintf("%s.%d ", generationID, index)
 }
--- a/fake/engine/engine.go
+++ b/fake/engine/engine.go
@@ -17,22 +17,22 @@
 // ErrClosed is returned by Serve after Close.
 var ErrClosed = errors.New("engine: closed")
 
-// Engine is a stand-in model engine. It is an http.Handler; Run drives it.
+// Engine is a stand-in model engine. It is an http.Handler; Run executes its steps.
 type Engine struct {
 	config Config
 	mux    *http.ServeMux
-	wake   chan struct{} // capacity 1: there may be work
+	wake   chan struct{} // capacity 1: signals that there may be work
 
-	mu          sync.Mutex // guards all below
+	mu          sync.Mutex // guards the fields below
 	random      *rand.Rand
 	generations map[string]*generation
 	waiting     []*generation
 	running     []*generation
 	arrivals    uint64
-	prefill     int // prompt tokens to compute in the next step
+	prefill     int // tokens to prefill in the next step
 	paused      bool
 	leaving     bool
-	leaveAt     time.Time // zero: no time was named
+	leaveAt     time.Time // zero: no time announced
 	closed      bool
 	servers     []*http.Server
 	cache       prefixCache
@@ -42,7 +42,7 @@
 	journal     journal
 }
 
-// New returns an engine that does not run yet.
+// New returns an engine; Run or Serve starts it.
 func New(config Config) *Engine {
 	config = config.withDefaults()
 	e := &Engine{
@@ -59,7 +59,7 @@
 	return e
 }
 
-// Run steps the engine until ctx ends or Close.
+// Run executes steps until ctx ends or Close is called.
 func (e *Engine) Run(ctx context.Context) {
 	for {
 		step, ok := e.plan()
@@ -85,7 +85,8 @@
 	}
 }
 
-// Serve runs the engine and serves it on a listener until Close.
+// Serve runs the engine and serves it on a listener until Close. It returns
+// ErrClosed after Close.
 func (e *Engine) Serve(listener net.Listener) error {
 	server := &http.Server{Handler: e}
 	e.mu.Lock()
@@ -110,7 +111,7 @@
 	return err
 }
 
-// Close ends the engine at once, as a kill does: connections break and all
+// Close stops the engine immediately, as SIGKILL does: connections break and all
 // generations are lost.
 func (e *Engine) Close() error {
 	e.mu.Lock()
@@ -127,7 +128,8 @@
 	return err
 }
 
-// Leave makes the engine refuse new work, on and off. What runs goes on.
+// Leave makes the engine refuse new work, or accept it again if leaving is false.
+// Running generations continue.
 func (e *Engine) Leave(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -136,8 +138,8 @@
 	e.reports.record(time.Now(), e.reportLocked())
 }
 
-// Reclaim announces that the engine will be taken away and closes it after
-// that time, whatever runs.
+// Reclaim makes the engine report that it is leaving, and closes it after the given
+// time even if generations are running.
 func (e *Engine) Reclaim(after time.Duration) {
 	e.Leave(true)
 	e.mu.Lock()
@@ -147,8 +149,8 @@
 	time.AfterFunc(after, func() { e.Close() })
 }
 
-// Pause stops the engine's steps until it is switched off: streams get no
-// tokens, but connections and keep-alives go on.
+// Pause suspends the engine's steps, or resumes them if paused is false. Streams get
+// no tokens meanwhile, but connections and keep-alives continue.
 func (e *Engine) Pause(paused bool) {
 	e.mu.Lock()
 	e.paused = paused
@@ -156,14 +158,14 @@
 	e.signal()
 }
 
-// Closed reports whether the engine has ended.
+// Closed reports whether the engine is closed.
 func (e *Engine) Closed() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.closed
 }
 
-// signal lets Run look for work.
+// signal makes Run check for work.
 func (e *Engine) signal() {
 	select {
 	case e.wake <- struct{}{}:
@@ -171,7 +173,7 @@
 	}
 }
 
-// startLocked takes a new generation into the queue.
+// startLocked creates a generation and queues it.
 func (e *Engine) startLocked(request backend.CompletionRequest) *generation {
 	e.arrivals++
 	limit := e.config.MaxTokens
@@ -196,11 +198,11 @@
 	return g
 }
 
-// queueLocked puts a generation where its priority and arrival place it.
+// queueLocked inserts a generation into the queue by priority and arrival.
 func (e *Engine) queueLocked(g *generation) {
 	g.phase = waiting
-	at, _ := slices.BinarySearchFunc(e.waiting, g, func(have, new *generation) int {
-		if have.before(new) {
+	at, _ := slices.BinarySearchFunc(e.waiting, g, func(queued, added *generation) int {
+		if queued.before(added) {
 			return -1
 		}
 		return 1
@@ -208,8 +210,8 @@
 	e.waiting = slices.Insert(e.waiting, at, g)
 }
 
-// length draws how long a generation gets. It depends only on the engine's
-// seed and the generation, not on the order of arrival.
+// length returns the output length of a generation in tokens. A drawn length depends
+// only on the engine's seed and the generation id, not on the order of arrival.
 func (e *Engine) length(request backend.CompletionRequest) int {
 	if request.StopAfter > 0 {
 		return request.StopAfter
@@ -217,7 +219,7 @@
 	return drawLength(e.config, request.GenerationID)
 }
 
-// endLocked ends a generation and keeps it for resume for a while.
+// endLocked ends a generation and keeps it for resumption for the time Keep.
 func (e *Engine) endLocked(g *generation, finish string) {
 	if g.phase == ended {
 		return
@@ -231,6 +233,7 @@
 	time.AfterFunc(e.config.Keep, func() { e.forget(g) })
 }
 
+// forget deletes an ended generation.
 func (e *Engine) forget(g *generation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -239,7 +242,7 @@
 	}
 }
 
-// attachLocked counts a reader in, detach counts it out.
+// attachLocked adds a reader to a generation; detach removes it.
 func (e *Engine) attachLocked(g *generation) { g.readers++ }
 
 func (e *Engine) detach(g *generation) {
@@ -252,12 +255,12 @@
 	}
 }
 
-// watchReadersLocked cancels a generation that nobody reads for Grace.
+// watchReadersLocked cancels a generation if it has no reader for the time Grace.
 func (e *Engine) watchReadersLocked(g *generation) {
 	time.AfterFunc(e.config.Grace, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		// Another reader may have come and gone since.
+		// Another reader may have attached and detached meanwhile.
 		if g.readers == 0 && time.Since(g.leftAt) >= e.config.Grace {
 			e.endLocked(g, finishCancelled)
 		}
--- a/fake/engine/engine_test.go
+++ b/fake/engine/engine_test.go
@@ -70,7 +70,7 @@
 		is.NoErr(err)
 		rest, _ := read(is, resumed)
 		is.Equal(rest, tokens[3:])
-		time.Sleep(2 * time.Minute) // longer than it is kept
+		time.Sleep(2 * time.Minute) // longer than Keep
 		_, err = c.Resume(context.Background(), engineAddress, "g1", 3)
 		is.Equal(evidence(err), backend.Lost)
 		runs := e.Runs()
@@ -137,7 +137,7 @@
 		is.Equal(failed.RetryAfter, time.Second)
 		report, err := c.Load(context.Background(), engineAddress)
 		is.NoErr(err)
-		is.True(!report.Leaving) // the report lags
+		is.True(!report.Leaving) // the report is stale
 		time.Sleep(time.Second)
 		report, err = c.Load(context.Background(), engineAddress)
 		is.NoErr(err)
@@ -199,7 +199,7 @@
 		time.Sleep(time.Second)
 		events, err = c.CacheEvents(context.Background(), engineAddress, 0)
 		is.NoErr(err)
-		is.Equal(len(events), 3) // in, in, and the first one out
+		is.Equal(len(events), 3) // two insertions and the eviction of the first prefix
 		is.True(events[2].Evicted)
 		is.Equal(events[2].Prefix, backend.PrefixHash(prompt))
 	})
@@ -211,10 +211,10 @@
 		"crossed chunk":  func(e *Engine) { e.CrossChunks(1) },
 		"missing chunk":  func(e *Engine) { e.SkipChunks(1) },
 	}
-	for name, spoil := range faults {
+	for name, inject := range faults {
 		t.Run(name, func(t *testing.T) {
 			world(t, Config{}, func(is *is.I, e *Engine, c *backend.Client) {
-				spoil(e)
+				inject(e)
 				s, err := c.Start(context.Background(), engineAddress, backend.CompletionRequest{GenerationID: "g", StopAfter: 9})
 				for err == nil {
 					_, err = s.Next()
--- a/fake/engine/fault.go
+++ b/fake/engine/fault.go
@@ -1,6 +1,7 @@
 package engine
 
-// faults are answers to be spoilt. The engine's mutex guards them.
+// faults counts the answers and chunks that are still to be corrupted. The
+// engine's mutex guards it.
 type faults struct {
 	crossAnswers int
 	crossChunks  int
@@ -21,14 +22,14 @@
 	e.faults.crossChunks = n
 }
 
-// SkipChunks loses the next n chunks of streams.
+// SkipChunks drops the next n chunks of streams.
 func (e *Engine) SkipChunks(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults.skipChunks = n
 }
 
-// takeFault uses one up and reports whether there was one.
+// takeFault decrements a fault counter and reports whether it was above zero.
 func (e *Engine) takeFault(count *int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/fake/engine/generation.go
+++ b/fake/engine/generation.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// phase is where a generation stands.
+// phase is the state of a generation.
 type phase int
 
 const (
@@ -17,8 +17,8 @@
 	finishCancelled = "cancelled"
 )
 
-// generation is one generation the engine runs or keeps. The engine's mutex
-// guards it.
+// generation is a generation that the engine queues, runs or keeps. The engine's
+// mutex guards it.
 type generation struct {
 	id       string
 	prompt   string
@@ -26,20 +26,20 @@
 	promptN  int // prompt tokens
 	priority int
 	arrival  uint64 // order of arrival
-	length   int    // tokens after which it ends by itself
-	limit    int    // tokens after which it is cut
-	produced int    // tokens so far; their text follows from id and index
+	length   int    // tokens after which it stops by itself
+	limit    int    // tokens after which it is cut off
+	produced int    // tokens produced; TokenText derives their text from id and index
 	phase    phase
 	finish   string // finish reason once ended
 
 	preempted int
 	readers   int
-	leftAt    time.Time     // when the last reader left
-	changed   chan struct{} // closed and replaced when tokens or phase change
+	leftAt    time.Time     // when a reader last detached
+	changed   chan struct{} // closed and replaced when produced or phase changes
 	endedAt   time.Time
 }
 
-// held returns how many tokens of memory the generation takes.
+// held returns the memory that the generation uses, in tokens.
 func (g *generation) held() int { return g.promptN + g.produced }
 
 // notify wakes the readers.
@@ -48,7 +48,7 @@
 	g.changed = make(chan struct{})
 }
 
-// before reports whether g is served before other.
+// before reports whether g has precedence over other: by priority, then by arrival.
 func (g *generation) before(other *generation) bool {
 	if g.priority != other.priority {
 		return g.priority > other.priority
--- a/fake/engine/handler.go
+++ b/fake/engine/handler.go
@@ -65,7 +65,8 @@
 	e.serveEvents(w, r, g, 0)
 }
 
-// refusalLocked says why a start is refused; empty: it is not.
+// refusalLocked returns the status and the reason with which a start is refused;
+// the reason is empty if it is accepted.
 func (e *Engine) refusalLocked(request backend.CompletionRequest) (int, string) {
 	switch {
 	case e.leaving || e.closed:
@@ -80,8 +81,9 @@
 	return 0, ""
 }
 
-// servesLocked reports whether a model is loaded, named with its version or
-// without. An engine that was configured without models serves any.
+// servesLocked reports whether a model, given with or without its version, is
+// loaded. An engine that was configured without models and has loaded none serves
+// any model.
 func (e *Engine) servesLocked(model string) bool {
 	if len(e.config.Models) == 0 && len(e.orders.state.Models) == 0 {
 		return true
@@ -94,7 +96,7 @@
 	return false
 }
 
-// refuse answers that nothing ran.
+// refuse answers that the request did not run.
 func (e *Engine) refuse(w http.ResponseWriter, status int, why string) {
 	e.mu.Lock()
 	e.journal.counters.Refused++
@@ -122,7 +124,8 @@
 	e.serveEvents(w, r, g, from)
 }
 
-// serveEvents streams a generation from an offset. The reader was counted in.
+// serveEvents streams a generation from an offset. The caller has attached the
+// reader; serveEvents detaches it.
 func (e *Engine) serveEvents(w http.ResponseWriter, r *http.Request, g *generation, from int) {
 	defer e.detach(g)
 	w.Header().Set("Content-Type", backend.ContentTypeSSE)
@@ -158,7 +161,7 @@
 	}
 }
 
-// look returns a copy of a generation.
+// look returns a snapshot of a generation.
 func (e *Engine) look(g *generation) generation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/fake/engine/journal.go
+++ b/fake/engine/journal.go
@@ -8,32 +8,34 @@
 	"github.com/papayasail/papayasail/backend"
 )
 
-// maxJournal bounds the runs and orders remembered, for long benches.
+// maxJournal bounds the number of recorded runs and orders, so that long benchmarks
+// do not exhaust memory.
 const maxJournal = 1 << 16
 
-// Run is one generation the engine has run, for oracles.
+// Run is the record of one generation, for test oracles.
 type Run struct {
 	GenerationID string
 	Prompt       string
 	Tokens       int
 	Preempted    int
-	Finish       string // empty while it runs
+	Finish       string // finish reason; empty while it runs
 	Started      time.Time
 }
 
-// Counters are the engine's totals since its start.
+// Counters contains the engine's totals since its start.
 type Counters struct {
 	Started     uint64
 	Tokens      uint64
 	Preemptions uint64
 	Ended       map[string]uint64 // by finish reason
-	Refused     uint64            // refusals that ran nothing
-	// RefusedStarts are those of them that would have been new work.
+	Refused     uint64            // refused requests, which ran nothing
+	// RefusedStarts counts the refused requests that were starts of generations.
 	RefusedStarts uint64
-	Repeated      uint64 // starts of a generation id that had run
+	Repeated      uint64 // starts of a generation id that exists already
 }
 
-// journal is what the engine remembers for oracles. The engine's mutex guards it.
+// journal records runs, orders and totals for test oracles. The engine's mutex
+// guards it.
 type journal struct {
 	runs        []*Run
 	byID        map[string]*Run
@@ -85,7 +87,7 @@
 	}
 }
 
-// Runs returns every generation the engine has started, in order.
+// Runs returns the recorded generations, in order of their starts.
 func (e *Engine) Runs() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -96,7 +98,7 @@
 	return runs
 }
 
-// RunsOf returns how many generations were started with a prompt.
+// RunsOf returns how many recorded generations have this prompt.
 func (e *Engine) RunsOf(prompt string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -109,15 +111,15 @@
 	return count
 }
 
-// Orders returns the orders that took effect and those refused for their
-// fencing number, in order.
+// Orders returns the orders that were executed and those that were refused because
+// of a stale fencing token, each in order.
 func (e *Engine) Orders() (taken, refused []backend.OrderRequest) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.journal.orders), slices.Clone(e.journal.refused)
 }
 
-// Counters returns the totals since the engine's start.
+// Counters returns a snapshot of the totals since the engine's start.
 func (e *Engine) Counters() Counters {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -127,7 +129,7 @@
 	return counters
 }
 
-// Load returns the load as it is now, without lag or lie.
+// Load returns the current load, without ReportLag and ReportLie.
 func (e *Engine) Load() backend.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/fake/engine/order.go
+++ b/fake/engine/order.go
@@ -7,11 +7,11 @@
 	"github.com/papayasail/papayasail/backend"
 )
 
-// orderBook holds what orders have made of the engine. The engine's mutex
-// guards it.
+// orderBook is the part of the engine's state that orders change. The engine's
+// mutex guards it.
 type orderBook struct {
 	state   backend.EngineState
-	pending int // orders that are being carried out
+	pending int // orders in execution
 }
 
 func newOrderBook(models []string) orderBook {
@@ -26,8 +26,8 @@
 	return state
 }
 
-// order carries an order out, which takes LoadTime for models. It returns
-// false where the fencing number is old and the engine honours it.
+// order executes an order; loading or unloading a model takes LoadTime. It returns
+// the new state, or false if the fencing token is stale and HonourFence is set.
 func (e *Engine) order(order backend.OrderRequest) (backend.EngineState, bool) {
 	e.mu.Lock()
 	if e.config.HonourFence && order.Fence < e.orders.state.LastFence {
--- a/fake/engine/report.go
+++ b/fake/engine/report.go
@@ -6,10 +6,10 @@
 	"github.com/papayasail/papayasail/backend"
 )
 
-// maxReports bounds how many past reports are kept for lagging.
+// maxReports bounds how many past reports are kept to serve stale ones.
 const maxReports = 4096
 
-// reportLog holds the engine's past load, oldest first.
+// reportLog contains the engine's past load reports, oldest first.
 type reportLog struct {
 	entries  []timedReport
 	sequence uint64
@@ -20,7 +20,7 @@
 	report backend.LoadReport
 }
 
-// record adds the load at a moment.
+// record adds a report with its time.
 func (l *reportLog) record(at time.Time, report backend.LoadReport) {
 	l.sequence++
 	report.Sequence = l.sequence
@@ -30,18 +30,18 @@
 	}
 }
 
-// at returns the load as it was at a moment, or the oldest known.
-func (l *reportLog) at(moment time.Time) backend.LoadReport {
+// at returns the report that was current at a time, or the oldest one kept.
+func (l *reportLog) at(t time.Time) backend.LoadReport {
 	for i := len(l.entries) - 1; i > 0; i-- {
-		if !l.entries[i].at.After(moment) {
+		if !l.entries[i].at.After(t) {
 			return l.entries[i].report
 		}
 	}
 	return l.entries[0].report
 }
 
-// publishedReport returns the report as others see it: late, sometimes wrong,
-// sometimes lost.
+// publishedReport returns the report that a client receives: stale by ReportLag,
+// altered by ReportLie, and lost with probability ReportLoss.
 func (e *Engine) publishedReport() (report backend.LoadReport, lost bool) {
 	e.mu.Lock()
 	lost = e.random.Float64() < e.config.ReportLoss
@@ -53,7 +53,7 @@
 	return report, lost
 }
 
-// reportLocked says how loaded the engine is now.
+// reportLocked returns the current load.
 func (e *Engine) reportLocked() backend.LoadReport {
 	report := backend.LoadReport{
 		Running:       len(e.running),
--- a/fake/engine/step.go
+++ b/fake/engine/step.go
@@ -6,8 +6,8 @@
 	"github.com/papayasail/papayasail/backend"
 )
 
-// plan admits waiting generations and returns how long the next step takes;
-// false: nothing runs.
+// plan admits waiting generations and returns the duration of the next step; false
+// if there is nothing to run.
 func (e *Engine) plan() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -25,8 +25,8 @@
 	return step, true
 }
 
-// admitLocked moves generations from the queue into the batch, in order, as
-// long as memory has room for them and a token of each running one.
+// admitLocked moves generations from the queue into the batch, in order, as long
+// as memory has room for them and for one more token of each running generation.
 func (e *Engine) admitLocked() {
 	for len(e.waiting) > 0 && len(e.running) < e.config.MaxBatch {
 		g := e.waiting[0]
@@ -64,9 +64,9 @@
 	e.reports.record(time.Now(), e.reportLocked())
 }
 
-// makeRoomLocked preempts generations until each that still runs has room for
-// a token. The victim's memory is dropped and computed again when it is its
-// turn; its tokens so far stay.
+// makeRoomLocked preempts generations until memory has room for one more token of
+// each running one. A victim loses its memory, which is computed again when it is
+// admitted; it keeps the tokens produced so far.
 func (e *Engine) makeRoomLocked() {
 	for len(e.running) > 1 && e.heldLocked()+len(e.running) > e.config.TokenCapacity {
 		victim := e.running[0]
--- a/fake/engine/streamwriter.go
+++ b/fake/engine/streamwriter.go
@@ -7,7 +7,7 @@
 	"github.com/papayasail/papayasail/backend"
 )
 
-// streamWriter writes the events of one completion stream.
+// streamWriter writes the server-sent events of one completion stream.
 type streamWriter struct {
 	engine     *Engine
 	generation *generation
@@ -33,7 +33,7 @@
 	})
 }
 
-// load returns the report that goes with the token at an index, or nil.
+// load returns the load report for the chunk of the token at an index, or nil.
 func (s *streamWriter) load(index int) *backend.LoadReport {
 	every := s.engine.config.StreamReports
 	if every <= 0 || index%every != 0 {
@@ -46,8 +46,7 @@
 	return &report
 }
 
-// end writes the finish chunk and the done marker. Its index is the token
-// count.
+// end writes the finish chunk, whose index is the token count, and the done marker.
 func (s *streamWriter) end(view generation) {
 	err := s.chunk(backend.CompletionChunk{
 		ID:        view.id,
--- a/fake/network/conn.go
+++ b/fake/network/conn.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// segment is a run of bytes on its way; fin marks the end of the direction.
+// segment is a chunk of bytes in flight; fin marks the end of the direction.
 type segment struct {
 	data    []byte
 	readyAt time.Time
@@ -20,22 +20,22 @@
 type half struct {
 	fabric   *Fabric
 	from, to string
-	changed  *sync.Cond // on the fabric's mutex
+	changed  *sync.Cond // with the fabric's mutex
 	segments []segment
-	buffered int  // bytes written and not yet read; lost ones stay counted
-	lost     bool // bytes vanish, for good
+	buffered int  // bytes written and not yet read; dropped bytes stay counted
+	lost     bool // all bytes are dropped, permanently
 }
 
 func newHalf(f *Fabric, from, to string) *half {
 	return &half{fabric: f, from: from, to: to, changed: sync.NewCond(&f.mu)}
 }
 
-// pushLocked puts a segment on its way.
+// pushLocked sends a segment.
 func (h *half) pushLocked(s segment) {
 	h.buffered += len(s.data)
 	if h.lost {
-		// Bytes on a lost direction are never acknowledged, so they fill
-		// the sender's buffer and then block it, as TCP does.
+		// Dropped bytes are never acknowledged, so they fill the sender's
+		// buffer until it blocks, as with TCP.
 		return
 	}
 	delay := h.fabric.linkLocked(h.from, h.to).delay
@@ -61,7 +61,8 @@
 	return !time.Now().Before(h.segments[0].readyAt)
 }
 
-// deadline is a read or write deadline with the timer that wakes its waiters.
+// deadline is a read or write deadline and the timer that wakes the goroutines
+// waiting for it.
 type deadline struct {
 	at    time.Time
 	timer *time.Timer
@@ -69,7 +70,8 @@
 
 func (d *deadline) passed() bool { return !d.at.IsZero() && !time.Now().Before(d.at) }
 
-// setLocked moves the deadline and wakes whoever waits on half now and then.
+// setLocked sets the deadline and wakes the goroutines that wait on h, now and
+// when the deadline expires.
 func (d *deadline) setLocked(at time.Time, h *half) {
 	if d.timer != nil {
 		d.timer.Stop()
@@ -93,7 +95,7 @@
 	readBy        deadline
 	writeBy       deadline
 	closed        bool
-	closePending  bool // closed while frozen: the other end is told at Thaw
+	closePending  bool // closed while frozen: the close is sent at Thaw
 	broken        bool // reset by the other end or the link
 }
 
@@ -123,7 +125,7 @@
 	}
 }
 
-// takeLocked moves bytes that have arrived into p.
+// takeLocked copies arrived bytes to p and returns their number.
 func (c *conn) takeLocked(p []byte) int {
 	n := 0
 	for n < len(p) && c.in.readyLocked() && !c.in.segments[0].fin {
@@ -168,8 +170,8 @@
 	}
 }
 
-// otherEndClosedLocked reports whether the other end closed and this end
-// could have learned of it.
+// otherEndClosedLocked reports whether the other end closed and the close could
+// have reached this end.
 func (c *conn) otherEndClosedLocked() bool {
 	return c.peer.closed && !c.peer.closePending && !c.in.lost && !c.out.lost
 }
@@ -192,14 +194,14 @@
 	return nil
 }
 
-// finishCloseLocked tells the other end. Bytes it sends from now on meet a
-// reset, unless the way back is lost.
+// finishCloseLocked sends the close to the other end. Bytes that the other end sends
+// afterwards are answered by a reset, unless this direction drops its bytes.
 func (c *conn) finishCloseLocked() {
 	c.closePending = false
 	delete(c.fabric.conns, c)
 	c.out.pushLocked(segment{fin: true})
 	if !c.out.lost && len(c.in.segments) > 0 && !c.in.segments[0].fin {
-		// Unread bytes at close: TCP answers with a reset.
+		// Like TCP, a close with unread bytes sends a reset.
 		c.peer.brokenLocked()
 	}
 }
@@ -210,14 +212,16 @@
 	c.peer.brokenLocked()
 }
 
-// brokenLocked breaks this end. It stays among the fabric's connections until
-// it is closed: if its machine is frozen, Thaw has to wake who waits on it.
+// brokenLocked breaks this end. It stays in the fabric's connections until it is
+// closed, because Thaw has to wake the goroutines waiting on it if its machine is
+// frozen.
 func (c *conn) brokenLocked() {
 	c.broken = true
 	c.in.changed.Broadcast()
 	c.out.changed.Broadcast()
 }
 
+// between reports whether the connection is between machines a and b.
 func (c *conn) between(a, b string) bool {
 	return c.in.from == a && c.in.to == b || c.in.from == b && c.in.to == a
 }
@@ -261,7 +265,7 @@
 type listener struct {
 	fabric *Fabric
 	addr   *net.TCPAddr
-	ready  *sync.Cond // on the fabric's mutex
+	ready  *sync.Cond // with the fabric's mutex
 	queue  []*conn
 	closed bool
 }
--- a/fake/network/fabric.go
+++ b/fake/network/fabric.go
@@ -1,7 +1,7 @@
-// Package network is an in-memory network for tests. Each machine gets its own
-// view of one Fabric, through which it dials and listens as over TCP. Faults
-// of links and machines can be switched on and off at any time. It uses only
-// timers and condition variables, so it works in testing/synctest bubbles.
+// Package network is an in-memory network for tests. Each machine has its own view
+// of one Fabric, through which it dials and listens as over TCP. Faults of links
+// and machines can be injected and removed at any time. It uses only timers and
+// condition variables, so it works in testing/synctest bubbles.
 package network
 
 import (
@@ -20,13 +20,13 @@
 const (
 	defaultBufferBytes = 64 << 10
 	firstFreePort      = 30000
-	backlog            = 1024 // connections waiting to be accepted, a listener
+	backlog            = 1024 // connections per listener that wait to be accepted
 )
 
-// Options sets up a Fabric.
+// Options configures a Fabric.
 type Options struct {
-	// BufferBytes is how much one direction of a connection holds before the
-	// writer blocks; zero: 64 KiB.
+	// BufferBytes is the number of unread bytes in one direction of a connection
+	// above which the writer blocks; zero: 64 KiB.
 	BufferBytes int
 }
 
@@ -37,8 +37,8 @@
 type Fabric struct {
 	options Options
 
-	mu        sync.Mutex // guards all below and all fields of conn, half and listener
-	changed   *sync.Cond // on mu: a fault, a listener or a machine changed
+	mu        sync.Mutex // guards the fields below and all fields of conn, half and listener
+	changed   *sync.Cond // with mu: a fault, a listener or a machine changed
 	links     map[direction]*linkState
 	frozen    map[string]bool
 	listeners map[string]*listener // by address
@@ -46,10 +46,10 @@
 	lastPort  map[string]int
 }
 
-// direction names one way of a link.
+// direction identifies one direction of a link.
 type direction struct{ from, to string }
 
-// linkState holds the faults of one direction of a link.
+// linkState contains the faults and the delay of one direction of a link.
 type linkState struct {
 	cut     bool
 	silent  bool
@@ -74,7 +74,7 @@
 	return f
 }
 
-// Host returns the network as the machine with this IP sees it.
+// Host returns the view of the network of the machine with this IP.
 func (f *Fabric) Host(ip string) link.Network { return &host{fabric: f, ip: ip} }
 
 // host is one machine's view of the fabric.
@@ -83,8 +83,9 @@
 	ip     string
 }
 
-// Dial connects to address. It fails with ECONNREFUSED where nothing listens
-// or the link is cut, and blocks until ctx ends while the link is silent.
+// Dial connects to address. It fails with ECONNREFUSED if nothing listens there or
+// the link is cut, and blocks while the link is silent or stalled or this machine is
+// frozen, at most until ctx ends.
 func (h *host) Dial(ctx context.Context, address string) (net.Conn, error) {
 	conn, err := h.fabric.dial(ctx, h.ip, address)
 	if err != nil {
@@ -93,8 +94,8 @@
 	return conn, nil
 }
 
-// Listen accepts connections at address, whose host part must be empty,
-// unspecified or this machine's IP.
+// Listen accepts connections at address, whose host part must be empty, the
+// unspecified address or this machine's IP.
 func (h *host) Listen(address string) (net.Listener, error) {
 	l, err := h.fabric.listen(h.ip, address)
 	if err != nil {
@@ -159,12 +160,12 @@
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
-		there, back := f.linkLocked(from, to), f.linkLocked(to, from)
+		forward, reverse := f.linkLocked(from, to), f.linkLocked(to, from)
 		switch {
-		case f.frozen[from] || there.silent || back.silent || there.stalled || back.stalled:
+		case f.frozen[from] || forward.silent || reverse.silent || forward.stalled || reverse.stalled:
 			f.changed.Wait()
 			continue
-		case there.cut || back.cut:
+		case forward.cut || reverse.cut:
 			return nil, syscall.ECONNREFUSED
 		}
 		l := f.listeners[address]
@@ -175,15 +176,16 @@
 	}
 }
 
-// roundTripLocked waits as long as the handshake of a new connection takes.
+// roundTripLocked waits for the handshake of a new connection. It releases the mutex
+// while it waits.
 func (f *Fabric) roundTripLocked(ctx context.Context, from, to string) error {
-	trip := f.linkLocked(from, to).delay + f.linkLocked(to, from).delay
-	if trip == 0 {
+	roundTrip := f.linkLocked(from, to).delay + f.linkLocked(to, from).delay
+	if roundTrip == 0 {
 		return nil
 	}
 	f.mu.Unlock()
 	defer f.mu.Lock()
-	timer := time.NewTimer(trip)
+	timer := time.NewTimer(roundTrip)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -217,7 +219,7 @@
 	return state
 }
 
-// wakeLocked lets every blocked operation look at the faults again.
+// wakeLocked makes every blocked operation check the faults again.
 func (f *Fabric) wakeLocked() {
 	f.changed.Broadcast()
 	for c := range f.conns {
--- a/fake/network/fabric_test.go
+++ b/fake/network/fabric_test.go
@@ -45,7 +45,7 @@
 		near, far := pair(t, f)
 		f.Silence(left, right)
 		_, err := near.Write([]byte("lost"))
-		is.NoErr(err) // the sender sees nothing wrong
+		is.NoErr(err) // the sender does not notice
 		f.Heal(left, right)
 		_, err = near.Write([]byte("lost too"))
 		is.NoErr(err)
@@ -55,7 +55,7 @@
 		is.NoErr(near.Close())
 		is.NoErr(far.SetReadDeadline(time.Now().Add(time.Minute)))
 		_, err = far.Read(make([]byte, 8))
-		is.True(errors.Is(err, os.ErrDeadlineExceeded)) // not even the close arrives
+		is.True(errors.Is(err, os.ErrDeadlineExceeded)) // the close does not arrive either
 
 		fresh, other := pair(t, f)
 		_, err = fresh.Write([]byte("here"))
@@ -113,7 +113,7 @@
 		f.Freeze(right)
 		is.NoErr(far.SetReadDeadline(time.Now().Add(time.Second)))
 		_, err := near.Write([]byte("x"))
-		is.NoErr(err) // the frozen machine's kernel takes the bytes
+		is.NoErr(err) // the frozen machine's kernel accepts the bytes
 		start := time.Now()
 		time.AfterFunc(time.Minute, func() { f.Thaw(right) })
 		_, err = far.Read(make([]byte, 1))
@@ -122,8 +122,8 @@
 	})
 }
 
-// A machine is frozen while it reads, and the link is cut meanwhile. Thawed, it
-// must find its connection broken, and not wait for good.
+// Guards against a read that blocks forever after a machine was frozen in it and the
+// link was cut meanwhile.
 func TestThawWakesReaderOfBrokenConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/fake/network/fault.go
+++ b/fake/network/fault.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Cut breaks all connections between two machines and refuses new ones.
+// Cut resets all connections between two machines and refuses new ones.
 func (f *Fabric) Cut(a, b string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -16,15 +16,15 @@
 	f.wakeLocked()
 }
 
-// Silence lets all bytes between two machines vanish, both ways. Connections
-// that are open stay open and silent for good, also after Heal.
+// Silence drops all bytes between two machines in both directions. Connections that
+// are open stay open and silent permanently, even after Heal.
 func (f *Fabric) Silence(a, b string) {
 	f.SilenceOneWay(a, b)
 	f.SilenceOneWay(b, a)
 }
 
-// SilenceOneWay lets bytes from one machine to the other vanish. New
-// connections cannot be made in either way while it lasts.
+// SilenceOneWay drops all bytes from one machine to another. Until Heal, no new
+// connections can be established in either direction.
 func (f *Fabric) SilenceOneWay(from, to string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -33,9 +33,9 @@
 	f.wakeLocked()
 }
 
-// SilenceOpen makes the connections that are open now between two machines
-// silent for good, both ways, as when something between them has lost track
-// of them. New connections work.
+// SilenceOpen makes the connections that are currently open between two machines
+// silent permanently, in both directions, as when a NAT or firewall between them has
+// lost their state. New connections work.
 func (f *Fabric) SilenceOpen(a, b string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -44,8 +44,8 @@
 	f.wakeLocked()
 }
 
-// loseLocked makes one direction of the open connections lose all its bytes.
-// What was already on its way is lost too.
+// loseLocked makes one direction of the open connections drop all bytes, including
+// those in flight.
 func (f *Fabric) loseLocked(from, to string) {
 	for c := range f.conns {
 		if c.out.from == from && c.out.to == to {
@@ -55,7 +55,7 @@
 	}
 }
 
-// Stall holds all bytes between two machines back until Heal; none is lost.
+// Stall delays all bytes between two machines until Heal; none are lost.
 func (f *Fabric) Stall(a, b string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -63,19 +63,19 @@
 	f.linkLocked(b, a).stalled = true
 }
 
-// Heal ends Cut, Silence and Stall between two machines. Connections that
-// were broken or silenced stay so.
+// Heal ends Cut, Silence and Stall between two machines. Connections that were
+// broken or silenced do not recover.
 func (f *Fabric) Heal(a, b string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, way := range []direction{{a, b}, {b, a}} {
-		state := f.linkLocked(way.from, way.to)
+	for _, dir := range []direction{{a, b}, {b, a}} {
+		state := f.linkLocked(dir.from, dir.to)
 		state.cut, state.silent, state.stalled = false, false, false
 	}
 	f.wakeLocked()
 }
 
-// HealAll ends every Cut, Silence and Stall.
+// HealAll ends Cut, Silence and Stall on all links.
 func (f *Fabric) HealAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -93,15 +93,15 @@
 	f.linkLocked(b, a).delay = latency
 }
 
-// Freeze stalls a machine's reads, writes, accepts, dials and closes, as
-// SIGSTOP does for a process; its kernel still takes connections and bytes.
+// Freeze blocks a machine's reads, writes, accepts, dials and closes, as SIGSTOP
+// does for a process; its kernel still accepts connections and bytes.
 func (f *Fabric) Freeze(ip string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.frozen[ip] = true
 }
 
-// Thaw ends Freeze. Deadlines that passed meanwhile are found passed.
+// Thaw ends Freeze. Deadlines that passed meanwhile have expired.
 func (f *Fabric) Thaw(ip string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -114,9 +114,9 @@
 	f.wakeLocked()
 }
 
-// Kill closes a machine's listeners and breaks its connections, as SIGKILL
-// does for a process. The other ends learn of it unless the way to them is
-// silent. The machine may listen again at once; Freeze ends.
+// Kill closes a machine's listeners and breaks its connections, as SIGKILL does
+// for a process. The other ends see a reset unless the direction to them is silent.
+// The machine may listen again immediately, and Freeze ends.
 func (f *Fabric) Kill(ip string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -143,7 +143,7 @@
 	f.wakeLocked()
 }
 
-// Connections returns how many connection ends a machine holds open.
+// Connections returns the number of open connections of a machine.
 func (f *Fabric) Connections(ip string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fake/plain/plain.go
+++ b/fake/plain/plain.go
@@ -1,6 +1,6 @@
-// Package plain is a small stand-in for a plain service, for tests, the demo
-// and benches. It answers exact calls, counts what ran and can answer late,
-// crossed or not at all. It works in testing/synctest bubbles.
+// Package plain is a small stand-in for a plain service, for tests, the demo and
+// benchmarks. It answers exact calls, records which calls ran, and can answer late,
+// with another request's answer, or not at all. It works in testing/synctest bubbles.
 package plain
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/papayasail/papayasail/backend"
 )
 
-// Paths of the stand-in. Any other path is echoed too.
+// Paths of the stand-in. Calls with any other path are answered the same way.
 const (
 	PathVerdicts = "/verdicts" // POST: not idempotent
 	PathAlarms   = "/alarms"   // POST {id}/ack: not idempotent
@@ -31,35 +31,35 @@
 	retryAfter      = "1" // seconds
 )
 
-// Config sets up a Service.
+// Config configures a Service.
 type Config struct {
 	Name  string
-	Delay time.Duration // time that a call takes
+	Delay time.Duration // duration of a call
 }
 
-// Mode says what happens to a call.
+// Mode is the handling of a call.
 type Mode int
 
 const (
 	// Answer runs the call and answers it.
 	Answer Mode = iota
-	// Refuse runs nothing and says so.
+	// Refuse does not run the call and reports that it did not run.
 	Refuse
 	// Fail runs the call and answers with status 500.
 	Fail
-	// Cross runs the call and gives another request's answer, with its id.
+	// Cross runs the call and answers with the id and the answer of another request.
 	Cross
-	// DropBefore breaks the connection and runs nothing.
+	// DropBefore breaks the connection without running the call.
 	DropBefore
-	// DropAfter runs the call and breaks the connection.
+	// DropAfter runs the call and breaks the connection before the answer.
 	DropAfter
-	// Late runs the call and answers after LateBy.
+	// Late runs the call and answers after the additional delay set by LateBy.
 	Late
 	// Truncate runs the call and breaks the connection within the answer.
 	Truncate
 )
 
-// Run is one call the service has run.
+// Run is the record of one call that ran.
 type Run struct {
 	RequestID string
 	Key       string // idempotency key, if any
@@ -74,7 +74,7 @@
 	config Config
 	gone   chan struct{} // closed by Close
 
-	mu      sync.Mutex // guards all below
+	mu      sync.Mutex // guards the fields below
 	modes   []Mode     // of the next calls
 	lateBy  time.Duration
 	leaving bool
@@ -91,49 +91,50 @@
 	return &Service{config: config, gone: make(chan struct{}), byKey: map[string]int{}, byID: map[string]int{}}
 }
 
-// Next sets what happens to the next calls, one mode a call.
+// Next appends modes for the next calls, one for each call.
 func (s *Service) Next(modes ...Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.modes = append(s.modes, modes...)
 }
 
-// ClearModes drops the modes that Next has set and that no call has met.
+// ClearModes discards the modes set by Next that no call has used yet.
 func (s *Service) ClearModes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.modes = nil
 }
 
-// Closed reports whether the service has ended.
+// Closed reports whether the service is closed.
 func (s *Service) Closed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.closed
 }
 
-// LateBy sets how late answers of mode Late are.
+// LateBy sets the additional delay of answers in mode Late.
 func (s *Service) LateBy(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lateBy = d
 }
 
-// Leave makes the service refuse new calls, on and off, and report it.
+// Leave makes the service refuse new calls and report that it is leaving, or accept
+// calls again if leaving is false.
 func (s *Service) Leave(leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = leaving
 }
 
-// Runs returns the calls that ran, in order.
+// Runs returns the calls that ran, in the order of their starts.
 func (s *Service) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Run(nil), s.runs...)
 }
 
-// RunsOf returns how often a call with this body ran.
+// RunsOf returns how many calls with this body ran.
 func (s *Service) RunsOf(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,14 +147,14 @@
 	return count
 }
 
-// RunsByKey returns how often a call ran, by idempotency key.
+// RunsByKey returns how many calls ran, by idempotency key.
 func (s *Service) RunsByKey() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.byKey)
 }
 
-// RunsByRequestID returns how often a call ran, by request id.
+// RunsByRequestID returns how many calls ran, by request id.
 func (s *Service) RunsByRequestID() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,13 +166,14 @@
 // FailText is the body of an answer in mode Fail.
 const FailText = failure + "\n"
 
-// AnswerText returns the body of the answer to a call, so that a caller can
-// check that an answer is its own.
+// AnswerText returns the body of the answer to a call, which lets a caller check
+// that an answer belongs to its call.
 func AnswerText(method, path, body string) string {
 	return fmt.Sprintf("%s %s: %s", method, path, body)
 }
 
-// Serve serves calls on a listener until Close.
+// Serve serves calls on a listener until Close. It returns http.ErrServerClosed
+// after Close.
 func (s *Service) Serve(listener net.Listener) error {
 	server := &http.Server{Handler: s}
 	s.mu.Lock()
@@ -184,7 +186,7 @@
 	return server.Serve(listener)
 }
 
-// Close ends the service at once.
+// Close stops the service immediately.
 func (s *Service) Close() error {
 	s.mu.Lock()
 	if !s.closed {
@@ -250,7 +252,7 @@
 	io.WriteString(w, answer)
 }
 
-// take counts a call in and returns its mode.
+// take counts a call that will run and returns its mode and the delay for mode Late.
 func (s *Service) take() (Mode, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -291,7 +293,7 @@
 	}
 }
 
-// wait takes the time of a call, also when its caller has left.
+// wait waits for d or until Close, even if the caller has disconnected.
 func (s *Service) wait(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -309,7 +311,7 @@
 	json.NewEncoder(w).Encode(report)
 }
 
-// refuse answers that nothing ran.
+// refuse answers that the call did not run.
 func refuse(w http.ResponseWriter, status int) {
 	w.Header().Set(backend.HeaderNotRun, "true")
 	w.Header().Set("Retry-After", retryAfter)
--- a/fake/standin/app.go
+++ b/fake/standin/app.go
@@ -1,6 +1,6 @@
-// Package standin runs the stand-ins of outside systems as processes: the
-// platform's metadata store, a model engine, a plain service. Their switches can
-// be set by flags at the start and over HTTP, under /admin/, at any time.
+// Package standin runs stand-ins of external systems as processes: the platform's
+// metadata store, a model engine, a plain service. Their faults and states can be
+// set by flags at the start and over HTTP, under /admin/, at any time.
 package standin
 
 import (
@@ -24,14 +24,15 @@
 	ExitUsage  = 2
 )
 
-// Paths of the switches. They answer whatever the stand-in refuses otherwise.
+// Paths of the administrative interface. They answer even while the stand-in refuses
+// other requests.
 const (
-	PathRuns     = "/admin/runs"     // GET: what has run, as JSON
+	PathRuns     = "/admin/runs"     // GET: the runs, as JSON
 	PathCounters = "/admin/counters" // GET: totals of an engine, as JSON
 	PathLeave    = "/admin/leave"    // POST ?on=true|false: refuse new work
-	PathPause    = "/admin/pause"    // POST ?on=true|false: an engine makes no steps
-	PathReclaim  = "/admin/reclaim"  // POST ?after=10s: an engine ends then
-	PathNext     = "/admin/next"     // POST ?mode=NAME: what happens to a plain service's next call
+	PathPause    = "/admin/pause"    // POST ?on=true|false: suspend the steps of an engine
+	PathReclaim  = "/admin/reclaim"  // POST ?after=10s: close an engine after that time
+	PathNext     = "/admin/next"     // POST ?mode=NAME: mode of the next call of a plain service
 )
 
 // App is one run of the program.
@@ -41,13 +42,13 @@
 	Network link.Network // nil: TCP
 }
 
-// stand is a stand-in that is ready to serve.
+// stand is a configured stand-in that is ready to serve.
 type stand struct {
 	handler http.Handler
-	run     func(context.Context) // what goes on besides; the stand-in ends with it; may be nil
+	run     func(context.Context) // background work, may be nil; the stand-in ends when it returns
 }
 
-// builder makes a stand-in when its flags have been read.
+// builder creates a stand-in after its flags have been parsed.
 type builder func() stand
 
 // Run runs the program until ctx ends and returns its exit code.
@@ -60,7 +61,7 @@
 	parser.UsageWriter(a.Out).ErrorWriter(a.Err)
 	parser.Terminate(func(int) {
 		asked = true
-		parser.UsageWriter(io.Discard).ErrorWriter(io.Discard) // kingpin would print on
+		parser.UsageWriter(io.Discard).ErrorWriter(io.Discard) // kingpin would continue to print
 	})
 	address := parser.Flag("listen", "IP:port to listen at.").Default("127.0.0.1:0").String()
 	builders := map[string]builder{
@@ -100,7 +101,7 @@
 	}
 	go func() {
 		<-ctx.Done()
-		_ = server.Close() // the program ends next
+		_ = server.Close() // the program exits next
 	}()
 	fmt.Fprintln(a.Out, "listening at", listener.Addr())
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -111,10 +112,10 @@
 
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(value) // the reader is gone if this fails
+	_ = json.NewEncoder(w).Encode(value) // fails only if the client has disconnected
 }
 
-// onOff serves a switch that ?on=true|false sets.
+// onOff returns a handler that calls set with the value of ?on=true|false.
 func onOff(set func(bool)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Query().Get("on") {
--- a/fake/standin/engine.go
+++ b/fake/standin/engine.go
@@ -14,7 +14,7 @@
 	config := engine.Config{}
 	command.Flag("name", "Name of the engine.").Default("engine").StringVar(&config.Name)
 	command.Flag("model", "Model loaded at start, as name@version; may be given several times.").StringsVar(&config.Models)
-	command.Flag("seed", "Seed of lengths, lost reports and lost cache events.").Default("1").Uint64Var(&config.Seed)
+	command.Flag("seed", "Seed for output lengths, lost reports and lost cache events.").Default("1").Uint64Var(&config.Seed)
 	batchFlags(command, &config)
 	lengthFlags(command, &config)
 	reportFlags(command, &config)
@@ -26,35 +26,35 @@
 }
 
 func batchFlags(command *kingpin.CmdClause, config *engine.Config) {
-	command.Flag("token-capacity", "Tokens in memory; 0: the default of every flag here.").IntVar(&config.TokenCapacity)
-	command.Flag("max-batch", "Generations that run at once.").IntVar(&config.MaxBatch)
-	command.Flag("max-waiting", "Generations queued before new ones are refused.").IntVar(&config.MaxWaiting)
-	command.Flag("step-base", "Time of one step.").DurationVar(&config.StepBase)
-	command.Flag("step-per-running", "Time of a step for each running generation.").DurationVar(&config.StepPerRunning)
-	command.Flag("step-per-prefill-token", "Time of a step for each prompt token computed.").DurationVar(&config.StepPerPrefillToken)
+	command.Flag("token-capacity", "Tokens that fit into memory; for every flag here, 0 selects the default.").IntVar(&config.TokenCapacity)
+	command.Flag("max-batch", "Generations in one batch.").IntVar(&config.MaxBatch)
+	command.Flag("max-waiting", "Queued generations above which new ones are refused.").IntVar(&config.MaxWaiting)
+	command.Flag("step-base", "Base duration of a step.").DurationVar(&config.StepBase)
+	command.Flag("step-per-running", "Additional duration of a step for each running generation.").DurationVar(&config.StepPerRunning)
+	command.Flag("step-per-prefill-token", "Additional duration of a step for each prefilled token.").DurationVar(&config.StepPerPrefillToken)
 }
 
 func lengthFlags(command *kingpin.CmdClause, config *engine.Config) {
 	command.Flag("median-tokens", "Median output length.").IntVar(&config.MedianTokens)
-	command.Flag("length-sigma", "Spread of the output lengths.").Float64Var(&config.LengthSigma)
-	command.Flag("max-tokens", "Longest output.").IntVar(&config.MaxTokens)
+	command.Flag("length-sigma", "Sigma of the log-normal distribution of output lengths.").Float64Var(&config.LengthSigma)
+	command.Flag("max-tokens", "Maximum output length in tokens.").IntVar(&config.MaxTokens)
 	command.Flag("grace", "A generation without a reader is cancelled after this time.").DurationVar(&config.Grace)
-	command.Flag("keep", "An ended generation can be resumed for this time.").DurationVar(&config.Keep)
-	command.Flag("keep-alive", "Interval of comments on a stream without tokens.").DurationVar(&config.KeepAlive)
+	command.Flag("keep", "How long an ended generation can be resumed.").DurationVar(&config.Keep)
+	command.Flag("keep-alive", "Interval of comments on an idle stream.").DurationVar(&config.KeepAlive)
 }
 
 func reportFlags(command *kingpin.CmdClause, config *engine.Config) {
 	command.Flag("report-lag", "Age of load reports.").DurationVar(&config.ReportLag)
-	command.Flag("report-loss", "Share of load requests refused, 0 to 1.").Float64Var(&config.ReportLoss)
-	command.Flag("cache-tokens", "Tokens of prompt prefixes kept.").IntVar(&config.CacheTokens)
-	command.Flag("cache-lag", "Age at which cache events are published.").DurationVar(&config.CacheLag)
-	command.Flag("cache-loss", "Share of cache events never published, 0 to 1.").Float64Var(&config.CacheLoss)
+	command.Flag("report-loss", "Ratio of load requests refused, 0 to 1.").Float64Var(&config.ReportLoss)
+	command.Flag("cache-tokens", "Capacity of the prompt prefix cache in tokens.").IntVar(&config.CacheTokens)
+	command.Flag("cache-lag", "Delay until cache events are published.").DurationVar(&config.CacheLag)
+	command.Flag("cache-loss", "Ratio of cache events dropped, 0 to 1.").Float64Var(&config.CacheLoss)
 }
 
 func orderFlags(command *kingpin.CmdClause, config *engine.Config) {
-	command.Flag("load-time", "Time that loading or unloading a model takes.").DurationVar(&config.LoadTime)
-	command.Flag("honour-fence", "Refuse orders with an old fencing number.").BoolVar(&config.HonourFence)
-	command.Flag("order-token", "Bearer token that orders need.").StringVar(&config.OrderToken)
+	command.Flag("load-time", "Duration of loading or unloading a model.").DurationVar(&config.LoadTime)
+	command.Flag("honour-fence", "Refuse orders with a stale fencing token.").BoolVar(&config.HonourFence)
+	command.Flag("order-token", "Bearer token required for orders.").StringVar(&config.OrderToken)
 }
 
 func engineHandler(e *engine.Engine) http.Handler {
--- a/fake/standin/plain.go
+++ b/fake/standin/plain.go
@@ -8,7 +8,7 @@
 	"github.com/papayasail/papayasail/fake/plain"
 )
 
-// modes are the names that the switch PathNext takes.
+// modes maps the mode names that PathNext accepts.
 var modes = map[string]plain.Mode{
 	"answer":      plain.Answer,
 	"refuse":      plain.Refuse,
@@ -24,8 +24,8 @@
 	command := parser.Command("plain", "A plain service.")
 	config := plain.Config{}
 	command.Flag("name", "Name of the service.").Default("plain").StringVar(&config.Name)
-	command.Flag("delay", "Time that a call takes.").DurationVar(&config.Delay)
-	late := command.Flag("late-by", "How late answers of mode late are.").Duration()
+	command.Flag("delay", "Duration of a call.").DurationVar(&config.Delay)
+	late := command.Flag("late-by", "Additional delay of answers in mode late.").Duration()
 	return func() stand {
 		p := plain.New(config)
 		p.LateBy(*late)
