--- a/demo/badinput_test.go
+++ b/demo/badinput_test.go
@@ -16,7 +16,7 @@
 	"github.com/papayasail/papayasail/relay"
 )
 
-// started returns a site with its documents in force.
+// started starts a site and returns it with its documents in force everywhere.
 func started(t *testing.T) *demonstration {
 	t.Helper()
 	is := is.New(t)
@@ -31,7 +31,8 @@
 	return d
 }
 
-// send sends a request to the first entry host.
+// send sends a request to the first entry host and returns the status and the problem
+// document, if the answer is one.
 func (d *demonstration) send(t *testing.T, method, path, token, body string, header http.Header) (int, relay.Problem) {
 	t.Helper()
 	is := is.New(t)
@@ -47,10 +48,11 @@
 	content, err := io.ReadAll(response.Body)
 	is.NoErr(err)
 	var problem relay.Problem
-	_ = json.Unmarshal(content, &problem) // some answers are no problem documents
+	_ = json.Unmarshal(content, &problem) // not every answer is a problem document
 	return response.StatusCode, problem
 }
 
+// started returns how many generations the engines have started.
 func (d *demonstration) started() uint64 {
 	var started uint64
 	for _, e := range d.site.Engines {
@@ -59,10 +61,8 @@
 	return started
 }
 
-// A caller sends what cannot be served: a body that is no request or far too
-// long, a service that does not exist or belongs to others, a made-up event
-// id, no key or a broken one. It must hear what is wrong with the right status
-// and "not run", and no backend server must have run anything.
+// Guards against invalid requests that run, or are refused with a wrong status, reason
+// or outcome: bad body, service, event id, idempotency key or token.
 func TestBadInputIsRefusedAndRunsNothing(t *testing.T) {
 	const (
 		generate = "/v1/services/outlook/generations"
@@ -113,7 +113,7 @@
 		is.True(status == http.StatusUnauthorized || status == http.StatusNotFound)
 		is.Equal(problem.Outcome, "not_run")
 	})
-	t.Run("key of a home that nobody knows", func(t *testing.T) {
+	t.Run("key of an unknown home", func(t *testing.T) {
 		is := is.New(t)
 		status, _ := d.send(t, "POST", verdict, CallerToken, "gate", strangeKey)
 		is.True(status >= http.StatusBadRequest)
@@ -122,14 +122,13 @@
 	is.Equal(d.started(), uint64(0))
 	is.Equal(len(d.site.Plain.Runs()), 0)
 
-	// Nothing is lost either: the next good request is served.
+	// Valid requests are still served.
 	r := read(context.Background(), d.client, Narratives, caller.Request{Prompt: "after bad input", StopAfter: eventTokens}, nil)
 	is.NoErr(d.verify(r))
 }
 
-// An operator sends an unreadable document, one with many mistakes, one far
-// too long, one for another service, and a wrong token. Each gets its own
-// error; what is in force stays in force.
+// Guards against an invalid document or token that changes the configuration in force,
+// or is refused with a wrong status or number of findings.
 func TestBadOperatorInputChangesNothing(t *testing.T) {
 	is := is.New(t)
 	d := started(t)
@@ -165,7 +164,7 @@
 	is.Equal(current.Document, good)
 }
 
-// refusedPut is the part of a refusal that the test looks at.
+// refusedPut is the part of a refusal that the test checks.
 type refusedPut struct {
 	Findings []struct {
 		Line, Column int
@@ -187,7 +186,7 @@
 	content, err := io.ReadAll(response.Body)
 	is.NoErr(err)
 	if response.StatusCode == http.StatusUnauthorized {
-		is.True(!strings.Contains(string(content), "outlook")) // nothing else is said
+		is.True(!strings.Contains(string(content), "outlook")) // the answer reveals nothing about the service
 	}
 	var refused refusedPut
 	_ = json.Unmarshal(content, &refused)
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo shows the whole path in one process, without settings: it
-// starts stand-ins and entry hosts on free loopback ports, lets them meet
-// changes and failures, and checks every answer.
+// Package demo runs a complete deployment in one process, without settings: it
+// starts stand-ins and entry hosts on free loopback ports, exposes them to changes
+// and failures, and checks every answer.
 package demo
 
 import (
@@ -14,11 +14,11 @@
 	"github.com/papayasail/papayasail/caller"
 )
 
-// bound is the longest time a demo takes.
+// bound limits the duration of the demo.
 const bound = 30 * time.Second
 
-// Run runs the demo and writes its account to out. It returns nil only if
-// every answer was whole, in order, once.
+// Run runs the demo and writes its progress to out. It returns nil only if every
+// answer arrived complete, in order and exactly once.
 func Run(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
@@ -69,7 +69,7 @@
 	site   *Site
 	client *caller.Client
 
-	answers int // checked
+	answers int // checked generations
 	tokens  int
 	resumes int
 	calls   int
@@ -84,11 +84,11 @@
 
 func (d *demonstration) summary() {
 	d.title("done")
-	d.say("%d generations with %d tokens and %d exact calls: every answer whole, in order, once; %d streams were taken up at another entry host",
+	d.say("%d generations with %d tokens and %d exact calls: every answer complete, in order, exactly once; %d streams were resumed at another entry host",
 		d.answers, d.tokens, d.calls, d.resumes)
 }
 
-// verify checks a reading against the engines and counts it.
+// verify checks a received generation against the runs of the engines and counts it.
 func (d *demonstration) verify(r reading) error {
 	if err := d.site.check(r); err != nil {
 		return errors.Wrapf(err, "%q", r.prompt)
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// A newcomer's first command has to show every scene and end without an
-// error: each answer whole, in order, once.
+// Guards against a demo that omits a scene, or in which an answer is truncated, out of
+// order or duplicated.
 func TestDemo(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
--- a/demo/documents.go
+++ b/demo/documents.go
@@ -12,8 +12,8 @@
 	Gauges     = "gauges"  // plain
 )
 
-// Documents returns the service documents of the site, by service. risk is
-// the placement risk of the narratives: changing it makes a new version.
+// Documents returns the service documents of the site, by service. risk is the
+// placement risk of the narratives; a document with another risk is a new version.
 func (s *Site) Documents(risk float64) map[string]string {
 	return map[string]string{
 		Narratives: s.modelDocument(Narratives, "basin", "3", true, risk),
--- a/demo/network.go
+++ b/demo/network.go
@@ -10,9 +10,9 @@
 	"github.com/papayasail/papayasail/link"
 )
 
-// loopback is TCP on the loopback interface with ports that are reserved
-// ahead: settings have to name every address before anything listens, and a
-// port that was only looked up could be taken by another program meanwhile.
+// loopback is TCP on the loopback interface with ports reserved in advance: the
+// settings contain every address before anything listens, and a free port that is
+// not reserved could be bound by another program meanwhile.
 type loopback struct {
 	link.TCP
 
@@ -22,7 +22,7 @@
 
 func newLoopback() *loopback { return &loopback{reserved: map[string]net.Listener{}} }
 
-// reserve returns a free address on which Listen will listen.
+// reserve binds a free port and returns its address, for a later call of Listen.
 func (l *loopback) reserve() (string, error) {
 	listener, err := l.TCP.Listen("127.0.0.1:0")
 	if err != nil {
@@ -52,7 +52,7 @@
 	return l.TCP.Dial(ctx, address)
 }
 
-// close gives back the ports that nobody listened on.
+// close releases the reserved ports on which Listen was not called.
 func (l *loopback) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/demo/operatingpage_test.go
+++ b/demo/operatingpage_test.go
@@ -24,8 +24,8 @@
 
 var knownHere = regexp.MustCompile(`known here: (.*)`)
 
-// An operator looks a setting up and does not find it on the page. The names
-// come from what the parsers say of a field that they do not know.
+// Guards against a setting or document field that the operations page omits. The names
+// come from the parsers' errors about unknown fields.
 func TestOperatingPageNamesEverySetting(t *testing.T) {
 	is := is.New(t)
 	page := operatingPage(t)
@@ -47,7 +47,7 @@
 
 var family = regexp.MustCompile(`(?m)^# TYPE (papayasail_\S+)`)
 
-// A counter rises on a dashboard and the page does not say what it means.
+// Guards against a metric that the operations page omits.
 func TestOperatingPageNamesEveryMetric(t *testing.T) {
 	is := is.New(t)
 	page := operatingPage(t)
--- a/demo/reader.go
+++ b/demo/reader.go
@@ -11,18 +11,18 @@
 	"github.com/papayasail/papayasail/fake/engine"
 )
 
-// reading is what became of one generation at its caller.
+// reading is one generation as received by its caller.
 type reading struct {
 	prompt     string
-	generation string // the one that every token came from
+	generation string // id of the generation that every token belongs to
 	tokens     int
 	resumes    int
 	lastHost   string
 	err        error
 }
 
-// read reads a generation to its end. It checks of each token that it is the
-// next one of one and the same generation; onToken may be nil.
+// read reads a generation to its end and checks that each token is the next one of
+// the same generation. It calls onToken, unless nil, after each token.
 func read(ctx context.Context, client *caller.Client, service string, request caller.Request, onToken func(*caller.Stream, caller.Token)) reading {
 	r := reading{prompt: request.Prompt}
 	stream, err := client.Generate(ctx, service, request)
@@ -49,12 +49,12 @@
 	}
 	r.resumes, r.lastHost = stream.Resumes(), stream.Host()
 	if end := stream.End(); end.Tokens != request.StopAfter || r.tokens != request.StopAfter {
-		r.err = errors.Newf("%d tokens instead of %d", r.tokens, request.StopAfter)
+		r.err = errors.Newf("received %d tokens instead of %d", r.tokens, request.StopAfter)
 	}
 	return r
 }
 
-// take checks one token. Its text names its generation and its index, so that
+// take checks one token. Its text contains the generation id and the index, so that
 // tokens of two generations cannot pass as one answer.
 func (r *reading) take(token caller.Token) error {
 	if r.tokens == 0 {
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// check asks the engines whether the reading was the caller's own generation,
-// and that it ran exactly once.
+// check checks against the engines' records that the tokens received belong to the
+// caller's own generation and that it ran exactly once.
 func (s *Site) check(r reading) error {
 	if r.err != nil {
 		return r.err
@@ -81,7 +81,7 @@
 			}
 			runs++
 			if run.GenerationID != r.generation || run.Tokens != r.tokens {
-				return errors.Newf("%s ran generation %s with %d tokens, the caller got %s with %d", e.Name, run.GenerationID, run.Tokens, r.generation, r.tokens)
+				return errors.Newf("%s ran generation %s with %d tokens, but the caller received %s with %d", e.Name, run.GenerationID, run.Tokens, r.generation, r.tokens)
 			}
 		}
 	}
--- a/demo/scenes.go
+++ b/demo/scenes.go
@@ -26,11 +26,11 @@
 	narrativeTokens = 60
 	longTokens      = 200
 	loadStreams     = 12
-	eventTokens     = 20 // tokens after which something happens to a stream
+	eventTokens     = 20 // index of the token at which a fault or stop hits a stream
 )
 
 func (d *demonstration) applyDocuments(ctx context.Context) error {
-	if err := eventually(ctx, "entry hosts know each other", d.hostsKnowEachOther(ctx)); err != nil {
+	if err := eventually(ctx, "membership of the entry hosts is complete", d.hostsKnowEachOther(ctx)); err != nil {
 		return err
 	}
 	documents := d.site.Documents(firstRisk)
@@ -42,8 +42,8 @@
 	return eventually(ctx, "backend servers are ready", d.backendServersReady(ctx))
 }
 
-// apply puts a document in force at the first living host and waits until it
-// is in force everywhere.
+// apply submits a document to the first running host, waits until it is in force on
+// all running hosts, and returns its version.
 func (d *demonstration) apply(ctx context.Context, service, document string, expect uint64) (uint64, error) {
 	begin := time.Now()
 	accepted, err := d.put(ctx, service, document, expect)
@@ -68,7 +68,7 @@
 	return &token
 }
 
-// living returns the hosts that have not ended.
+// living returns the hosts that have not stopped.
 func (d *demonstration) living() []*EntryHost {
 	var living []*EntryHost
 	for _, host := range d.site.Hosts {
@@ -89,7 +89,8 @@
 	return status
 }
 
-// everywhere reports whether every living host's status satisfies a condition.
+// everywhere returns a function that reports whether the status of every running host
+// satisfies a condition.
 func (d *demonstration) everywhere(ctx context.Context, condition func(*operator.HostStatus) bool) func() bool {
 	return func() bool {
 		for _, host := range d.living() {
@@ -124,7 +125,7 @@
 	if err := d.verify(r); err != nil {
 		return err
 	}
-	d.say("%d tokens of generation %s from %s, then the end event", r.tokens, r.generation, r.lastHost)
+	d.say("received %d tokens of generation %s from %s, then the end event", r.tokens, r.generation, r.lastHost)
 	return nil
 }
 
@@ -167,20 +168,21 @@
 	return nil
 }
 
-// lostAnswer breaks the connection to the plain service after the call ran.
-// The caller has to hear "unknown", and its repeats must not run it again.
+// lostAnswer breaks the connection to the plain service after the call ran. The
+// caller has to receive the outcome unknown, and its retries must not run the call
+// again.
 func (d *demonstration) lostAnswer(ctx context.Context) error {
 	const path = plain.PathAlarms + "/7/ack"
 	d.site.Plain.Next(plain.DropAfter)
 	_, err := d.client.Call(ctx, Gauges, http.MethodPost, path, []byte("seen"), nil)
 	var refusal *contract.Refusal
 	if !errors.As(err, &refusal) || refusal.Outcome != contract.OutcomeUnknown {
-		return errors.Newf("a call whose answer was lost ended with %v", err)
+		return errors.Newf("a call whose answer was lost returned %v", err)
 	}
 	if err := d.ranOnce(http.MethodPost, path, "seen"); err != nil {
 		return err
 	}
-	d.say("POST %s, answer lost behind the entry host: outcome %q, ran once", path, refusal.Outcome)
+	d.say("POST %s, answer lost between plain service and entry host: outcome %q, ran once", path, refusal.Outcome)
 	return nil
 }
 
@@ -196,14 +198,14 @@
 	_, err = d.put(ctx, Narratives, d.site.Documents(firstRisk)[Narratives], current.Version)
 	var problem *operator.Problem
 	if !errors.As(err, &problem) || problem.Status != http.StatusConflict {
-		return errors.Newf("a change over the old version ended with %v", err)
+		return errors.Newf("a change that expected the old version returned %v", err)
 	}
-	d.say("a second change over version %d is refused, version %d stays: %s", current.Version, version, *problem.Detail)
+	d.say("a second change that expects version %d is refused, version %d stays in force: %s", current.Version, version, *problem.Detail)
 	return nil
 }
 
-// load runs streams one after another on several callers until stop is
-// closed, and then returns what became of all of them.
+// load is a closed loop of loadStreams concurrent callers, each of which reads one
+// generation after another until stop is closed.
 type load struct {
 	stop     chan struct{}
 	running  sync.WaitGroup
@@ -239,7 +241,7 @@
 	l.readings = append(l.readings, r)
 }
 
-// finish ends the load and verifies all of its answers.
+// finish stops the load, waits for its callers and verifies all generations.
 func (d *demonstration) finish(l *load) error {
 	close(l.stop)
 	l.running.Wait()
@@ -248,7 +250,7 @@
 			return err
 		}
 	}
-	d.say("%d narratives ran meanwhile, every one whole, in order, once", len(l.readings))
+	d.say("%d narratives ran meanwhile, each complete, in order, exactly once", len(l.readings))
 	return nil
 }
 
@@ -262,7 +264,7 @@
 	if err := d.drain(ctx, drained, false); err != nil {
 		return err
 	}
-	if err := eventually(ctx, "drain is known everywhere", d.leaving(ctx, drained)); err != nil {
+	if err := eventually(ctx, "drain is known on all entry hosts", d.leaving(ctx, drained)); err != nil {
 		return err
 	}
 	if err := eventually(ctx, drained.Name+" is idle", func() bool { return drained.Load().Running == 0 }); err != nil {
@@ -274,14 +276,14 @@
 		return err
 	}
 	if after := drained.Counters().Started; after != before {
-		return errors.Newf("%s got %d new generations while drained", drained.Name, after-before)
+		return errors.Newf("%s received %d new generations while drained", drained.Name, after-before)
 	}
-	d.say("%s finished what it ran and got no new work for %s", drained.Name, watch)
+	d.say("%s finished its generations and received no new ones for %s", drained.Name, watch)
 	if err := d.finish(l); err != nil {
 		return err
 	}
-	// The entry hosts' word to each other that the server leaves ends by
-	// itself later on; the demo does not wait for that.
+	// The gossiped information that the server is leaving expires later; the demo
+	// does not wait for that.
 	return d.drain(ctx, drained, true)
 }
 
@@ -320,22 +322,22 @@
 	_, err = d.put(ctx, Narratives, changed, current.Version)
 	var problem *operator.Problem
 	if !errors.As(err, &problem) || problem.Status != http.StatusServiceUnavailable {
-		return errors.Newf("a change during the outage ended with %v", err)
+		return errors.Newf("a change during the outage returned %v", err)
 	}
-	d.say("narratives and calls go on; a change is refused: %s", *problem.Detail)
+	d.say("narratives and calls are still served; a change is refused: %s", *problem.Detail)
 	d.site.Store.SetFaults(store.Faults{})
 	_, err = d.apply(ctx, Narratives, changed, current.Version)
 	return err
 }
 
-// killEntryHost kills the host that a stream comes from. The caller's client
-// takes the stream up at another host, behind the last token it has.
+// killEntryHost kills the host that serves a stream. The caller's client resumes the
+// stream at another host, after the last token that it received.
 func (d *demonstration) killEntryHost(ctx context.Context) error {
 	var killed atomic.Pointer[EntryHost]
 	kill := func(stream *caller.Stream, token caller.Token) {
 		if token.Index == eventTokens {
 			host := d.host(stream.Host())
-			d.say("%s dies after token %d", host.Name, token.Index)
+			d.say("%s is killed after token %d", host.Name, token.Index)
 			killed.Store(host)
 			host.Kill()
 		}
@@ -345,20 +347,20 @@
 		return err
 	}
 	if r.resumes == 0 || r.lastHost == killed.Load().Name {
-		return errors.New("the stream did not go on at another entry host")
+		return errors.New("the stream was not resumed at another entry host")
 	}
-	d.say("%s went on with the next token of the same generation: %d tokens, none lost, none twice", r.lastHost, r.tokens)
+	d.say("%s resumed with the next token of the same generation: %d tokens, none lost, none duplicated", r.lastHost, r.tokens)
 	return nil
 }
 
-// stopEntryHost stops the host that a letter comes from. Letters are not
-// idempotent: it must go on where it runs, or be taken up, but never run twice.
+// stopEntryHost gracefully stops the host that serves a letter. The host has to finish
+// the stream before it stops. Letters are not idempotent: none may run twice.
 func (d *demonstration) stopEntryHost(ctx context.Context) error {
 	stopped := make(chan error, 1)
 	stop := func(stream *caller.Stream, token caller.Token) {
 		if token.Index == eventTokens {
 			host := d.host(stream.Host())
-			d.say("%s is asked to stop after token %d", host.Name, token.Index)
+			d.say("%s is told to stop after token %d", host.Name, token.Index)
 			go func() { stopped <- host.Stop(ctx) }()
 		}
 	}
@@ -377,10 +379,11 @@
 	case <-ctx.Done():
 		return errors.Wrap(ctx.Err(), "stop")
 	}
-	d.say("the letter finished where it began, %d tokens, and only then the host ended", r.tokens)
+	d.say("the letter finished on the same host, %d tokens, and the host stopped after that", r.tokens)
 	return d.call(ctx, http.MethodPost, plain.PathVerdicts, "gate 9, one entry host left")
 }
 
+// host returns the entry host with this name, or the first one if there is none.
 func (d *demonstration) host(name string) *EntryHost {
 	for _, host := range d.site.Hosts {
 		if host.Name == name {
--- a/demo/site.go
+++ b/demo/site.go
@@ -39,7 +39,7 @@
 	keepAlive   = 500 * time.Millisecond
 	keepAddress = 5 * time.Second
 	stopBound   = 20 * time.Second
-	settleTime  = 15 * time.Second // bound for what takes seconds at most
+	settleTime  = 15 * time.Second // timeout of conditions that normally take seconds at most
 	pollPause   = 20 * time.Millisecond
 )
 
@@ -81,18 +81,18 @@
 	settings *settings.Settings
 	host     *entryhost.Host
 	kill     context.CancelFunc
-	done     chan struct{} // closed when the host has ended
+	done     chan struct{} // closed when the host has stopped
 }
 
-// Options of a Site.
+// Options configures a Site.
 type Options struct {
-	// ServerTLS names the certificate of all entry hosts; nil: plain HTTP.
+	// ServerTLS configures the certificate of all entry hosts; nil: plain HTTP.
 	ServerTLS *settings.TLS
-	// ClientTLS is for the site's own clients.
+	// ClientTLS configures the site's own clients.
 	ClientTLS *tls.Config
 }
 
-// Start starts a site without any service document. Close ends it.
+// Start starts a site without any service document. Close stops it.
 func Start(ctx context.Context, options Options) (*Site, error) {
 	s := &Site{options: options, Store: store.NewMemory(), network: newLoopback()}
 	if err := s.start(ctx); err != nil {
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// Close ends everything at once and waits until it has ended.
+// Close stops everything immediately and waits until it has stopped.
 func (s *Site) Close() {
 	for _, host := range s.Hosts {
 		host.Kill()
@@ -188,7 +188,8 @@
 	return nil
 }
 
-// makeHosts writes the settings of all entry hosts: each names the others.
+// makeHosts reserves the addresses of all entry hosts and creates their settings, each
+// with the addresses of all peers.
 func (s *Site) makeHosts() error {
 	var peers []string
 	for i := range entryHosts {
@@ -221,28 +222,28 @@
 	return "http://" + address
 }
 
-func (s *Site) fillSettings(to *settings.Settings) {
+func (s *Site) fillSettings(target *settings.Settings) {
 	const oneWay = 1500 * time.Microsecond
-	to.Platform = s.platform
-	to.TLS = s.options.ServerTLS
-	to.EventKey = []byte("a key that only the demo uses, 32+ bytes")
-	to.Operators = []settings.Operator{{Name: "demo", TokenSHA256: settings.HashToken(OperatorToken)}}
-	to.Organisations = []settings.Organisation{
+	target.Platform = s.platform
+	target.TLS = s.options.ServerTLS
+	target.EventKey = []byte("a key that only the demo uses, 32+ bytes")
+	target.Operators = []settings.Operator{{Name: "demo", TokenSHA256: settings.HashToken(OperatorToken)}}
+	target.Organisations = []settings.Organisation{
 		{Name: "cooperative", TokenSHA256: settings.HashToken(CallerToken)},
 		{Name: "other", TokenSHA256: settings.HashToken(OtherToken), Services: []string{"other"}},
 	}
 	for i, from := range failureDomains {
 		for _, other := range failureDomains[i+1:] {
-			to.Distances = append(to.Distances, settings.Distance{From: from, To: other, Latency: oneWay})
+			target.Distances = append(target.Distances, settings.Distance{From: from, To: other, Latency: oneWay})
 		}
 	}
-	to.Limits = settings.DefaultLimits()
-	to.Limits.BodyBytes = bodyLimit
-	to.Limits.KeepAlive = keepAlive
-	to.Limits.KeepAddresses = keepAddress
-	to.Limits.PeerProbePeriod = probePeriod
-	to.Limits.StopBound = stopBound
-	to.LogLevel = settings.DefaultLogLevel
+	target.Limits = settings.DefaultLimits()
+	target.Limits.BodyBytes = bodyLimit
+	target.Limits.KeepAlive = keepAlive
+	target.Limits.KeepAddresses = keepAddress
+	target.Limits.PeerProbePeriod = probePeriod
+	target.Limits.StopBound = stopBound
+	target.LogLevel = settings.DefaultLogLevel
 }
 
 func (s *Site) startHost(ctx context.Context, host *EntryHost) error {
@@ -263,7 +264,7 @@
 	return nil
 }
 
-// Kill ends the host at once, as the death of its process does.
+// Kill stops the host immediately, as the end of its process does, and waits for it.
 func (h *EntryHost) Kill() {
 	if h.kill != nil {
 		h.kill()
@@ -271,14 +272,14 @@
 	}
 }
 
-// Stop stops the host gracefully.
+// Stop stops the host gracefully, within Limits.StopBound of its settings.
 func (h *EntryHost) Stop(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, h.settings.Limits.StopBound)
 	defer cancel()
 	return h.host.Stop(ctx)
 }
 
-// Caller returns a client that begins with all entry hosts.
+// Caller returns a client with all entry hosts as seeds.
 func (s *Site) Caller(token string) (*caller.Client, error) {
 	var seeds []string
 	for _, host := range s.Hosts {
@@ -287,14 +288,15 @@
 	return caller.New(caller.Config{Seeds: seeds, Token: token, Network: s.network, TLS: s.options.ClientTLS})
 }
 
-// eventually polls until done is true, or a generous bound has passed.
-func eventually(ctx context.Context, what string, done func() bool) error {
+// eventually polls until done returns true. It returns an error after settleTime or
+// when ctx ends.
+func eventually(ctx context.Context, condition string, done func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, settleTime)
 	defer cancel()
 	for !done() {
 		select {
 		case <-ctx.Done():
-			return errors.Newf("%s: not within %s", what, settleTime)
+			return errors.Newf("%s: not within %s", condition, settleTime)
 		case <-time.After(pollPause):
 		}
 	}
