--- a/examples/doc.go
+++ b/examples/doc.go
@@ -1,3 +1,3 @@
-// Package examples holds sample settings and service documents of two sites.
-// Its tests run them as their pages say, as separate processes.
+// Package examples contains sample settings and service documents of two sites. Its
+// tests run the commands of their README pages, with separate processes.
 package examples
--- a/examples/processes_test.go
+++ b/examples/processes_test.go
@@ -15,15 +15,15 @@
 	"github.com/papayasail/papayasail/fake/standin"
 )
 
-// streamTokens is long enough for a process to be stopped half way.
+// streamTokens is large enough that a process can be stopped during a stream.
 const streamTokens = 300
 
-// example is what the tests have to know of a site.
+// example is the data about a site that the tests need.
 type example struct {
 	name       string
 	service    string // a model service
-	token      string // of an organisation that may use it
-	firstPort  int    // of the entry hosts
+	token      string // token of an organisation that may use the service
+	firstPort  int    // caller port of the first entry host in the sample files
 	enginePort int
 }
 
@@ -32,9 +32,8 @@
 	taoyuan = example{"taoyuan", "letters", "taoyuan-dealers", 7231, 7211}
 )
 
-// A newcomer follows an example's page, line by line, with separate processes.
-// Then an entry host is asked to stop and another one is killed, each while an
-// answer streams from it. Every answer has to be whole, in order, once.
+// Guards against README commands that fail, and against answers that are truncated, out
+// of order or duplicated when their entry host is stopped or killed.
 func TestExamples(t *testing.T) {
 	for _, e := range []example{akarsu, taoyuan} {
 		t.Run(e.name, func(t *testing.T) {
@@ -46,7 +45,7 @@
 	}
 }
 
-// follow runs the commands of the page that are not started in the background.
+// follow runs the foreground papayasail commands of the page.
 func (s *site) follow() {
 	s.t.Helper()
 	s.ready()
@@ -61,18 +60,18 @@
 	}
 }
 
-// ready waits until every entry host answers and knows the others.
+// ready waits until every entry host answers and reports all entry hosts as alive.
 func (s *site) ready() {
 	for _, host := range strings.Split(s.hosts(), ",") {
-		s.eventually(host+" knows the others", func() bool {
+		s.eventually(host+" reports all entry hosts as alive", func() bool {
 			code, out := s.run("--host", host, "--token", s.name+"-operator", "status")
 			return code == 0 && strings.Count(out, "alive") == len(strings.Split(s.hosts(), ","))
 		})
 	}
 }
 
-// stream starts a generation and waits for its first tokens. It returns the
-// caller's process and the number of the entry host that it streams from.
+// stream starts a generation and waits for its first tokens. It returns the caller's
+// process and the number of the entry host that serves the stream.
 func (s *site) stream(e example, prompt string) (*process, int) {
 	s.t.Helper()
 	p := s.startProcess([]string{"bin/papayasail", "--token", e.token,
@@ -84,8 +83,8 @@
 	return p, host
 }
 
-// checkWhole checks that a stream's output is a whole answer, in order, once,
-// and that one engine ran it, once.
+// checkWhole waits for the caller's process and checks that its output is the complete
+// answer, in order, and that exactly one engine ran the generation, once.
 func (s *site) checkWhole(e example, p *process, prompt string) {
 	s.t.Helper()
 	is := is.New(s.t)
@@ -122,9 +121,8 @@
 	return s.processes[fmt.Sprintf("examples/%s/host-%d.yaml", s.name, n)]
 }
 
-// stopEntryHost sends SIGTERM to the entry host that an answer streams from.
-// The answer has to finish there, uncut, and only then the process may end,
-// with code 0; callers are not sent there any more.
+// stopEntryHost sends SIGTERM to the entry host that serves a stream. The host has to
+// complete the answer and exit with code 0, and callers must no longer get its address.
 func (s *site) stopEntryHost(e example) {
 	s.t.Helper()
 	is := is.New(s.t)
@@ -139,9 +137,8 @@
 	is.True(!strings.Contains(out, s.address(e.firstPort+number-1)))
 }
 
-// killEntryHost sends SIGKILL to the entry host that an answer streams from.
-// The caller's program has to go on at another one, with the next token of
-// the same generation; a letter must not be written twice.
+// killEntryHost sends SIGKILL to the entry host that serves a stream. The caller's
+// program has to resume the same generation at another host; it must not run twice.
 func (s *site) killEntryHost(e example) {
 	s.t.Helper()
 	is := is.New(s.t)
--- a/examples/site_test.go
+++ b/examples/site_test.go
@@ -16,13 +16,13 @@
 
 	"github.com/matryer/is"
 
-	// The tests run built programs. Importing what these are made of makes go
-	// test run them again, instead of taking a cached result, when it changes.
+	// The tests run built programs. These imports make go test discard cached
+	// results when the packages of the programs change.
 	_ "github.com/papayasail/papayasail/cli"
 	_ "github.com/papayasail/papayasail/entryhost"
 )
 
-// patience bounds every wait. It is far above what anything here takes.
+// patience is the timeout of every wait, far above the normal duration.
 const patience = 60 * time.Second
 
 // programs is the directory of the built programs.
@@ -50,12 +50,13 @@
 type site struct {
 	t         *testing.T
 	name      string
-	directory string              // of the copied example
-	ports     map[string]string   // sample address to the one in use
+	directory string              // directory that contains the copied example
+	ports     map[string]string   // by sample address: the address in use
 	processes map[string]*process // in the background, by last argument
 }
 
-// start starts an example as its page says.
+// start copies an example with free ports and starts the background commands of its
+// page.
 func start(t *testing.T, name string) *site {
 	s := &site{t: t, name: name, directory: t.TempDir(), ports: map[string]string{}, processes: map[string]*process{}}
 	s.choosePorts()
@@ -71,8 +72,8 @@
 
 var sampleAddress = regexp.MustCompile(`127\.0\.0\.1:7\d\d\d`)
 
-// choosePorts finds a free port for each address of the example. All are held
-// until the last is found, so that no port comes twice.
+// choosePorts finds a free port for each address of the example. It keeps all ports
+// bound until the last one is found, so that no port is chosen twice.
 func (s *site) choosePorts() {
 	is := is.New(s.t)
 	for _, file := range s.files() {
@@ -98,20 +99,20 @@
 
 func (s *site) copyFiles() {
 	is := is.New(s.t)
-	to := filepath.Join(s.directory, "examples", s.name)
-	is.NoErr(os.MkdirAll(to, 0o700))
+	target := filepath.Join(s.directory, "examples", s.name)
+	is.NoErr(os.MkdirAll(target, 0o700))
 	for _, file := range s.files() {
 		content, err := os.ReadFile(file)
 		is.NoErr(err)
-		is.NoErr(os.WriteFile(filepath.Join(to, filepath.Base(file)), []byte(s.moved(string(content))), 0o600))
+		is.NoErr(os.WriteFile(filepath.Join(target, filepath.Base(file)), []byte(s.moved(string(content))), 0o600))
 	}
 }
 
-// moved replaces sample addresses by those in use.
+// moved replaces sample addresses with those in use.
 func (s *site) moved(text string) string {
 	return sampleAddress.ReplaceAllStringFunc(text, func(address string) string {
-		if moved := s.ports[address]; moved != "" {
-			return moved
+		if inUse := s.ports[address]; inUse != "" {
+			return inUse
 		}
 		return address
 	})
@@ -135,7 +136,7 @@
 
 var word = regexp.MustCompile(`"[^"]*"|\S+`)
 
-// words splits a command line; quotes keep blanks together.
+// words splits a command line at blanks outside double quotes.
 func words(line string) []string {
 	var list []string
 	for _, w := range word.FindAllString(line, -1) {
@@ -144,7 +145,7 @@
 	return list
 }
 
-// command builds a command that a page calls as bin/NAME.
+// command returns a command that a page calls as bin/NAME.
 func (s *site) command(arguments []string) *exec.Cmd {
 	command := exec.Command(filepath.Join(programs, strings.TrimPrefix(arguments[0], "bin/")), arguments[1:]...)
 	command.Dir = s.directory
@@ -152,24 +153,24 @@
 	return command
 }
 
-// hosts returns the value that the page exports.
+// hosts returns the value of PAPAYASAIL_HOSTS that the page exports.
 func (s *site) hosts() string {
 	for _, line := range s.lines() {
 		if hosts, ok := strings.CutPrefix(line, "export PAPAYASAIL_HOSTS="); ok {
 			return hosts
 		}
 	}
-	s.t.Fatal("the page exports no hosts")
+	s.t.Fatal("the page exports no PAPAYASAIL_HOSTS")
 	return ""
 }
 
-// process is a running program and what it has printed.
+// process is a started program and its output.
 type process struct {
 	command *exec.Cmd
 	out     lockedBuffer
 	errs    lockedBuffer
-	ended   chan struct{} // closed when the process has ended
-	err     error         // of the process, set before ended is closed
+	ended   chan struct{} // closed when the process has exited
+	err     error         // result of Wait, set before ended is closed
 }
 
 // startProcess starts a program that is killed when the test ends.
@@ -192,31 +193,31 @@
 	return p
 }
 
-// tail returns the end of an output, which is enough to see what went wrong.
+// tail returns the end of an output, to keep test logs short.
 func tail(text string) string {
-	const longest = 2000
-	if len(text) > longest {
-		return "..." + text[len(text)-longest:]
+	const maxLength = 2000
+	if len(text) > maxLength {
+		return "..." + text[len(text)-maxLength:]
 	}
 	return text
 }
 
 func (p *process) signal(signal os.Signal) {
-	_ = p.command.Process.Signal(signal) // it may have ended already
+	_ = p.command.Process.Signal(signal) // it may have exited already
 }
 
-// wait waits for the end of a process and returns its exit code.
+// wait waits until a process exits and returns its exit code.
 func (s *site) wait(p *process) int {
 	s.t.Helper()
 	select {
 	case <-p.ended:
 	case <-time.After(patience):
-		s.t.Fatalf("%s has not ended", p.command)
+		s.t.Fatalf("%s has not exited", p.command)
 	}
 	return p.command.ProcessState.ExitCode()
 }
 
-// run runs a program to its end and returns its exit code and output.
+// run runs the papayasail program and returns its exit code and output.
 func (s *site) run(arguments ...string) (int, string) {
 	s.t.Helper()
 	p := s.startProcess(append([]string{"bin/papayasail"}, arguments...))
@@ -224,17 +225,17 @@
 	return code, p.out.String() + p.errs.String()
 }
 
-// eventually waits for a condition.
-func (s *site) eventually(what string, done func() bool) {
+// eventually waits until done returns true; it fails the test after the timeout.
+func (s *site) eventually(condition string, done func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(patience); !done(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			s.t.Fatalf("not in time: %s", what)
+			s.t.Fatalf("timeout: %s", condition)
 		}
 	}
 }
 
-// lockedBuffer is a buffer that one process writes and the test reads.
+// lockedBuffer is a buffer that is written by one process while the test reads it.
 type lockedBuffer struct {
 	mu     sync.Mutex // guards buffer
 	buffer bytes.Buffer
