--- a/fake/engine/cache.go
+++ b/fake/engine/cache.go
@@ -13,12 +13,12 @@
 // prefixCache is an LRU cache of prompt prefixes, bounded by its capacity in
 // tokens. The engine's mutex guards it.
 type prefixCache struct {
-	capacity int
-	held     int
-	order    *list.List // of prefixEntry, most recently used first
-	entries  map[uint64]*list.Element
-	sequence uint64
-	log      []cacheEvent
+	capacity   int
+	heldTokens int
+	order      *list.List // of prefixEntry, most recently used first
+	entries    map[uint64]*list.Element
+	sequence   uint64
+	log        []cacheEvent
 }
 
 type prefixEntry struct {
@@ -36,21 +36,21 @@
 	return prefixCache{capacity: capacity, order: list.New(), entries: map[uint64]*list.Element{}}
 }
 
-// use looks up a prefix and returns how many of its tokens need no prefill. It
+// lookupOrInsert looks up a prefix and returns how many of its tokens need no prefill. It
 // inserts a missing prefix and evicts others if needed; publish gets each change.
-func (c *prefixCache) use(prefix uint64, tokens int, publish func(backend.CacheEvent)) int {
+func (c *prefixCache) lookupOrInsert(prefix uint64, tokens int, publish func(backend.CacheEvent)) int {
 	if element := c.entries[prefix]; element != nil {
 		c.order.MoveToFront(element)
 		return element.Value.(prefixEntry).tokens
 	}
 	c.entries[prefix] = c.order.PushFront(prefixEntry{prefix, tokens})
-	c.held += tokens
+	c.heldTokens += tokens
 	publish(backend.CacheEvent{Prefix: prefix, Tokens: tokens})
-	for c.held > c.capacity && c.order.Len() > 1 {
+	for c.heldTokens > c.capacity && c.order.Len() > 1 {
 		oldest := c.order.Back()
 		entry := c.order.Remove(oldest).(prefixEntry)
 		delete(c.entries, entry.prefix)
-		c.held -= entry.tokens
+		c.heldTokens -= entry.tokens
 		publish(backend.CacheEvent{Prefix: entry.prefix, Tokens: entry.tokens, Evicted: true})
 	}
 	return 0
--- a/fake/engine/engine.go
+++ b/fake/engine/engine.go
@@ -37,7 +37,7 @@
 	servers     []*http.Server
 	cache       prefixCache
 	reports     reportLog
-	orders      orderBook
+	orders      orderState
 	faults      faults
 	journal     journal
 }
@@ -51,7 +51,7 @@
 		random:      rand.New(rand.NewPCG(config.Seed, config.Seed)),
 		generations: map[string]*generation{},
 		cache:       newPrefixCache(config.CacheTokens),
-		orders:      newOrderBook(config.Models),
+		orders:      newOrderState(config.Models),
 		journal:     newJournal(),
 	}
 	e.reports.record(time.Now(), e.reportLocked())
@@ -62,7 +62,7 @@
 // Run executes steps until ctx ends or Close is called.
 func (e *Engine) Run(ctx context.Context) {
 	for {
-		step, ok := e.plan()
+		step, ok := e.planStep()
 		if !ok {
 			select {
 			case <-e.wake:
@@ -120,7 +120,7 @@
 	e.generations = map[string]*generation{}
 	e.waiting, e.running = nil, nil
 	e.mu.Unlock()
-	e.signal()
+	e.wakeRun()
 	var err error
 	for _, server := range servers {
 		err = errors.CombineErrors(err, server.Close())
@@ -155,7 +155,7 @@
 	e.mu.Lock()
 	e.paused = paused
 	e.mu.Unlock()
-	e.signal()
+	e.wakeRun()
 }
 
 // Closed reports whether the engine is closed.
@@ -165,8 +165,8 @@
 	return e.closed
 }
 
-// signal makes Run check for work.
-func (e *Engine) signal() {
+// wakeRun makes Run check for work.
+func (e *Engine) wakeRun() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -181,15 +181,15 @@
 		limit = min(limit, request.MaxTokens)
 	}
 	g := &generation{
-		id:       request.GenerationID,
-		prompt:   request.Prompt,
-		prefix:   backend.PrefixHash(request.Prompt),
-		promptN:  backend.PromptTokens(request.Prompt),
-		priority: request.Priority,
-		arrival:  e.arrivals,
-		length:   e.length(request),
-		limit:    limit,
-		changed:  make(chan struct{}),
+		id:           request.GenerationID,
+		prompt:       request.Prompt,
+		prefix:       backend.PrefixHash(request.Prompt),
+		promptTokens: backend.PromptTokens(request.Prompt),
+		priority:     request.Priority,
+		arrival:      e.arrivals,
+		length:       e.length(request),
+		limit:        limit,
+		changed:      make(chan struct{}),
 	}
 	e.generations[g.id] = g
 	e.queueLocked(g)
@@ -224,8 +224,8 @@
 	if g.phase == ended {
 		return
 	}
-	e.waiting = without(e.waiting, g)
-	e.running = without(e.running, g)
+	e.waiting = remove(e.waiting, g)
+	e.running = remove(e.running, g)
 	g.phase, g.finish, g.endedAt = ended, finish, time.Now()
 	g.notify()
 	e.journal.ended(g)
@@ -249,25 +249,26 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	g.readers--
-	g.leftAt = time.Now()
+	g.detachedAt = time.Now()
 	if g.readers == 0 && g.phase != ended {
-		e.watchReadersLocked(g)
+		e.cancelUnreadLocked(g)
 	}
 }
 
-// watchReadersLocked cancels a generation if it has no reader for the time Grace.
-func (e *Engine) watchReadersLocked(g *generation) {
+// cancelUnreadLocked schedules the cancellation of a generation, which takes place
+// if it has no reader for the time Grace.
+func (e *Engine) cancelUnreadLocked(g *generation) {
 	time.AfterFunc(e.config.Grace, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		// Another reader may have attached and detached meanwhile.
-		if g.readers == 0 && time.Since(g.leftAt) >= e.config.Grace {
+		if g.readers == 0 && time.Since(g.detachedAt) >= e.config.Grace {
 			e.endLocked(g, finishCancelled)
 		}
 	})
 }
 
-func without(list []*generation, g *generation) []*generation {
+func remove(list []*generation, g *generation) []*generation {
 	if at := slices.Index(list, g); at >= 0 {
 		return slices.Delete(list, at, at+1)
 	}
--- a/fake/engine/engine_test.go
+++ b/fake/engine/engine_test.go
@@ -19,8 +19,8 @@
 	engineAddress = "10.0.1.1:8000"
 )
 
-// world runs test with an engine and a client of it in virtual time.
-func world(t *testing.T, config Config, test func(is *is.I, e *Engine, c *backend.Client)) {
+// runWithEngine runs test with an engine and a client of it in virtual time.
+func runWithEngine(t *testing.T, config Config, test func(is *is.I, e *Engine, c *backend.Client)) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		fabric := network.New(network.Options{})
@@ -58,7 +58,7 @@
 }
 
 func TestStreamIsWholeAndResumable(t *testing.T) {
-	world(t, Config{}, func(is *is.I, e *Engine, c *backend.Client) {
+	runWithEngine(t, Config{}, func(is *is.I, e *Engine, c *backend.Client) {
 		s := start(is, c, backend.CompletionRequest{GenerationID: "g1", Prompt: "snow", StopAfter: 5})
 		tokens, finish := read(is, s)
 		is.Equal(finish, "stop")
@@ -88,7 +88,7 @@
 }
 
 func TestFullMemoryPreemptsLowestPriorityThenNewest(t *testing.T) {
-	world(t, Config{TokenCapacity: 60}, func(is *is.I, e *Engine, c *backend.Client) {
+	runWithEngine(t, Config{TokenCapacity: 60}, func(is *is.I, e *Engine, c *backend.Client) {
 		first := start(is, c, backend.CompletionRequest{GenerationID: "old", StopAfter: 40, Priority: 1})
 		second := start(is, c, backend.CompletionRequest{GenerationID: "low", StopAfter: 40})
 		third := start(is, c, backend.CompletionRequest{GenerationID: "new", StopAfter: 10, Priority: 1})
@@ -104,7 +104,7 @@
 }
 
 func TestGenerationWithoutReaderIsCancelledAfterGrace(t *testing.T) {
-	world(t, Config{Grace: 2 * time.Second}, func(is *is.I, e *Engine, c *backend.Client) {
+	runWithEngine(t, Config{Grace: 2 * time.Second}, func(is *is.I, e *Engine, c *backend.Client) {
 		s := start(is, c, backend.CompletionRequest{GenerationID: "g", StopAfter: 100_000, MaxTokens: 100_000})
 		_, err := s.Next()
 		is.NoErr(err)
@@ -117,7 +117,7 @@
 }
 
 func TestCancelEndsStream(t *testing.T) {
-	world(t, Config{}, func(is *is.I, _ *Engine, c *backend.Client) {
+	runWithEngine(t, Config{}, func(is *is.I, _ *Engine, c *backend.Client) {
 		s := start(is, c, backend.CompletionRequest{GenerationID: "g", StopAfter: 1000})
 		is.NoErr(c.Cancel(context.Background(), engineAddress, "g"))
 		_, finish := read(is, s)
@@ -127,7 +127,7 @@
 }
 
 func TestLeavingRefusesNewWorkAndFinishesRunning(t *testing.T) {
-	world(t, Config{ReportLag: time.Second}, func(is *is.I, e *Engine, c *backend.Client) {
+	runWithEngine(t, Config{ReportLag: time.Second}, func(is *is.I, e *Engine, c *backend.Client) {
 		s := start(is, c, backend.CompletionRequest{GenerationID: "g", StopAfter: 500})
 		e.Leave(true)
 		_, err := c.Start(context.Background(), engineAddress, backend.CompletionRequest{GenerationID: "h"})
@@ -148,7 +148,7 @@
 }
 
 func TestReclaimBreaksStreamsWhenItsTimeIsUp(t *testing.T) {
-	world(t, Config{}, func(is *is.I, e *Engine, c *backend.Client) {
+	runWithEngine(t, Config{}, func(is *is.I, e *Engine, c *backend.Client) {
 		s := start(is, c, backend.CompletionRequest{GenerationID: "g", StopAfter: 4000})
 		began := time.Now()
 		e.Reclaim(time.Second)
@@ -165,7 +165,7 @@
 
 func TestOrdersObeyFenceOnlyWhereHonoured(t *testing.T) {
 	for _, honours := range []bool{true, false} {
-		world(t, Config{HonourFence: honours, LoadTime: time.Second}, func(is *is.I, e *Engine, c *backend.Client) {
+		runWithEngine(t, Config{HonourFence: honours, LoadTime: time.Second}, func(is *is.I, e *Engine, c *backend.Client) {
 			ctx := context.Background()
 			order := backend.OrderRequest{OrderID: "1", Kind: backend.OrderLoad, Model: "a@1", Fence: 7}
 			state, err := c.Order(ctx, engineAddress, order)
@@ -182,7 +182,7 @@
 
 func TestCacheEventsComeLateAndReuseSavesPrefill(t *testing.T) {
 	config := Config{CacheLag: time.Second, CacheTokens: 100, StepPerPrefillToken: time.Millisecond}
-	world(t, config, func(is *is.I, _ *Engine, c *backend.Client) {
+	runWithEngine(t, config, func(is *is.I, _ *Engine, c *backend.Client) {
 		prompt := string(make([]byte, backend.PrefixBytes))
 		firstToken := func(id, prompt string) time.Duration {
 			began := time.Now()
@@ -213,7 +213,7 @@
 	}
 	for name, inject := range faults {
 		t.Run(name, func(t *testing.T) {
-			world(t, Config{}, func(is *is.I, e *Engine, c *backend.Client) {
+			runWithEngine(t, Config{}, func(is *is.I, e *Engine, c *backend.Client) {
 				inject(e)
 				s, err := c.Start(context.Background(), engineAddress, backend.CompletionRequest{GenerationID: "g", StopAfter: 9})
 				for err == nil {
@@ -226,7 +226,7 @@
 }
 
 func TestPausedEngineKeepsStreamAliveWithComments(t *testing.T) {
-	world(t, Config{}, func(is *is.I, e *Engine, c *backend.Client) {
+	runWithEngine(t, Config{}, func(is *is.I, e *Engine, c *backend.Client) {
 		s := start(is, c, backend.CompletionRequest{GenerationID: "g", StopAfter: 3})
 		e.Pause(true)
 		time.AfterFunc(time.Minute, func() { e.Pause(false) })
--- a/fake/engine/fault.go
+++ b/fake/engine/fault.go
@@ -29,8 +29,8 @@
 	e.faults.skipChunks = n
 }
 
-// takeFault decrements a fault counter and reports whether it was above zero.
-func (e *Engine) takeFault(count *int) bool {
+// consumeFault decrements a fault counter and reports whether it was above zero.
+func (e *Engine) consumeFault(count *int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if *count == 0 {
--- a/fake/engine/generation.go
+++ b/fake/engine/generation.go
@@ -20,27 +20,27 @@
 // generation is a generation that the engine queues, runs or keeps. The engine's
 // mutex guards it.
 type generation struct {
-	id       string
-	prompt   string
-	prefix   uint64
-	promptN  int // prompt tokens
-	priority int
-	arrival  uint64 // order of arrival
-	length   int    // tokens after which it stops by itself
-	limit    int    // tokens after which it is cut off
-	produced int    // tokens produced; TokenText derives their text from id and index
-	phase    phase
-	finish   string // finish reason once ended
-
-	preempted int
-	readers   int
-	leftAt    time.Time     // when a reader last detached
-	changed   chan struct{} // closed and replaced when produced or phase changes
-	endedAt   time.Time
+	id           string
+	prompt       string
+	prefix       uint64
+	promptTokens int
+	priority     int
+	arrival      uint64 // order of arrival
+	length       int    // tokens after which it stops by itself
+	limit        int    // tokens after which it is cut off
+	produced     int    // tokens produced; TokenText derives their text from id and index
+	phase        phase
+	finish       string // finish reason once ended
+
+	preempted  int
+	readers    int
+	detachedAt time.Time     // when a reader last detached
+	changed    chan struct{} // closed and replaced when produced or phase changes
+	endedAt    time.Time
 }
 
-// held returns the memory that the generation uses, in tokens.
-func (g *generation) held() int { return g.promptN + g.produced }
+// memoryTokens returns the memory that the generation uses, in tokens.
+func (g *generation) memoryTokens() int { return g.promptTokens + g.produced }
 
 // notify wakes the readers.
 func (g *generation) notify() {
--- a/fake/engine/handler.go
+++ b/fake/engine/handler.go
@@ -30,7 +30,7 @@
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(backend.HeaderRequestID)
-	if e.takeFault(&e.faults.crossAnswers) {
+	if e.consumeFault(&e.faults.crossAnswers) {
 		id = crossedID
 	}
 	w.Header().Set(backend.HeaderRequestID, id)
@@ -61,7 +61,7 @@
 	g := e.startLocked(request)
 	e.attachLocked(g)
 	e.mu.Unlock()
-	e.signal()
+	e.wakeRun()
 	e.serveEvents(w, r, g, 0)
 }
 
@@ -136,7 +136,7 @@
 	keepAlive := time.NewTicker(e.config.KeepAlive)
 	defer keepAlive.Stop()
 	for next := from; ; {
-		view := e.look(g)
+		view := e.snapshot(g)
 		for ; next < view.produced; next++ {
 			if out.token(next, view.preempted) != nil {
 				return
@@ -161,8 +161,8 @@
 	}
 }
 
-// look returns a snapshot of a generation.
-func (e *Engine) look(g *generation) generation {
+// snapshot returns a snapshot of a generation.
+func (e *Engine) snapshot(g *generation) generation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return *g
@@ -204,7 +204,7 @@
 }
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
-	if !e.mayOrder(r) {
+	if !e.mayExecuteOrders(r) {
 		e.refuse(w, http.StatusUnauthorized, "unauthorized")
 		return
 	}
@@ -223,12 +223,12 @@
 
 func (e *Engine) serveState(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	state := e.orders.copy()
+	state := e.orders.clone()
 	e.mu.Unlock()
 	writeJSON(w, state)
 }
 
-func (e *Engine) mayOrder(r *http.Request) bool {
+func (e *Engine) mayExecuteOrders(r *http.Request) bool {
 	return e.config.OrderToken == "" || r.Header.Get("Authorization") == "Bearer "+e.config.OrderToken
 }
 
--- a/fake/engine/order.go
+++ b/fake/engine/order.go
@@ -7,20 +7,20 @@
 	"github.com/papayasail/papayasail/backend"
 )
 
-// orderBook is the part of the engine's state that orders change. The engine's
+// orderState is the part of the engine's state that orders change. The engine's
 // mutex guards it.
-type orderBook struct {
+type orderState struct {
 	state   backend.EngineState
 	pending int // orders in execution
 }
 
-func newOrderBook(models []string) orderBook {
-	return orderBook{state: backend.EngineState{Models: slices.Clone(models)}}
+func newOrderState(models []string) orderState {
+	return orderState{state: backend.EngineState{Models: slices.Clone(models)}}
 }
 
-func (b *orderBook) loaded() []string { return slices.Clone(b.state.Models) }
+func (b *orderState) loaded() []string { return slices.Clone(b.state.Models) }
 
-func (b *orderBook) copy() backend.EngineState {
+func (b *orderState) clone() backend.EngineState {
 	state := b.state
 	state.Models = b.loaded()
 	return state
@@ -33,7 +33,7 @@
 	if e.config.HonourFence && order.Fence < e.orders.state.LastFence {
 		defer e.mu.Unlock()
 		e.journal.orderRefused(order)
-		return e.orders.copy(), false
+		return e.orders.clone(), false
 	}
 	e.orders.state.LastFence = max(e.orders.state.LastFence, order.Fence)
 	e.orders.pending++
@@ -47,10 +47,10 @@
 	e.orders.apply(order)
 	e.journal.ordered(order)
 	e.reports.record(time.Now(), e.reportLocked())
-	return e.orders.copy(), true
+	return e.orders.clone(), true
 }
 
-func (b *orderBook) apply(order backend.OrderRequest) {
+func (b *orderState) apply(order backend.OrderRequest) {
 	at := slices.Index(b.state.Models, order.Model)
 	switch {
 	case order.Kind == backend.OrderLoad && at < 0:
--- a/fake/engine/report.go
+++ b/fake/engine/report.go
@@ -58,7 +58,7 @@
 	report := backend.LoadReport{
 		Running:       len(e.running),
 		Waiting:       len(e.waiting),
-		TokensHeld:    e.heldLocked(),
+		TokensHeld:    e.memoryTokensLocked(),
 		TokenCapacity: e.config.TokenCapacity,
 		Preemptions:   e.journal.preemptions,
 		Leaving:       e.leaving,
--- a/fake/engine/step.go
+++ b/fake/engine/step.go
@@ -6,9 +6,9 @@
 	"github.com/papayasail/papayasail/backend"
 )
 
-// plan admits waiting generations and returns the duration of the next step; false
+// planStep admits waiting generations and returns the duration of the next step; false
 // if there is nothing to run.
-func (e *Engine) plan() (time.Duration, bool) {
+func (e *Engine) planStep() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.paused || e.closed {
@@ -30,14 +30,14 @@
 func (e *Engine) admitLocked() {
 	for len(e.waiting) > 0 && len(e.running) < e.config.MaxBatch {
 		g := e.waiting[0]
-		if len(e.running) > 0 && e.heldLocked()+g.held()+len(e.running)+1 > e.config.TokenCapacity {
+		if len(e.running) > 0 && e.memoryTokensLocked()+g.memoryTokens()+len(e.running)+1 > e.config.TokenCapacity {
 			return
 		}
 		e.waiting = e.waiting[1:]
 		g.phase = running
 		e.running = append(e.running, g)
-		cached := e.cache.use(g.prefix, min(g.promptN, backend.PrefixBytes), e.publishLocked)
-		e.prefill += max(0, g.held()-cached)
+		cached := e.cache.lookupOrInsert(g.prefix, min(g.promptTokens, backend.PrefixBytes), e.publishLocked)
+		e.prefill += max(0, g.memoryTokens()-cached)
 	}
 }
 
@@ -48,14 +48,14 @@
 	if e.paused || e.closed {
 		return
 	}
-	e.makeRoomLocked()
+	e.preemptLocked()
 	for _, g := range append([]*generation(nil), e.running...) {
 		g.produced++
 		e.journal.token(g)
 		switch {
 		case g.produced >= g.length:
 			e.endLocked(g, finishStop)
-		case g.produced >= g.limit || g.held() >= e.config.TokenCapacity:
+		case g.produced >= g.limit || g.memoryTokens() >= e.config.TokenCapacity:
 			e.endLocked(g, finishLength)
 		default:
 			g.notify()
@@ -64,28 +64,28 @@
 	e.reports.record(time.Now(), e.reportLocked())
 }
 
-// makeRoomLocked preempts generations until memory has room for one more token of
+// preemptLocked preempts generations until memory has room for one more token of
 // each running one. A victim loses its memory, which is computed again when it is
 // admitted; it keeps the tokens produced so far.
-func (e *Engine) makeRoomLocked() {
-	for len(e.running) > 1 && e.heldLocked()+len(e.running) > e.config.TokenCapacity {
+func (e *Engine) preemptLocked() {
+	for len(e.running) > 1 && e.memoryTokensLocked()+len(e.running) > e.config.TokenCapacity {
 		victim := e.running[0]
 		for _, g := range e.running[1:] {
 			if victim.before(g) {
 				victim = g
 			}
 		}
-		e.running = without(e.running, victim)
+		e.running = remove(e.running, victim)
 		victim.preempted++
 		e.journal.preempted()
 		e.queueLocked(victim)
 	}
 }
 
-func (e *Engine) heldLocked() int {
-	held := 0
+func (e *Engine) memoryTokensLocked() int {
+	total := 0
 	for _, g := range e.running {
-		held += g.held()
+		total += g.memoryTokens()
 	}
-	return held
+	return total
 }
--- a/fake/engine/streamwriter.go
+++ b/fake/engine/streamwriter.go
@@ -17,11 +17,11 @@
 
 // token writes the chunk of one token.
 func (s *streamWriter) token(index, preempted int) error {
-	if s.engine.takeFault(&s.engine.faults.skipChunks) {
+	if s.engine.consumeFault(&s.engine.faults.skipChunks) {
 		return nil
 	}
 	id := s.generation.id
-	if s.engine.takeFault(&s.engine.faults.crossChunks) {
+	if s.engine.consumeFault(&s.engine.faults.crossChunks) {
 		id = crossedID
 	}
 	return s.chunk(backend.CompletionChunk{
@@ -52,7 +52,7 @@
 		ID:        view.id,
 		Index:     view.produced,
 		Choices:   []backend.Choice{{FinishReason: view.finish}},
-		Usage:     &backend.Usage{PromptTokens: view.promptN, CompletionTokens: view.produced},
+		Usage:     &backend.Usage{PromptTokens: view.promptTokens, CompletionTokens: view.produced},
 		Preempted: view.preempted,
 	})
 	if err != nil {
--- a/fake/network/conn.go
+++ b/fake/network/conn.go
@@ -23,17 +23,17 @@
 	changed  *sync.Cond // with the fabric's mutex
 	segments []segment
 	buffered int  // bytes written and not yet read; dropped bytes stay counted
-	lost     bool // all bytes are dropped, permanently
+	dropping bool // all bytes are dropped, permanently
 }
 
 func newHalf(f *Fabric, from, to string) *half {
 	return &half{fabric: f, from: from, to: to, changed: sync.NewCond(&f.mu)}
 }
 
-// pushLocked sends a segment.
-func (h *half) pushLocked(s segment) {
+// sendLocked sends a segment.
+func (h *half) sendLocked(s segment) {
 	h.buffered += len(s.data)
-	if h.lost {
+	if h.dropping {
 		// Dropped bytes are never acknowledged, so they fill the sender's
 		// buffer until it blocks, as with TCP.
 		return
@@ -68,7 +68,7 @@
 	timer *time.Timer
 }
 
-func (d *deadline) passed() bool { return !d.at.IsZero() && !time.Now().Before(d.at) }
+func (d *deadline) expired() bool { return !d.at.IsZero() && !time.Now().Before(d.at) }
 
 // setLocked sets the deadline and wakes the goroutines that wait on h, now and
 // when the deadline expires.
@@ -92,8 +92,8 @@
 	local, remote *net.TCPAddr
 	peer          *conn
 	in, out       *half
-	readBy        deadline
-	writeBy       deadline
+	readDeadline  deadline
+	writeDeadline deadline
 	closed        bool
 	closePending  bool // closed while frozen: the close is sent at Thaw
 	broken        bool // reset by the other end or the link
@@ -109,7 +109,7 @@
 		case c.closed:
 			return 0, c.opError("read", net.ErrClosed)
 		case frozen:
-		case c.readBy.passed():
+		case c.readDeadline.expired():
 			return 0, c.opError("read", os.ErrDeadlineExceeded)
 		case len(p) == 0:
 			return 0, nil
@@ -117,7 +117,7 @@
 			if c.in.segments[0].fin {
 				return 0, io.EOF
 			}
-			return c.takeLocked(p), nil
+			return c.readLocked(p), nil
 		case c.broken:
 			return 0, c.opError("read", syscall.ECONNRESET)
 		}
@@ -125,8 +125,8 @@
 	}
 }
 
-// takeLocked copies arrived bytes to p and returns their number.
-func (c *conn) takeLocked(p []byte) int {
+// readLocked copies arrived bytes to p and returns their number.
+func (c *conn) readLocked(p []byte) int {
 	n := 0
 	for n < len(p) && c.in.readyLocked() && !c.in.segments[0].fin {
 		head := &c.in.segments[0]
@@ -156,13 +156,13 @@
 		case frozen:
 		case c.broken, c.otherEndClosedLocked():
 			return written, c.opError("write", syscall.EPIPE)
-		case c.writeBy.passed():
+		case c.writeDeadline.expired():
 			return written, c.opError("write", os.ErrDeadlineExceeded)
 		case written == len(p):
 			return written, nil
 		case space > 0:
 			n := min(space, len(p)-written)
-			c.out.pushLocked(segment{data: append([]byte(nil), p[written:written+n]...)})
+			c.out.sendLocked(segment{data: append([]byte(nil), p[written:written+n]...)})
 			written += n
 			continue
 		}
@@ -173,7 +173,7 @@
 // otherEndClosedLocked reports whether the other end closed and the close could
 // have reached this end.
 func (c *conn) otherEndClosedLocked() bool {
-	return c.peer.closed && !c.peer.closePending && !c.in.lost && !c.out.lost
+	return c.peer.closed && !c.peer.closePending && !c.in.dropping && !c.out.dropping
 }
 
 // Close implements net.Conn.
@@ -199,23 +199,23 @@
 func (c *conn) finishCloseLocked() {
 	c.closePending = false
 	delete(c.fabric.conns, c)
-	c.out.pushLocked(segment{fin: true})
-	if !c.out.lost && len(c.in.segments) > 0 && !c.in.segments[0].fin {
+	c.out.sendLocked(segment{fin: true})
+	if !c.out.dropping && len(c.in.segments) > 0 && !c.in.segments[0].fin {
 		// Like TCP, a close with unread bytes sends a reset.
-		c.peer.brokenLocked()
+		c.peer.breakLocked()
 	}
 }
 
 // resetLocked breaks both ends.
 func (c *conn) resetLocked() {
-	c.brokenLocked()
-	c.peer.brokenLocked()
+	c.breakLocked()
+	c.peer.breakLocked()
 }
 
-// brokenLocked breaks this end. It stays in the fabric's connections until it is
+// breakLocked breaks this end. It stays in the fabric's connections until it is
 // closed, because Thaw has to wake the goroutines waiting on it if its machine is
 // frozen.
-func (c *conn) brokenLocked() {
+func (c *conn) breakLocked() {
 	c.broken = true
 	c.in.changed.Broadcast()
 	c.out.changed.Broadcast()
@@ -236,8 +236,8 @@
 func (c *conn) SetDeadline(t time.Time) error {
 	c.fabric.mu.Lock()
 	defer c.fabric.mu.Unlock()
-	c.readBy.setLocked(t, c.in)
-	c.writeBy.setLocked(t, c.out)
+	c.readDeadline.setLocked(t, c.in)
+	c.writeDeadline.setLocked(t, c.out)
 	return nil
 }
 
@@ -245,7 +245,7 @@
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.fabric.mu.Lock()
 	defer c.fabric.mu.Unlock()
-	c.readBy.setLocked(t, c.in)
+	c.readDeadline.setLocked(t, c.in)
 	return nil
 }
 
@@ -253,7 +253,7 @@
 func (c *conn) SetWriteDeadline(t time.Time) error {
 	c.fabric.mu.Lock()
 	defer c.fabric.mu.Unlock()
-	c.writeBy.setLocked(t, c.out)
+	c.writeDeadline.setLocked(t, c.out)
 	return nil
 }
 
--- a/fake/network/fabric.go
+++ b/fake/network/fabric.go
@@ -153,7 +153,7 @@
 		f.changed.Broadcast()
 	})
 	defer stop()
-	if err := f.roundTripLocked(ctx, from, to); err != nil {
+	if err := f.awaitRoundTripLocked(ctx, from, to); err != nil {
 		return nil, err
 	}
 	for {
@@ -176,9 +176,9 @@
 	}
 }
 
-// roundTripLocked waits for the handshake of a new connection. It releases the mutex
+// awaitRoundTripLocked waits for the handshake of a new connection. It releases the mutex
 // while it waits.
-func (f *Fabric) roundTripLocked(ctx context.Context, from, to string) error {
+func (f *Fabric) awaitRoundTripLocked(ctx context.Context, from, to string) error {
 	roundTrip := f.linkLocked(from, to).delay + f.linkLocked(to, from).delay
 	if roundTrip == 0 {
 		return nil
--- a/fake/network/fault.go
+++ b/fake/network/fault.go
@@ -29,7 +29,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.linkLocked(from, to).silent = true
-	f.loseLocked(from, to)
+	f.dropOpenLocked(from, to)
 	f.wakeLocked()
 }
 
@@ -39,17 +39,17 @@
 func (f *Fabric) SilenceOpen(a, b string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.loseLocked(a, b)
-	f.loseLocked(b, a)
+	f.dropOpenLocked(a, b)
+	f.dropOpenLocked(b, a)
 	f.wakeLocked()
 }
 
-// loseLocked makes one direction of the open connections drop all bytes, including
+// dropOpenLocked makes one direction of the open connections drop all bytes, including
 // those in flight.
-func (f *Fabric) loseLocked(from, to string) {
+func (f *Fabric) dropOpenLocked(from, to string) {
 	for c := range f.conns {
 		if c.out.from == from && c.out.to == to {
-			c.out.lost = true
+			c.out.dropping = true
 			c.out.segments = nil
 		}
 	}
@@ -125,12 +125,12 @@
 		if c.in.to != ip {
 			continue
 		}
-		reachable := !c.out.lost
-		c.brokenLocked()
+		reachable := !c.out.dropping
+		c.breakLocked()
 		c.closed = true
 		delete(f.conns, c)
 		if reachable {
-			c.peer.brokenLocked()
+			c.peer.breakLocked()
 		}
 	}
 	for key, l := range f.listeners {
--- a/fake/plain/plain.go
+++ b/fake/plain/plain.go
@@ -71,8 +71,8 @@
 
 // Service is a stand-in plain service. It is an http.Handler.
 type Service struct {
-	config Config
-	gone   chan struct{} // closed by Close
+	config  Config
+	closing chan struct{} // closed by Close
 
 	mu      sync.Mutex // guards the fields below
 	modes   []Mode     // of the next calls
@@ -82,13 +82,13 @@
 	runs    []Run
 	byKey   map[string]int
 	byID    map[string]int
-	inCall  int
+	running int
 	servers []*http.Server
 }
 
 // New returns a service.
 func New(config Config) *Service {
-	return &Service{config: config, gone: make(chan struct{}), byKey: map[string]int{}, byID: map[string]int{}}
+	return &Service{config: config, closing: make(chan struct{}), byKey: map[string]int{}, byID: map[string]int{}}
 }
 
 // Next appends modes for the next calls, one for each call.
@@ -190,7 +190,7 @@
 func (s *Service) Close() error {
 	s.mu.Lock()
 	if !s.closed {
-		close(s.gone)
+		close(s.closing)
 	}
 	s.closed = true
 	servers := s.servers
@@ -218,7 +218,7 @@
 }
 
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request, body string) {
-	mode, lateBy := s.take()
+	mode, lateBy := s.admit()
 	switch mode {
 	case Refuse:
 		refuse(w, http.StatusServiceUnavailable)
@@ -226,7 +226,7 @@
 	case DropBefore:
 		panic(http.ErrAbortHandler)
 	}
-	defer s.leave()
+	defer s.finishCall()
 	s.record(r, body)
 	s.wait(s.config.Delay)
 	switch mode {
@@ -252,8 +252,8 @@
 	io.WriteString(w, answer)
 }
 
-// take counts a call that will run and returns its mode and the delay for mode Late.
-func (s *Service) take() (Mode, time.Duration) {
+// admit counts a call that will run and returns its mode and the delay for mode Late.
+func (s *Service) admit() (Mode, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leaving {
@@ -264,15 +264,15 @@
 		mode, s.modes = s.modes[0], s.modes[1:]
 	}
 	if mode != Refuse && mode != DropBefore {
-		s.inCall++
+		s.running++
 	}
 	return mode, s.lateBy
 }
 
-func (s *Service) leave() {
+func (s *Service) finishCall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.inCall--
+	s.running--
 }
 
 func (s *Service) record(r *http.Request, body string) {
@@ -299,13 +299,13 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-s.gone:
+	case <-s.closing:
 	}
 }
 
 func (s *Service) serveLoad(w http.ResponseWriter) {
 	s.mu.Lock()
-	report := backend.LoadReport{Sequence: uint64(len(s.runs)), Running: s.inCall, Leaving: s.leaving}
+	report := backend.LoadReport{Sequence: uint64(len(s.runs)), Running: s.running, Leaving: s.leaving}
 	s.mu.Unlock()
 	w.Header().Set("Content-Type", backend.ContentTypeJSON)
 	json.NewEncoder(w).Encode(report)
--- a/fake/standin/app.go
+++ b/fake/standin/app.go
@@ -42,25 +42,25 @@
 	Network link.Network // nil: TCP
 }
 
-// stand is a configured stand-in that is ready to serve.
-type stand struct {
+// standIn is a configured stand-in that is ready to serve.
+type standIn struct {
 	handler http.Handler
 	run     func(context.Context) // background work, may be nil; the stand-in ends when it returns
 }
 
 // builder creates a stand-in after its flags have been parsed.
-type builder func() stand
+type builder func() standIn
 
 // Run runs the program until ctx ends and returns its exit code.
 func (a *App) Run(ctx context.Context, arguments []string) int {
 	if a.Network == nil {
 		a.Network = link.TCP{}
 	}
-	asked := false
+	helpShown := false
 	parser := kingpin.New("standin", "Stand-ins of outside systems, for trials and tests.")
 	parser.UsageWriter(a.Out).ErrorWriter(a.Err)
 	parser.Terminate(func(int) {
-		asked = true
+		helpShown = true
 		parser.UsageWriter(io.Discard).ErrorWriter(io.Discard) // kingpin would continue to print
 	})
 	address := parser.Flag("listen", "IP:port to listen at.").Default("127.0.0.1:0").String()
@@ -70,7 +70,7 @@
 		"plain":    plainCommand(parser),
 	}
 	name, err := parser.Parse(arguments)
-	if asked {
+	if helpShown {
 		return ExitOK
 	}
 	if err != nil {
@@ -85,7 +85,7 @@
 }
 
 // serve serves a stand-in until ctx ends.
-func (a *App) serve(ctx context.Context, address string, s stand) error {
+func (a *App) serve(ctx context.Context, address string, s standIn) error {
 	listener, err := a.Network.Listen(address)
 	if err != nil {
 		return errors.Wrap(err, "listen")
--- a/fake/standin/engine.go
+++ b/fake/standin/engine.go
@@ -19,9 +19,9 @@
 	lengthFlags(command, &config)
 	reportFlags(command, &config)
 	orderFlags(command, &config)
-	return func() stand {
+	return func() standIn {
 		e := engine.New(config)
-		return stand{handler: engineHandler(e), run: e.Run}
+		return standIn{handler: engineHandler(e), run: e.Run}
 	}
 }
 
--- a/fake/standin/plain.go
+++ b/fake/standin/plain.go
@@ -26,10 +26,10 @@
 	command.Flag("name", "Name of the service.").Default("plain").StringVar(&config.Name)
 	command.Flag("delay", "Duration of a call.").DurationVar(&config.Delay)
 	late := command.Flag("late-by", "Additional delay of answers in mode late.").Duration()
-	return func() stand {
+	return func() standIn {
 		p := plain.New(config)
 		p.LateBy(*late)
-		return stand{handler: plainHandler(p)}
+		return standIn{handler: plainHandler(p)}
 	}
 }
 
--- a/fake/standin/platform.go
+++ b/fake/standin/platform.go
@@ -15,9 +15,9 @@
 	command.Flag("slow", "Delay every call.").DurationVar(&faults.Slow)
 	command.Flag("lose-answers", "Lose the answers to this many writes after they took effect.").IntVar(&faults.LoseAnswers)
 	command.Flag("lose-requests", "Lose this many writes before they take effect.").IntVar(&faults.LoseRequests)
-	return func() stand {
+	return func() standIn {
 		memory := store.NewMemory()
 		memory.SetFaults(faults)
-		return stand{handler: standin.NewStore(memory)}
+		return standIn{handler: standin.NewStore(memory)}
 	}
 }
