--- a/demo/badinput_test.go
+++ b/demo/badinput_test.go
@@ -16,8 +16,8 @@
 	"github.com/papayasail/papayasail/relay"
 )
 
-// started starts a site and returns it with its documents in force everywhere.
-func started(t *testing.T) *demonstration {
+// startSite starts a site and returns it with its documents in force everywhere.
+func startSite(t *testing.T) *demonstration {
 	t.Helper()
 	is := is.New(t)
 	site, err := Start(context.Background(), Options{})
@@ -52,8 +52,8 @@
 	return response.StatusCode, problem
 }
 
-// started returns how many generations the engines have started.
-func (d *demonstration) started() uint64 {
+// generationsStarted returns how many generations the engines have started.
+func (d *demonstration) generationsStarted() uint64 {
 	var started uint64
 	for _, e := range d.site.Engines {
 		started += e.Counters().Started
@@ -69,7 +69,7 @@
 		letter   = "/v1/services/letters/generations"
 		verdict  = "/v1/services/gauges/call/verdicts"
 	)
-	d := started(t)
+	d := startSite(t)
 	long := strings.Repeat("x", bodyLimit+1)
 	lastEvent := http.Header{"Last-Event-ID": {"1.bm90IG91cnM.0.AAAAAAAAAAAAAAAAAAAAAA"}}
 	brokenKey := http.Header{"Idempotency-Key": {"no home"}}
@@ -119,19 +119,19 @@
 		is.True(status >= http.StatusBadRequest)
 	})
 	is := is.New(t)
-	is.Equal(d.started(), uint64(0))
+	is.Equal(d.generationsStarted(), uint64(0))
 	is.Equal(len(d.site.Plain.Runs()), 0)
 
 	// Valid requests are still served.
 	r := read(context.Background(), d.client, Narratives, caller.Request{Prompt: "after bad input", StopAfter: eventTokens}, nil)
-	is.NoErr(d.verify(r))
+	is.NoErr(d.verifyResult(r))
 }
 
 // Guards against an invalid document or token that changes the configuration in force,
 // or is refused with a wrong status or number of findings.
 func TestBadOperatorInputChangesNothing(t *testing.T) {
 	is := is.New(t)
-	d := started(t)
+	d := startSite(t)
 	before := d.status(context.Background(), d.site.Hosts[0])
 	good := d.site.Documents(firstRisk)[Narratives]
 	cases := []struct {
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -14,16 +14,16 @@
 	"github.com/papayasail/papayasail/caller"
 )
 
-// bound limits the duration of the demo.
-const bound = 30 * time.Second
+// timeout limits the duration of the demo.
+const timeout = 30 * time.Second
 
 // Run runs the demo and writes its progress to out. It returns nil only if every
 // answer arrived complete, in order and exactly once.
 func Run(ctx context.Context, out io.Writer) error {
-	ctx, cancel := context.WithTimeout(ctx, bound)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	d := &demonstration{out: out, begin: time.Now()}
-	d.say("starting stand-ins of the platform, %d engines, a plain service, and %d entry hosts", engines, entryHosts)
+	d.logf("starting stand-ins of the platform, %d engines, a plain service, and %d entry hosts", engines, entryHosts)
 	site, err := Start(ctx, Options{})
 	if err != nil {
 		return err
@@ -36,8 +36,8 @@
 	defer d.client.Close()
 	for _, scene := range scenes {
 		d.title(scene.title)
-		if err := scene.play(d, ctx); err != nil {
-			d.say("FAILED: %v", err)
+		if err := scene.run(d, ctx); err != nil {
+			d.logf("FAILED: %v", err)
 			return errors.Wrap(err, scene.title)
 		}
 	}
@@ -48,7 +48,7 @@
 // scene is one part of the demo.
 type scene struct {
 	title string
-	play  func(*demonstration, context.Context) error
+	run   func(*demonstration, context.Context) error
 }
 
 var scenes = []scene{
@@ -77,20 +77,20 @@
 
 func (d *demonstration) title(title string) { fmt.Fprintf(d.out, "\n== %s\n", title) }
 
-// say prints a line with the time since the start.
-func (d *demonstration) say(format string, arguments ...any) {
+// logf prints a line with the time since the start.
+func (d *demonstration) logf(format string, arguments ...any) {
 	fmt.Fprintf(d.out, "%6.2fs  %s\n", time.Since(d.begin).Seconds(), fmt.Sprintf(format, arguments...))
 }
 
 func (d *demonstration) summary() {
 	d.title("done")
-	d.say("%d generations with %d tokens and %d exact calls: every answer complete, in order, exactly once; %d streams were resumed at another entry host",
+	d.logf("%d generations with %d tokens and %d exact calls: every answer complete, in order, exactly once; %d streams were resumed at another entry host",
 		d.answers, d.tokens, d.calls, d.resumes)
 }
 
-// verify checks a received generation against the runs of the engines and counts it.
-func (d *demonstration) verify(r reading) error {
-	if err := d.site.check(r); err != nil {
+// verifyResult checks a received generation against the runs of the engines and counts it.
+func (d *demonstration) verifyResult(r result) error {
+	if err := d.site.checkResult(r); err != nil {
 		return errors.Wrapf(err, "%q", r.prompt)
 	}
 	d.answers++
--- a/demo/operatingpage_test.go
+++ b/demo/operatingpage_test.go
@@ -51,7 +51,7 @@
 func TestOperatingPageNamesEveryMetric(t *testing.T) {
 	is := is.New(t)
 	page := operatingPage(t)
-	d := started(t)
+	d := startSite(t)
 	is.NoErr(d.streamNarrative(context.Background()))
 	is.NoErr(d.exactCalls(context.Background()))
 	response, err := http.Get("http://" + d.site.Hosts[0].CallerAddress + "/metrics")
--- a/demo/reader.go
+++ b/demo/reader.go
@@ -11,8 +11,8 @@
 	"github.com/papayasail/papayasail/fake/engine"
 )
 
-// reading is one generation as received by its caller.
-type reading struct {
+// result is one generation as received by its caller.
+type result struct {
 	prompt     string
 	generation string // id of the generation that every token belongs to
 	tokens     int
@@ -23,8 +23,8 @@
 
 // read reads a generation to its end and checks that each token is the next one of
 // the same generation. It calls onToken, unless nil, after each token.
-func read(ctx context.Context, client *caller.Client, service string, request caller.Request, onToken func(*caller.Stream, caller.Token)) reading {
-	r := reading{prompt: request.Prompt}
+func read(ctx context.Context, client *caller.Client, service string, request caller.Request, onToken func(*caller.Stream, caller.Token)) result {
+	r := result{prompt: request.Prompt}
 	stream, err := client.Generate(ctx, service, request)
 	if err != nil {
 		r.err = err
@@ -37,7 +37,7 @@
 			break
 		}
 		if err == nil {
-			err = r.take(token)
+			err = r.checkToken(token)
 		}
 		if err != nil {
 			r.err = err
@@ -54,9 +54,9 @@
 	return r
 }
 
-// take checks one token. Its text contains the generation id and the index, so that
+// checkToken checks one token. Its text contains the generation id and the index, so that
 // tokens of two generations cannot pass as one answer.
-func (r *reading) take(token caller.Token) error {
+func (r *result) checkToken(token caller.Token) error {
 	if r.tokens == 0 {
 		r.generation, _, _ = strings.Cut(token.Text, ".")
 	}
@@ -67,9 +67,9 @@
 	return nil
 }
 
-// check checks against the engines' records that the tokens received belong to the
+// checkResult checks against the engines' records that the tokens received belong to the
 // caller's own generation and that it ran exactly once.
-func (s *Site) check(r reading) error {
+func (s *Site) checkResult(r result) error {
 	if r.err != nil {
 		return r.err
 	}
--- a/demo/scenes.go
+++ b/demo/scenes.go
@@ -30,7 +30,7 @@
 )
 
 func (d *demonstration) applyDocuments(ctx context.Context) error {
-	if err := eventually(ctx, "membership of the entry hosts is complete", d.hostsKnowEachOther(ctx)); err != nil {
+	if err := eventually(ctx, "membership of the entry hosts is complete", d.membershipComplete(ctx)); err != nil {
 		return err
 	}
 	documents := d.site.Documents(firstRisk)
@@ -53,12 +53,12 @@
 	if err := eventually(ctx, "in force everywhere", d.inForce(ctx, service, accepted.Version)); err != nil {
 		return 0, err
 	}
-	d.say("%s version %d accepted, and in force everywhere after %d ms", service, accepted.Version, time.Since(begin).Milliseconds())
+	d.logf("%s version %d accepted, and in force everywhere after %d ms", service, accepted.Version, time.Since(begin).Milliseconds())
 	return accepted.Version, nil
 }
 
 func (d *demonstration) put(ctx context.Context, service, document string, expect uint64) (*operator.Accepted, error) {
-	return d.living()[0].Operator.Put(ctx, &operator.PutPayload{
+	return d.runningHosts()[0].Operator.Put(ctx, &operator.PutPayload{
 		Token: operatorToken(), Service: service, Document: document, ExpectVersion: expect, ChangeID: uuid.NewString(),
 	})
 }
@@ -68,8 +68,8 @@
 	return &token
 }
 
-// living returns the hosts that have not stopped.
-func (d *demonstration) living() []*EntryHost {
+// runningHosts returns the hosts that have not stopped.
+func (d *demonstration) runningHosts() []*EntryHost {
 	var living []*EntryHost
 	for _, host := range d.site.Hosts {
 		select {
@@ -89,11 +89,11 @@
 	return status
 }
 
-// everywhere returns a function that reports whether the status of every running host
+// onAllHosts returns a function that reports whether the status of every running host
 // satisfies a condition.
-func (d *demonstration) everywhere(ctx context.Context, condition func(*operator.HostStatus) bool) func() bool {
+func (d *demonstration) onAllHosts(ctx context.Context, condition func(*operator.HostStatus) bool) func() bool {
 	return func() bool {
-		for _, host := range d.living() {
+		for _, host := range d.runningHosts() {
 			if !condition(d.status(ctx, host)) {
 				return false
 			}
@@ -102,18 +102,18 @@
 	}
 }
 
-func (d *demonstration) hostsKnowEachOther(ctx context.Context) func() bool {
-	return d.everywhere(ctx, func(status *operator.HostStatus) bool { return len(status.Members) == entryHosts })
+func (d *demonstration) membershipComplete(ctx context.Context) func() bool {
+	return d.onAllHosts(ctx, func(status *operator.HostStatus) bool { return len(status.Members) == entryHosts })
 }
 
 func (d *demonstration) inForce(ctx context.Context, service string, version uint64) func() bool {
-	return d.everywhere(ctx, func(status *operator.HostStatus) bool {
+	return d.onAllHosts(ctx, func(status *operator.HostStatus) bool {
 		return slices.ContainsFunc(status.Services, func(s *operator.ServiceInfo) bool { return s.Service == service && s.Version >= version })
 	})
 }
 
 func (d *demonstration) backendServersReady(ctx context.Context) func() bool {
-	return d.everywhere(ctx, func(status *operator.HostStatus) bool {
+	return d.onAllHosts(ctx, func(status *operator.HostStatus) bool {
 		notReady := func(s *operator.BackendServerStatus) bool { return s.State != "ready" }
 		return len(status.BackendServers) > 0 && !slices.ContainsFunc(status.BackendServers, notReady)
 	})
@@ -122,10 +122,10 @@
 func (d *demonstration) streamNarrative(ctx context.Context) error {
 	request := caller.Request{Prompt: "seasonal outlook of the upper basin", StopAfter: narrativeTokens}
 	r := read(ctx, d.client, Narratives, request, nil)
-	if err := d.verify(r); err != nil {
+	if err := d.verifyResult(r); err != nil {
 		return err
 	}
-	d.say("received %d tokens of generation %s from %s, then the end event", r.tokens, r.generation, r.lastHost)
+	d.logf("received %d tokens of generation %s from %s, then the end event", r.tokens, r.generation, r.lastHost)
 	return nil
 }
 
@@ -151,7 +151,7 @@
 		return err
 	}
 	d.calls++
-	d.say("%s %s: %q, ran once", method, path, answer.Body)
+	d.logf("%s %s: %q, ran once", method, path, answer.Body)
 	return nil
 }
 
@@ -182,7 +182,7 @@
 	if err := d.ranOnce(http.MethodPost, path, "seen"); err != nil {
 		return err
 	}
-	d.say("POST %s, answer lost between plain service and entry host: outcome %q, ran once", path, refusal.Outcome)
+	d.logf("POST %s, answer lost between plain service and entry host: outcome %q, ran once", path, refusal.Outcome)
 	return nil
 }
 
@@ -200,17 +200,17 @@
 	if !errors.As(err, &problem) || problem.Status != http.StatusConflict {
 		return errors.Newf("a change that expected the old version returned %v", err)
 	}
-	d.say("a second change that expects version %d is refused, version %d stays in force: %s", current.Version, version, *problem.Detail)
+	d.logf("a second change that expects version %d is refused, version %d stays in force: %s", current.Version, version, *problem.Detail)
 	return nil
 }
 
 // load is a closed loop of loadStreams concurrent callers, each of which reads one
 // generation after another until stop is closed.
 type load struct {
-	stop     chan struct{}
-	running  sync.WaitGroup
-	mu       sync.Mutex // guards readings
-	readings []reading
+	stop    chan struct{}
+	running sync.WaitGroup
+	mu      sync.Mutex // guards results
+	results []result
 }
 
 func (d *demonstration) startLoad(ctx context.Context, name string) *load {
@@ -235,22 +235,22 @@
 	}
 }
 
-func (l *load) add(r reading) {
+func (l *load) add(r result) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.readings = append(l.readings, r)
+	l.results = append(l.results, r)
 }
 
 // finish stops the load, waits for its callers and verifies all generations.
 func (d *demonstration) finish(l *load) error {
 	close(l.stop)
 	l.running.Wait()
-	for _, r := range l.readings {
-		if err := d.verify(r); err != nil {
+	for _, r := range l.results {
+		if err := d.verifyResult(r); err != nil {
 			return err
 		}
 	}
-	d.say("%d narratives ran meanwhile, each complete, in order, exactly once", len(l.readings))
+	d.logf("%d narratives ran meanwhile, each complete, in order, exactly once", len(l.results))
 	return nil
 }
 
@@ -260,7 +260,7 @@
 	if err := eventually(ctx, "load on "+drained.Name, func() bool { return drained.Load().Running > 0 }); err != nil {
 		return err
 	}
-	d.say("%d callers stream; %s runs %d generations and is drained", loadStreams, drained.Name, drained.Load().Running)
+	d.logf("%d callers stream; %s runs %d generations and is drained", loadStreams, drained.Name, drained.Load().Running)
 	if err := d.drain(ctx, drained, false); err != nil {
 		return err
 	}
@@ -278,7 +278,7 @@
 	if after := drained.Counters().Started; after != before {
 		return errors.Newf("%s received %d new generations while drained", drained.Name, after-before)
 	}
-	d.say("%s finished its generations and received no new ones for %s", drained.Name, watch)
+	d.logf("%s finished its generations and received no new ones for %s", drained.Name, watch)
 	if err := d.finish(l); err != nil {
 		return err
 	}
@@ -288,7 +288,7 @@
 }
 
 func (d *demonstration) drain(ctx context.Context, e *Engine, end bool) error {
-	_, err := d.living()[0].Operator.Drain(ctx, &operator.DrainPayload{Token: operatorToken(), Address: e.Address, End: end, ChangeID: uuid.NewString()})
+	_, err := d.runningHosts()[0].Operator.Drain(ctx, &operator.DrainPayload{Token: operatorToken(), Address: e.Address, End: end, ChangeID: uuid.NewString()})
 	if err != nil {
 		return errors.Wrapf(err, "drain %s", e.Name)
 	}
@@ -296,7 +296,7 @@
 }
 
 func (d *demonstration) leaving(ctx context.Context, e *Engine) func() bool {
-	return d.everywhere(ctx, func(status *operator.HostStatus) bool {
+	return d.onAllHosts(ctx, func(status *operator.HostStatus) bool {
 		return slices.ContainsFunc(status.BackendServers, func(s *operator.BackendServerStatus) bool {
 			return s.Address == e.Address && s.State == "leaving"
 		})
@@ -306,9 +306,9 @@
 func (d *demonstration) storeOutage(ctx context.Context) error {
 	d.site.Store.SetFaults(store.Faults{Outage: true})
 	defer d.site.Store.SetFaults(store.Faults{})
-	d.say("the store refuses every call")
+	d.logf("the store refuses every call")
 	r := read(ctx, d.client, Narratives, caller.Request{Prompt: "outlook during the outage", StopAfter: narrativeTokens}, nil)
-	if err := d.verify(r); err != nil {
+	if err := d.verifyResult(r); err != nil {
 		return err
 	}
 	if err := d.call(ctx, http.MethodPost, plain.PathVerdicts, "gate 8, store away"); err != nil {
@@ -324,7 +324,7 @@
 	if !errors.As(err, &problem) || problem.Status != http.StatusServiceUnavailable {
 		return errors.Newf("a change during the outage returned %v", err)
 	}
-	d.say("narratives and calls are still served; a change is refused: %s", *problem.Detail)
+	d.logf("narratives and calls are still served; a change is refused: %s", *problem.Detail)
 	d.site.Store.SetFaults(store.Faults{})
 	_, err = d.apply(ctx, Narratives, changed, current.Version)
 	return err
@@ -337,19 +337,19 @@
 	kill := func(stream *caller.Stream, token caller.Token) {
 		if token.Index == eventTokens {
 			host := d.host(stream.Host())
-			d.say("%s is killed after token %d", host.Name, token.Index)
+			d.logf("%s is killed after token %d", host.Name, token.Index)
 			killed.Store(host)
 			host.Kill()
 		}
 	}
 	r := read(ctx, d.client, Narratives, caller.Request{Prompt: "outlook that outlives its entry host", StopAfter: longTokens}, kill)
-	if err := d.verify(r); err != nil {
+	if err := d.verifyResult(r); err != nil {
 		return err
 	}
 	if r.resumes == 0 || r.lastHost == killed.Load().Name {
 		return errors.New("the stream was not resumed at another entry host")
 	}
-	d.say("%s resumed with the next token of the same generation: %d tokens, none lost, none duplicated", r.lastHost, r.tokens)
+	d.logf("%s resumed with the next token of the same generation: %d tokens, none lost, none duplicated", r.lastHost, r.tokens)
 	return nil
 }
 
@@ -360,12 +360,12 @@
 	stop := func(stream *caller.Stream, token caller.Token) {
 		if token.Index == eventTokens {
 			host := d.host(stream.Host())
-			d.say("%s is told to stop after token %d", host.Name, token.Index)
+			d.logf("%s is told to stop after token %d", host.Name, token.Index)
 			go func() { stopped <- host.Stop(ctx) }()
 		}
 	}
 	r := read(ctx, d.client, Letters, caller.Request{Prompt: "reminder letter to the dealer in Zhongli", StopAfter: longTokens}, stop)
-	if err := d.verify(r); err != nil {
+	if err := d.verifyResult(r); err != nil {
 		return err
 	}
 	if r.resumes != 0 {
@@ -379,7 +379,7 @@
 	case <-ctx.Done():
 		return errors.Wrap(ctx.Err(), "stop")
 	}
-	d.say("the letter finished on the same host, %d tokens, and the host stopped after that", r.tokens)
+	d.logf("the letter finished on the same host, %d tokens, and the host stopped after that", r.tokens)
 	return d.call(ctx, http.MethodPost, plain.PathVerdicts, "gate 9, one entry host left")
 }
 
--- a/demo/site.go
+++ b/demo/site.go
@@ -32,15 +32,15 @@
 
 // Sizes of a Site.
 const (
-	entryHosts  = 3
-	engines     = 3
-	bodyLimit   = 64 << 10
-	probePeriod = 100 * time.Millisecond
-	keepAlive   = 500 * time.Millisecond
-	keepAddress = 5 * time.Second
-	stopBound   = 20 * time.Second
-	settleTime  = 15 * time.Second // timeout of conditions that normally take seconds at most
-	pollPause   = 20 * time.Millisecond
+	entryHosts    = 3
+	engines       = 3
+	bodyLimit     = 64 << 10
+	probePeriod   = 100 * time.Millisecond
+	keepAlive     = 500 * time.Millisecond
+	keepAddresses = 5 * time.Second
+	stopTimeout   = 20 * time.Second
+	settleTime    = 15 * time.Second // timeout of conditions that normally take seconds at most
+	pollInterval  = 20 * time.Millisecond
 )
 
 var failureDomains = []string{"ankara", "kirikkale", "konya"}
@@ -115,7 +115,7 @@
 	if err := s.startPlain(); err != nil {
 		return err
 	}
-	if err := s.makeHosts(); err != nil {
+	if err := s.createHosts(); err != nil {
 		return err
 	}
 	for _, host := range s.Hosts {
@@ -188,9 +188,9 @@
 	return nil
 }
 
-// makeHosts reserves the addresses of all entry hosts and creates their settings, each
+// createHosts reserves the addresses of all entry hosts and creates their settings, each
 // with the addresses of all peers.
-func (s *Site) makeHosts() error {
+func (s *Site) createHosts() error {
 	var peers []string
 	for i := range entryHosts {
 		callers, err := s.network.reserve()
@@ -240,9 +240,9 @@
 	target.Limits = settings.DefaultLimits()
 	target.Limits.BodyBytes = bodyLimit
 	target.Limits.KeepAlive = keepAlive
-	target.Limits.KeepAddresses = keepAddress
+	target.Limits.KeepAddresses = keepAddresses
 	target.Limits.PeerProbePeriod = probePeriod
-	target.Limits.StopBound = stopBound
+	target.Limits.StopBound = stopTimeout
 	target.LogLevel = settings.DefaultLogLevel
 }
 
@@ -297,7 +297,7 @@
 		select {
 		case <-ctx.Done():
 			return errors.Newf("%s: not within %s", condition, settleTime)
-		case <-time.After(pollPause):
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
