--- a/examples/processes_test.go
+++ b/examples/processes_test.go
@@ -38,17 +38,17 @@
 	for _, e := range []example{akarsu, taoyuan} {
 		t.Run(e.name, func(t *testing.T) {
 			s := start(t, e.name)
-			s.follow()
+			s.runPage()
 			s.stopEntryHost(e)
 			s.killEntryHost(e)
 		})
 	}
 }
 
-// follow runs the foreground papayasail commands of the page.
-func (s *site) follow() {
+// runPage runs the foreground papayasail commands of the page.
+func (s *site) runPage() {
 	s.t.Helper()
-	s.ready()
+	s.awaitReady()
 	for _, line := range s.lines() {
 		if !strings.HasPrefix(line, "bin/papayasail ") || strings.HasSuffix(line, " &") {
 			continue
@@ -60,8 +60,8 @@
 	}
 }
 
-// ready waits until every entry host answers and reports all entry hosts as alive.
-func (s *site) ready() {
+// awaitReady waits until every entry host answers and reports all entry hosts as alive.
+func (s *site) awaitReady() {
 	for _, host := range strings.Split(s.hosts(), ",") {
 		s.eventually(host+" reports all entry hosts as alive", func() bool {
 			code, out := s.run("--host", host, "--token", s.name+"-operator", "status")
@@ -83,9 +83,9 @@
 	return p, host
 }
 
-// checkWhole waits for the caller's process and checks that its output is the complete
+// checkComplete waits for the caller's process and checks that its output is the complete
 // answer, in order, and that exactly one engine ran the generation, once.
-func (s *site) checkWhole(e example, p *process, prompt string) {
+func (s *site) checkComplete(e example, p *process, prompt string) {
 	s.t.Helper()
 	is := is.New(s.t)
 	is.Equal(s.wait(p), 0)
@@ -129,7 +129,7 @@
 	const prompt = "history that its entry host finishes"
 	p, number := s.stream(e, prompt)
 	s.host(number).signal(syscall.SIGTERM)
-	s.checkWhole(e, p, prompt)
+	s.checkComplete(e, p, prompt)
 	is.True(strings.Contains(p.errs.String(), "resumed 0 times"))
 	is.Equal(s.wait(s.host(number)), 0)
 	code, out := s.run("--token", e.token, "addresses")
@@ -145,6 +145,6 @@
 	const prompt = "history that outlives its entry host"
 	p, number := s.stream(e, prompt)
 	s.host(number).signal(syscall.SIGKILL)
-	s.checkWhole(e, p, prompt)
+	s.checkComplete(e, p, prompt)
 	is.True(!strings.Contains(p.errs.String(), "resumed 0 times"))
 }
--- a/examples/site_test.go
+++ b/examples/site_test.go
@@ -22,8 +22,8 @@
 	_ "github.com/papayasail/papayasail/entryhost"
 )
 
-// patience is the timeout of every wait, far above the normal duration.
-const patience = 60 * time.Second
+// waitTimeout is the timeout of every wait, far above the normal duration.
+const waitTimeout = 60 * time.Second
 
 // programs is the directory of the built programs.
 var programs string
@@ -104,12 +104,12 @@
 	for _, file := range s.files() {
 		content, err := os.ReadFile(file)
 		is.NoErr(err)
-		is.NoErr(os.WriteFile(filepath.Join(target, filepath.Base(file)), []byte(s.moved(string(content))), 0o600))
+		is.NoErr(os.WriteFile(filepath.Join(target, filepath.Base(file)), []byte(s.replaceAddresses(string(content))), 0o600))
 	}
 }
 
-// moved replaces sample addresses with those in use.
-func (s *site) moved(text string) string {
+// replaceAddresses replaces sample addresses with those in use.
+func (s *site) replaceAddresses(text string) string {
 	return sampleAddress.ReplaceAllStringFunc(text, func(address string) string {
 		if inUse := s.ports[address]; inUse != "" {
 			return inUse
@@ -134,12 +134,12 @@
 	return lines
 }
 
-var word = regexp.MustCompile(`"[^"]*"|\S+`)
+var wordPattern = regexp.MustCompile(`"[^"]*"|\S+`)
 
 // words splits a command line at blanks outside double quotes.
 func words(line string) []string {
 	var list []string
-	for _, w := range word.FindAllString(line, -1) {
+	for _, w := range wordPattern.FindAllString(line, -1) {
 		list = append(list, strings.Trim(w, `"`))
 	}
 	return list
@@ -211,7 +211,7 @@
 	s.t.Helper()
 	select {
 	case <-p.ended:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		s.t.Fatalf("%s has not exited", p.command)
 	}
 	return p.command.ProcessState.ExitCode()
@@ -228,7 +228,7 @@
 // eventually waits until done returns true; it fails the test after the timeout.
 func (s *site) eventually(condition string, done func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(patience); !done(); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !done(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			s.t.Fatalf("timeout: %s", condition)
 		}
