--- a/fake/engine/handler.go
+++ b/fake/engine/handler.go
@@ -30,7 +30,7 @@
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(backend.HeaderRequestID)
-	if e.takeFault(&e.faults.crossAnswers) {
+	if e.consumeFault(&e.faults.crossAnswers) {
 		id = crossedID
 	}
 	w.Header().Set(backend.HeaderRequestID, id)
@@ -61,11 +61,12 @@
 	g := e.startLocked(request)
 	e.attachLocked(g)
 	e.mu.Unlock()
-	e.signal()
+	e.wakeRun()
 	e.serveEvents(w, r, g, 0)
 }
 
-// refusalLocked says why a start is refused; empty: it is not.
+// refusalLocked returns the status and the reason with which a start is refused;
+// the reason is empty if it is accepted.
 func (e *Engine) refusalLocked(request backend.CompletionRequest) (int, string) {
 	switch {
 	case e.leaving || e.closed:
@@ -80,8 +81,9 @@
 	return 0, ""
 }
 
-// servesLocked reports whether a model is loaded, named with its version or
-// without. An engine that was configured without models serves any.
+// servesLocked reports whether a model, given with or without its version, is
+// loaded. An engine that was configured without models and has loaded none serves
+// any model.
 func (e *Engine) servesLocked(model string) bool {
 	if len(e.config.Models) == 0 && len(e.orders.state.Models) == 0 {
 		return true
@@ -94,7 +96,7 @@
 	return false
 }
 
-// refuse answers that nothing ran.
+// refuse answers that the request did not run.
 func (e *Engine) refuse(w http.ResponseWriter, status int, why string) {
 	e.mu.Lock()
 	e.journal.counters.Refused++
@@ -122,7 +124,8 @@
 	e.serveEvents(w, r, g, from)
 }
 
-// serveEvents streams a generation from an offset. The reader was counted in.
+// serveEvents streams a generation from an offset. The caller has attached the
+// reader; serveEvents detaches it.
 func (e *Engine) serveEvents(w http.ResponseWriter, r *http.Request, g *generation, from int) {
 	defer e.detach(g)
 	w.Header().Set("Content-Type", backend.ContentTypeSSE)
@@ -133,7 +136,7 @@
 	keepAlive := time.NewTicker(e.config.KeepAlive)
 	defer keepAlive.Stop()
 	for next := from; ; {
-		view := e.look(g)
+		view := e.snapshot(g)
 		for ; next < view.produced; next++ {
 			if out.token(next, view.preempted) != nil {
 				return
@@ -158,8 +161,8 @@
 	}
 }
 
-// look returns a copy of a generation.
-func (e *Engine) look(g *generation) generation {
+// snapshot returns a snapshot of a generation.
+func (e *Engine) snapshot(g *generation) generation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return *g
@@ -201,7 +204,7 @@
 }
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
-	if !e.mayOrder(r) {
+	if !e.mayExecuteOrders(r) {
 		e.refuse(w, http.StatusUnauthorized, "unauthorized")
 		return
 	}
@@ -220,12 +223,12 @@
 
 func (e *Engine) serveState(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	state := e.orders.copy()
+	state := e.orders.clone()
 	e.mu.Unlock()
 	writeJSON(w, state)
 }
 
-func (e *Engine) mayOrder(r *http.Request) bool {
+func (e *Engine) mayExecuteOrders(r *http.Request) bool {
 	return e.config.OrderToken == "" || r.Header.Get("Authorization") == "Bearer "+e.config.OrderToken
 }
 
--- a/fake/engine/streamwriter.go
+++ b/fake/engine/streamwriter.go
@@ -7,7 +7,7 @@
 	"github.com/papayasail/papayasail/backend"
 )
 
-// streamWriter writes the events of one completion stream.
+// streamWriter writes the server-sent events of one completion stream.
 type streamWriter struct {
 	engine     *Engine
 	generation *generation
@@ -17,11 +17,11 @@
 
 // token writes the chunk of one token.
 func (s *streamWriter) token(index, preempted int) error {
-	if s.engine.takeFault(&s.engine.faults.skipChunks) {
+	if s.engine.consumeFault(&s.engine.faults.skipChunks) {
 		return nil
 	}
 	id := s.generation.id
-	if s.engine.takeFault(&s.engine.faults.crossChunks) {
+	if s.engine.consumeFault(&s.engine.faults.crossChunks) {
 		id = crossedID
 	}
 	return s.chunk(backend.CompletionChunk{
@@ -33,7 +33,7 @@
 	})
 }
 
-// load returns the report that goes with the token at an index, or nil.
+// load returns the load report for the chunk of the token at an index, or nil.
 func (s *streamWriter) load(index int) *backend.LoadReport {
 	every := s.engine.config.StreamReports
 	if every <= 0 || index%every != 0 {
@@ -46,14 +46,13 @@
 	return &report
 }
 
-// end writes the finish chunk and the done marker. Its index is the token
-// count.
+// end writes the finish chunk, whose index is the token count, and the done marker.
 func (s *streamWriter) end(view generation) {
 	err := s.chunk(backend.CompletionChunk{
 		ID:        view.id,
 		Index:     view.produced,
 		Choices:   []backend.Choice{{FinishReason: view.finish}},
-		Usage:     &backend.Usage{PromptTokens: view.promptN, CompletionTokens: view.produced},
+		Usage:     &backend.Usage{PromptTokens: view.promptTokens, CompletionTokens: view.produced},
 		Preempted: view.preempted,
 	})
 	if err != nil {
--- a/fake/network/conn.go
+++ b/fake/network/conn.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// segment is a run of bytes on its way; fin marks the end of the direction.
+// segment is a chunk of bytes in flight; fin marks the end of the direction.
 type segment struct {
 	data    []byte
 	readyAt time.Time
@@ -20,22 +20,22 @@
 type half struct {
 	fabric   *Fabric
 	from, to string
-	changed  *sync.Cond // on the fabric's mutex
+	changed  *sync.Cond // with the fabric's mutex
 	segments []segment
-	buffered int  // bytes written and not yet read; lost ones stay counted
-	lost     bool // bytes vanish, for good
+	buffered int  // bytes written and not yet read; dropped bytes stay counted
+	dropping bool // all bytes are dropped, permanently
 }
 
 func newHalf(f *Fabric, from, to string) *half {
 	return &half{fabric: f, from: from, to: to, changed: sync.NewCond(&f.mu)}
 }
 
-// pushLocked puts a segment on its way.
-func (h *half) pushLocked(s segment) {
+// sendLocked sends a segment.
+func (h *half) sendLocked(s segment) {
 	h.buffered += len(s.data)
-	if h.lost {
-		// Bytes on a lost direction are never acknowledged, so they fill
-		// the sender's buffer and then block it, as TCP does.
+	if h.dropping {
+		// Dropped bytes are never acknowledged, so they fill the sender's
+		// buffer until it blocks, as with TCP.
 		return
 	}
 	delay := h.fabric.linkLocked(h.from, h.to).delay
@@ -61,15 +61,17 @@
 	return !time.Now().Before(h.segments[0].readyAt)
 }
 
-// deadline is a read or write deadline with the timer that wakes its waiters.
+// deadline is a read or write deadline and the timer that wakes the goroutines
+// waiting for it.
 type deadline struct {
 	at    time.Time
 	timer *time.Timer
 }
 
-func (d *deadline) passed() bool { return !d.at.IsZero() && !time.Now().Before(d.at) }
+func (d *deadline) expired() bool { return !d.at.IsZero() && !time.Now().Before(d.at) }
 
-// setLocked moves the deadline and wakes whoever waits on half now and then.
+// setLocked sets the deadline and wakes the goroutines that wait on h, now and
+// when the deadline expires.
 func (d *deadline) setLocked(at time.Time, h *half) {
 	if d.timer != nil {
 		d.timer.Stop()
@@ -90,10 +92,10 @@
 	local, remote *net.TCPAddr
 	peer          *conn
 	in, out       *half
-	readBy        deadline
-	writeBy       deadline
+	readDeadline  deadline
+	writeDeadline deadline
 	closed        bool
-	closePending  bool // closed while frozen: the other end is told at Thaw
+	closePending  bool // closed while frozen: the close is sent at Thaw
 	broken        bool // reset by the other end or the link
 }
 
@@ -107,7 +109,7 @@
 		case c.closed:
 			return 0, c.opError("read", net.ErrClosed)
 		case frozen:
-		case c.readBy.passed():
+		case c.readDeadline.expired():
 			return 0, c.opError("read", os.ErrDeadlineExceeded)
 		case len(p) == 0:
 			return 0, nil
@@ -115,7 +117,7 @@
 			if c.in.segments[0].fin {
 				return 0, io.EOF
 			}
-			return c.takeLocked(p), nil
+			return c.readLocked(p), nil
 		case c.broken:
 			return 0, c.opError("read", syscall.ECONNRESET)
 		}
@@ -123,8 +125,8 @@
 	}
 }
 
-// takeLocked moves bytes that have arrived into p.
-func (c *conn) takeLocked(p []byte) int {
+// readLocked copies arrived bytes to p and returns their number.
+func (c *conn) readLocked(p []byte) int {
 	n := 0
 	for n < len(p) && c.in.readyLocked() && !c.in.segments[0].fin {
 		head := &c.in.segments[0]
@@ -154,13 +156,13 @@
 		case frozen:
 		case c.broken, c.otherEndClosedLocked():
 			return written, c.opError("write", syscall.EPIPE)
-		case c.writeBy.passed():
+		case c.writeDeadline.expired():
 			return written, c.opError("write", os.ErrDeadlineExceeded)
 		case written == len(p):
 			return written, nil
 		case space > 0:
 			n := min(space, len(p)-written)
-			c.out.pushLocked(segment{data: append([]byte(nil), p[written:written+n]...)})
+			c.out.sendLocked(segment{data: append([]byte(nil), p[written:written+n]...)})
 			written += n
 			continue
 		}
@@ -168,10 +170,10 @@
 	}
 }
 
-// otherEndClosedLocked reports whether the other end closed and this end
-// could have learned of it.
+// otherEndClosedLocked reports whether the other end closed and the close could
+// have reached this end.
 func (c *conn) otherEndClosedLocked() bool {
-	return c.peer.closed && !c.peer.closePending && !c.in.lost && !c.out.lost
+	return c.peer.closed && !c.peer.closePending && !c.in.dropping && !c.out.dropping
 }
 
 // Close implements net.Conn.
@@ -192,32 +194,34 @@
 	return nil
 }
 
-// finishCloseLocked tells the other end. Bytes it sends from now on meet a
-// reset, unless the way back is lost.
+// finishCloseLocked sends the close to the other end. Bytes that the other end sends
+// afterwards are answered by a reset, unless this direction drops its bytes.
 func (c *conn) finishCloseLocked() {
 	c.closePending = false
 	delete(c.fabric.conns, c)
-	c.out.pushLocked(segment{fin: true})
-	if !c.out.lost && len(c.in.segments) > 0 && !c.in.segments[0].fin {
-		// Unread bytes at close: TCP answers with a reset.
-		c.peer.brokenLocked()
+	c.out.sendLocked(segment{fin: true})
+	if !c.out.dropping && len(c.in.segments) > 0 && !c.in.segments[0].fin {
+		// Like TCP, a close with unread bytes sends a reset.
+		c.peer.breakLocked()
 	}
 }
 
 // resetLocked breaks both ends.
 func (c *conn) resetLocked() {
-	c.brokenLocked()
-	c.peer.brokenLocked()
+	c.breakLocked()
+	c.peer.breakLocked()
 }
 
-// brokenLocked breaks this end. It stays among the fabric's connections until
-// it is closed: if its machine is frozen, Thaw has to wake who waits on it.
-func (c *conn) brokenLocked() {
+// breakLocked breaks this end. It stays in the fabric's connections until it is
+// closed, because Thaw has to wake the goroutines waiting on it if its machine is
+// frozen.
+func (c *conn) breakLocked() {
 	c.broken = true
 	c.in.changed.Broadcast()
 	c.out.changed.Broadcast()
 }
 
+// between reports whether the connection is between machines a and b.
 func (c *conn) between(a, b string) bool {
 	return c.in.from == a && c.in.to == b || c.in.from == b && c.in.to == a
 }
@@ -232,8 +236,8 @@
 func (c *conn) SetDeadline(t time.Time) error {
 	c.fabric.mu.Lock()
 	defer c.fabric.mu.Unlock()
-	c.readBy.setLocked(t, c.in)
-	c.writeBy.setLocked(t, c.out)
+	c.readDeadline.setLocked(t, c.in)
+	c.writeDeadline.setLocked(t, c.out)
 	return nil
 }
 
@@ -241,7 +245,7 @@
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.fabric.mu.Lock()
 	defer c.fabric.mu.Unlock()
-	c.readBy.setLocked(t, c.in)
+	c.readDeadline.setLocked(t, c.in)
 	return nil
 }
 
@@ -249,7 +253,7 @@
 func (c *conn) SetWriteDeadline(t time.Time) error {
 	c.fabric.mu.Lock()
 	defer c.fabric.mu.Unlock()
-	c.writeBy.setLocked(t, c.out)
+	c.writeDeadline.setLocked(t, c.out)
 	return nil
 }
 
@@ -261,7 +265,7 @@
 type listener struct {
 	fabric *Fabric
 	addr   *net.TCPAddr
-	ready  *sync.Cond // on the fabric's mutex
+	ready  *sync.Cond // with the fabric's mutex
 	queue  []*conn
 	closed bool
 }
