--- a/proof/action.go
+++ b/proof/action.go
@@ -11,22 +11,22 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// Action is one step of a sequence. A, B and N choose what it applies to; an
-// action that applies to nothing is skipped and not counted.
+// Action is one step of a sequence. A, B and N select its target; an action
+// without a valid target is skipped and not counted.
 type Action struct {
 	Verb string
-	A, B int // machines, hosts or requests, modulo how many there are
-	N    int // a small number
+	A, B int // indexes of machines, hosts or requests, modulo their number
+	N    int // a small number; its meaning depends on the verb
 }
 
 // String renders the action for reports.
 func (a Action) String() string { return fmt.Sprintf("%s(%d,%d,%d)", a.Verb, a.A, a.B, a.N) }
 
-// verb is how an action is done; it reports whether it applied.
+// verb executes an action and reports whether the action applied.
 type verb func(w *World, a Action) bool
 
-// verbs are all actions. Those that are gentle break nothing: under them
-// every request has to succeed.
+// verbs maps the name of each action to its implementation. See gentleVerbs
+// for those that inject no fault that a caller may notice.
 var verbs = map[string]verb{
 	"narrative":        func(w *World, a Action) bool { return w.newRequest(Narrative, a) },
 	"letter":           func(w *World, a Action) bool { return w.newRequest(Letter, a) },
@@ -65,7 +65,7 @@
 	"wait":             waitABit,
 }
 
-// Do does an action and counts it where it applied.
+// Do executes an action and counts it if it applied.
 func (w *World) Do(a Action, counts *Counts) {
 	if verbs[a.Verb](w, a) {
 		counts.add(a.Verb)
@@ -74,8 +74,8 @@
 
 func (w *World) host(i int) *HostSlot { return w.Hosts[i%len(w.Hosts)] }
 
-// newRequest sends a new request to host A, with a key of host B's home where
-// it needs one.
+// newRequest sends a new request to host A. If the kind requires an
+// idempotency key, the key is prefixed with the home of host B.
 func (w *World) newRequest(kind Kind, a Action) bool {
 	r, err := w.NewRequest(kind, 5+a.N*7, w.host(a.A), w.host(a.B))
 	if err != nil {
@@ -85,14 +85,14 @@
 	return true
 }
 
-// byClient sends a new request by the client library.
+// byClient sends a new request through the client library.
 func (w *World) byClient(kind Kind, a Action) bool {
 	w.sendByClient(kind, a, func(*Request, error) {})
 	return true
 }
 
-// NewRequest prepares a request. Where it needs a key, host ask is asked for
-// the home of host of.
+// NewRequest prepares a request without sending it. If the kind requires a
+// key, NewRequest queries host ask for the home of host of.
 func (w *World) NewRequest(kind Kind, tokens int, ask, of *HostSlot) (*Request, error) {
 	r := &Request{Kind: kind, Tokens: tokens, Body: w.Oracle.newBody()}
 	if kind == Letter || kind == Verdict {
@@ -105,7 +105,8 @@
 	return r, nil
 }
 
-// pick chooses an earlier request that passes.
+// pick returns the n-th earlier request, modulo their number, for which passes
+// returns true; nil if there is none.
 func (w *World) pick(n int, passes func(*Request) bool) *Request {
 	var fitting []*Request
 	for _, r := range w.Oracle.Requests() {
@@ -162,7 +163,7 @@
 	if !host.Running() {
 		return false
 	}
-	host.Kill() // also in the middle of a graceful stop
+	host.Kill() // also during a graceful stop
 	return true
 }
 
@@ -203,7 +204,8 @@
 	return true
 }
 
-// onLink does something to the link between an entry host and any machine.
+// onLink injects a fault into the link between an entry host and any machine.
+// An odd N reverses the direction.
 func (w *World) onLink(a Action, do func(from, to string)) bool {
 	machines := w.Machines()
 	from, to := w.host(a.A).IP, machines[a.B%len(machines)]
@@ -250,7 +252,8 @@
 
 func endDrain(w *World, a Action) bool { return w.drain(w.host(a.A), a.B, true) }
 
-// drain has an operator drain a backend server, or end that, at a host.
+// drain sends an operator request to a host that drains a backend server or
+// ends its drain. It reports whether the host accepted the request.
 func (w *World) drain(at *HostSlot, server int, end bool) bool {
 	addresses := w.backendAddresses()
 	address := addresses[server%len(addresses)]
--- a/proof/attempt.go
+++ b/proof/attempt.go
@@ -18,51 +18,53 @@
 )
 
 const (
-	silenceLimit = 5 * time.Second  // after which a caller calls its connection dead
-	attemptLimit = 75 * time.Second // after which a caller gives up
+	silenceLimit = 5 * time.Second  // without data, after which a caller treats its connection as failed
+	attemptLimit = 75 * time.Second // after which a caller cancels an attempt
 )
 
-// Kind is what a request asks for.
+// Kind is the type of work that a request is for.
 type Kind int
 
 const (
 	Narrative Kind = iota // an idempotent generation
-	Letter                // a generation that may run once
-	Verdict               // an exact call that may run once
-	Reading               // an exact call that is idempotent
+	Letter                // a generation that may run at most once
+	Verdict               // an exact call that may run at most once
+	Reading               // an idempotent exact call
 )
 
-// Request is one piece of work of a caller, however often it is sent.
+// Request is one unit of work of a caller. It may be sent several times; see
+// Attempt.
 type Request struct {
 	Kind   Kind
-	Body   string // unique, so that what ran can be told
+	Body   string // unique, so that runs on backend servers can be matched to the request
 	Tokens int    // length of the generation
-	Key    string // idempotency key, where the kind needs one
-	// byClient says that the client library sends it, with keys of its own.
+	Key    string // idempotency key; empty if the kind requires none
+	// byClient reports whether the client library sends the request, in which
+	// case the library creates the keys.
 	byClient bool
 
 	// The oracle's mutex guards the rest.
 	attempts   []*Attempt
-	generation string // whose tokens its caller has seen
-	lastEvent  string // newest event id that its caller has
-	received   int    // tokens that its caller has, counted from the first
+	generation string // id of the generation from which the caller received tokens
+	lastEvent  string // newest event id that the caller received
+	received   int    // number of tokens that the caller received, from offset 0
 }
 
-// Attempt is one try of a request, at one entry host.
+// Attempt is one transmission of a request to one entry host.
 type Attempt struct {
 	Request *Request
 	Host    string
 	resumed bool
-	from    int // offset of the first token it should bring
+	from    int // expected offset of the first token
 	began   time.Time
-	ranThen int // runs when the attempt began
+	ranThen int // runs of the request when the attempt began
 	cancel  context.CancelFunc
 
 	// The oracle's mutex guards the rest.
 	next    int // offset of the next token
 	ended   bool
-	Outcome contract.Outcome // once ended
-	Reason  contract.Reason  // why it was refused; empty: the connection failed
+	Outcome contract.Outcome // set when ended is true
+	Reason  contract.Reason  // reason of the refusal; empty if the connection failed
 	Took    time.Duration
 	detail  string
 }
@@ -71,18 +73,18 @@
 	return func(ctx context.Context, _, address string) (net.Conn, error) { return n.Dial(ctx, address) }
 }
 
-// Send makes an attempt at a host and returns at once.
+// Send starts an attempt at a host and returns without waiting for its end.
 func (w *World) Send(r *Request, host *HostSlot) *Attempt {
 	return w.launch(&Attempt{Request: r, Host: host.Address()})
 }
 
-// SendChanged sends another request with the key of an earlier one.
+// SendChanged sends a different request with the key of an earlier one.
 func (w *World) SendChanged(r *Request, host *HostSlot) *Attempt {
 	return w.Send(&Request{Kind: r.Kind, Tokens: r.Tokens, Key: r.Key, Body: w.Oracle.newBody()}, host)
 }
 
-// Resume takes a stream up at a host behind the last event that its caller
-// has; nil if there is none.
+// Resume resumes a stream at a host after the last event that the caller
+// received. It returns nil if the caller received no event.
 func (w *World) Resume(r *Request, host *HostSlot) *Attempt {
 	if w.Oracle.lastEvent(r) == "" {
 		return nil
@@ -110,7 +112,8 @@
 // Abandon closes the caller's connection.
 func (a *Attempt) Abandon() { a.cancel() }
 
-// broken stands for a connection that failed: its caller knows nothing.
+// broken returns the result of an attempt whose connection failed. Its outcome
+// is unknown to the caller.
 func broken(err error) *contract.Refusal {
 	return &contract.Refusal{Outcome: contract.OutcomeUnknown, Err: err}
 }
@@ -127,7 +130,8 @@
 	return request, nil
 }
 
-// generate asks for a generation, or for the rest of one, and reads it.
+// generate requests a generation, or resumes one, and reads the stream to its
+// end.
 func (w *World) generate(ctx context.Context, a *Attempt, lastEvent string) *contract.Refusal {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -171,7 +175,7 @@
 // sseEvent is one server-sent event.
 type sseEvent struct{ name, id, data string }
 
-// line adds a line and reports whether it ended the event.
+// line adds one line of the stream and reports whether the event is complete.
 func (e *sseEvent) line(line string) bool {
 	field, value, _ := strings.Cut(line, ": ")
 	switch field {
@@ -185,14 +189,15 @@
 	return line == "" && e.name != ""
 }
 
-// take handles one event and reports whether it is the last.
+// take handles one event. It reports whether the event ends the stream, and
+// returns the refusal of an error event.
 func (w *World) take(a *Attempt, event sseEvent) (bool, *contract.Refusal) {
 	if event.name == relay.EventError {
 		return true, parseProblem([]byte(event.data))
 	}
 	var token relay.TokenEvent
 	if err := json.Unmarshal([]byte(event.data), &token); err != nil {
-		w.Oracle.fail("%s: unreadable event %q", a.Request.Body, event.data)
+		w.Oracle.fail("%s: cannot decode event %q", a.Request.Body, event.data)
 		return true, broken(err)
 	}
 	if event.name == relay.EventEnd {
@@ -204,7 +209,7 @@
 }
 
 // problem reads a refusal. Every refusal has to be a problem document with an
-// outcome; one that is not counts as a fault.
+// outcome and a reason; the oracle records any other as a violation.
 func (w *World) problem(a *Attempt, response *http.Response) *contract.Refusal {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -228,7 +233,7 @@
 	}
 }
 
-// call makes an exact call.
+// call sends an exact call and checks its response.
 func (w *World) call(ctx context.Context, a *Attempt) *contract.Refusal {
 	method, path := http.MethodPost, plain.PathVerdicts
 	if a.Request.Kind == Reading {
@@ -254,8 +259,9 @@
 	return nil
 }
 
-// checkAnswer: a caller gets the whole answer to its own request, which may be
-// the backend server's own error, passed on as it was.
+// checkAnswer checks that a caller received the complete response to its own
+// request. The response may be an error of the backend server, which the entry
+// host has to forward unchanged.
 func (w *World) checkAnswer(a *Attempt, method, path string, status int, body []byte) {
 	want := plain.AnswerText(method, path, a.Request.Body)
 	if status == http.StatusInternalServerError {
@@ -266,8 +272,8 @@
 	}
 }
 
-// Home asks a host for addresses and returns the home of another one, so that
-// keys can be made for it.
+// Home queries host ask for the list of addresses and returns the home of host
+// of, which is the prefix of keys for that host.
 func (w *World) Home(ask, of *HostSlot) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), silenceLimit)
 	defer cancel()
@@ -292,5 +298,5 @@
 			return address.Home, nil
 		}
 	}
-	return "", fmt.Errorf("no home of %s", of.Name)
+	return "", fmt.Errorf("address list contains no home of %s", of.Name)
 }
--- a/proof/counts.go
+++ b/proof/counts.go
@@ -10,8 +10,8 @@
 	"github.com/papayasail/papayasail/contract"
 )
 
-// Counts says how often each action applied and how attempts ended, so that a
-// fuzz that reaches nothing is seen.
+// Counts records how often each action applied and how attempts ended. It
+// reveals fuzz runs in which some actions never apply.
 type Counts struct {
 	mu        sync.Mutex // guards all below
 	sequences int
@@ -19,7 +19,7 @@
 	outcomes  map[contract.Outcome]int
 }
 
-// NewCounts returns counts of zero.
+// NewCounts returns empty counts.
 func NewCounts() *Counts {
 	return &Counts{actions: map[string]int{}, outcomes: map[contract.Outcome]int{}}
 }
@@ -63,7 +63,7 @@
 	return c.actions[name]
 }
 
-// String renders the counts, one action a line.
+// String renders the counts, one action or outcome per line.
 func (c *Counts) String() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/proof/doc.go
+++ b/proof/doc.go
@@ -1,6 +1,7 @@
-// Package proof drives whole entry hosts, with their relay, records, peers and
-// configuration, against the stand-in backend servers over an in-memory
-// network, and checks what callers saw and what ran against a simple oracle.
-// docs/PROOF.md says which promise is shown by which test. Everything here is
-// meant to run inside a testing/synctest bubble, that is, in virtual time.
+// Package proof runs complete entry hosts, with their relay, records, peers and
+// configuration, against simulated backend servers over an in-memory network.
+// A simple oracle checks the responses that callers received and the runs that
+// the backend servers executed. docs/PROOF.md lists the test for each
+// guarantee. All code in this package has to run inside a testing/synctest
+// bubble, that is, in virtual time.
 package proof
--- a/proof/gentle.go
+++ b/proof/gentle.go
@@ -15,16 +15,16 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// gentleVerbs are actions under which every request has to succeed when its
-// caller uses the client library: hosts are stopped gracefully, backend
-// servers drained, and the platform's store comes and goes.
+// gentleVerbs are the actions under which every request sent through the client
+// library has to succeed: graceful restarts of hosts, drains of backend servers
+// and outages of the platform's store.
 var gentleVerbs = []string{
 	"narrative", "letter", "verdict", "reading", "restart host", "drain server", "end drain", "platform out", "platform in", "wait",
 }
 
-// RunGentleSequence plays a sequence of gentle actions with callers that use
-// the client library and returns the promises it found broken. A request that
-// does not succeed is one.
+// RunGentleSequence executes a sequence of gentle actions with callers that use
+// the client library and returns the violations that the oracle found. A
+// request that does not succeed is a violation.
 func RunGentleSequence(actions []Action, counts *Counts) []string {
 	w, err := NewWorld(fleet, entryhost.DefaultPolicy)
 	if err != nil {
@@ -48,10 +48,10 @@
 	if kind, ok := requestKinds[a.Verb]; ok {
 		w.sendByClient(kind, a, func(r *Request, err error) {
 			if err != nil {
-				w.Oracle.fail("%s: failed although nothing was broken: %v", r.Body, err)
+				w.Oracle.fail("%s: failed although no fault was injected: %v", r.Body, err)
 			}
 			if ran := w.runs(r.Body); ran != 1 {
-				w.Oracle.fail("%s: ran %d times although nothing was broken", r.Body, ran)
+				w.Oracle.fail("%s: ran %d times although no fault was injected, want 1", r.Body, ran)
 			}
 		})
 		return true
@@ -60,7 +60,8 @@
 	case "restart host":
 		return w.upHosts() > 1 && restartHost(w, a)
 	case "drain server", "end drain":
-		// One engine and one plain service always stay.
+		// Only the first engine and the first plain service are ever drained, so
+		// one of each always accepts new work.
 		return w.drain(w.host(a.A), a.B%2*engines, a.Verb == "end drain")
 	case "platform out":
 		w.Store.SetFaults(store.Faults{Outage: true})
@@ -79,8 +80,8 @@
 	return up
 }
 
-// sendByClient sends a new request by the client library and returns at once.
-// check is called when it has ended.
+// sendByClient sends a new request through the client library and returns
+// without waiting for its end. It calls check when the request has ended.
 func (w *World) sendByClient(kind Kind, a Action, check func(*Request, error)) {
 	attempt := &Attempt{Request: &Request{Kind: kind, Tokens: 5 + a.N*7, Body: w.Oracle.newBody(), byClient: true}}
 	w.Oracle.begin(attempt)
--- a/proof/oracle.go
+++ b/proof/oracle.go
@@ -11,13 +11,14 @@
 	"github.com/papayasail/papayasail/relay"
 )
 
-// Oracle says what must hold, in one page. For each request it knows which
-// tokens its caller has and how each attempt ended; for what ran it asks the
-// backend servers themselves. It knows nothing of how entry hosts work.
+// Oracle checks the invariants of the system. For each request it records the
+// tokens that the caller received and how each attempt ended; it reads the runs
+// from the backend servers. It does not depend on the implementation of entry
+// hosts.
 type Oracle struct {
 	world *World
 
-	mu       sync.Mutex // guards all below, and Request and Attempt where they say so
+	mu       sync.Mutex // guards all below, and the fields of Request and Attempt that name it
 	requests []*Request
 	bodies   int
 	faults   []string
@@ -28,7 +29,8 @@
 	return &Oracle{world: w, outcomes: map[contract.Outcome]int{}}
 }
 
-// begin notes that an attempt starts and returns the last event id its caller has.
+// begin records the start of an attempt and returns the id of the last event
+// that the caller received.
 func (o *Oracle) begin(a *Attempt) string {
 	ran := o.world.runs(a.Request.Body)
 	o.mu.Lock()
@@ -46,7 +48,8 @@
 	return r.lastEvent
 }
 
-// token: tokens come in order, without gap, and from one generation only.
+// token records a received token and checks that tokens arrive in order,
+// without gaps and from one generation only.
 func (o *Oracle) token(a *Attempt, id string, token relay.TokenEvent) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -57,11 +60,11 @@
 	}
 	switch {
 	case token.Index != a.next:
-		o.faultf("%s: token %d where %d comes next", a.Request.Body, token.Index, a.next)
+		o.faultf("%s: received token %d, want token %d", a.Request.Body, token.Index, a.next)
 	case generation != r.generation:
-		o.faultf("%s: token of generation %s behind one of %s", a.Request.Body, generation, r.generation)
+		o.faultf("%s: received a token of generation %s after one of generation %s", a.Request.Body, generation, r.generation)
 	case token.Text != engine.TokenText(generation, token.Index):
-		o.faultf("%s: token %d has the text %q", a.Request.Body, token.Index, token.Text)
+		o.faultf("%s: token %d has the wrong text %q", a.Request.Body, token.Index, token.Text)
 	case id == "":
 		o.faultf("%s: token %d has no event id", a.Request.Body, token.Index)
 	}
@@ -71,20 +74,22 @@
 	}
 }
 
-// whole: the end event counts all tokens, and the generation ended by itself.
+// whole checks that the end event counts all received tokens and that a
+// generation that finished with "stop" has the requested length.
 func (o *Oracle) whole(a *Attempt, end relay.TokenEvent) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if end.Tokens != a.next {
-		o.faultf("%s: end event counts %d tokens, %d came", a.Request.Body, end.Tokens, a.next)
+		o.faultf("%s: end event counts %d tokens, caller received %d", a.Request.Body, end.Tokens, a.next)
 	}
 	if end.FinishReason == "stop" && end.Tokens != a.Request.Tokens {
 		o.faultf("%s: ended after %d of %d tokens", a.Request.Body, end.Tokens, a.Request.Tokens)
 	}
 }
 
-// end: "not run" is true. What had run before the attempt began cannot be
-// called not run, whoever else asks.
+// end records how an attempt ended and checks that an outcome of "not run" is
+// correct: the request must not have run before the attempt began, and the
+// attempt must not have received tokens.
 func (o *Oracle) end(a *Attempt, refusal *contract.Refusal) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -94,14 +99,15 @@
 	}
 	o.outcomes[a.Outcome]++
 	if a.Outcome == contract.OutcomeNotRun && !a.resumed && a.ranThen > 0 {
-		o.faultf("%s: told not run (%s) although it had run", a.Request.Body, a.Reason)
+		o.faultf("%s: outcome not run (%s) although the request ran before the attempt", a.Request.Body, a.Reason)
 	}
 	if a.Outcome == contract.OutcomeNotRun && a.next > a.from {
-		o.faultf("%s: told not run (%s) after %d tokens", a.Request.Body, a.Reason, a.next-a.from)
+		o.faultf("%s: outcome not run (%s) after %d tokens", a.Request.Body, a.Reason, a.next-a.from)
 	}
 }
 
-// Check looks at all that happened. Call it when every attempt has ended.
+// Check checks the invariants over all requests and returns every violation
+// found so far. Call it after every attempt has ended.
 func (o *Oracle) Check() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -112,8 +118,9 @@
 	return append([]string(nil), o.faults...)
 }
 
-// checkRuns: work that is not idempotent runs at most once; what was refused
-// as not run each time did not run; what was done ran.
+// checkRuns checks that work that is not idempotent ran at most once, that a
+// request did not run if all its attempts ended as "not run", and that a request
+// ran if one of its attempts ended as "done".
 func (o *Oracle) checkRuns(r *Request) {
 	runs, done, mayHaveRun := o.world.runs(r.Body), false, false
 	for _, a := range r.attempts {
@@ -124,13 +131,13 @@
 	case runs > 1 && (r.Kind == Letter || r.Kind == Verdict):
 		o.faultf("%s: ran %d times", r.Body, runs)
 	case runs > 0 && !mayHaveRun:
-		o.faultf("%s: ran, but every answer said not run", r.Body)
+		o.faultf("%s: ran, but the outcome of every attempt is not run", r.Body)
 	case runs == 0 && done:
-		o.faultf("%s: done, but nothing ran", r.Body)
+		o.faultf("%s: outcome done, but the request did not run", r.Body)
 	}
 }
 
-// checkKeys: one key runs one request, whatever else is sent with it.
+// checkKeys checks that at most one of the requests sent with the same key ran.
 func (o *Oracle) checkKeys() {
 	ran := map[string]string{}
 	for _, r := range o.requests {
@@ -138,7 +145,7 @@
 			continue
 		}
 		if other := ran[r.Key]; other != "" {
-			o.faultf("%s: its key ran %s too", r.Body, other)
+			o.faultf("%s: ran, but %s ran with the same key", r.Body, other)
 		}
 		ran[r.Key] = r.Body
 	}
@@ -150,7 +157,7 @@
 	o.faultf(format, args...)
 }
 
-// faultf notes a broken promise. Callers hold mu.
+// faultf records a violated invariant. The caller must hold mu.
 func (o *Oracle) faultf(format string, args ...any) {
 	o.faults = append(o.faults, fmt.Sprintf(format, args...))
 }
@@ -161,7 +168,7 @@
 	return r.lastEvent
 }
 
-// newBody returns a text that no other request has.
+// newBody returns a request body that is unique in this world.
 func (o *Oracle) newBody() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -169,7 +176,8 @@
 	return fmt.Sprintf("request-%d", o.bodies)
 }
 
-// running returns an attempt that still runs; nil: none does.
+// running returns the n-th attempt that has not ended, modulo their number; nil
+// if all have ended.
 func (o *Oracle) running(n int) *Attempt {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -193,21 +201,21 @@
 	return r.received
 }
 
-// Requests returns all requests, in order of their first attempt.
+// Requests returns all requests, ordered by their first attempt.
 func (o *Oracle) Requests() []*Request {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return append([]*Request(nil), o.requests...)
 }
 
-// Ended returns how an attempt ended; false: it still runs.
+// Ended returns how an attempt ended, and false if it has not ended.
 func (o *Oracle) Ended(a *Attempt) (contract.Outcome, contract.Reason, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return a.Outcome, a.Reason, a.ended
 }
 
-// runs counts how often a body ran, on all backend servers together.
+// runs returns how often the request with this body ran on all backend servers.
 func (w *World) runs(body string) int {
 	count := 0
 	for _, slot := range w.Models {
--- a/proof/page_test.go
+++ b/proof/page_test.go
@@ -17,9 +17,8 @@
 	tableLine    = regexp.MustCompile(`^\| `)
 )
 
-// docs/PROOF.md promises more than the tests show if it names one that was
-// renamed or dropped. Each test, fuzz target and scenario it names must exist,
-// and each line of its tables must name one.
+// Guards against entries of docs/PROOF.md whose test was renamed or removed: each
+// named test, fuzz target and scenario must exist, and each table row names one.
 func TestProofPageNamesExistingTests(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../docs/PROOF.md")
@@ -30,22 +29,22 @@
 		scenarios := scenarioName.FindAllStringSubmatch(line, -1)
 		for _, name := range names {
 			if !strings.Contains(tests, "func "+name[1]+"(") {
-				t.Errorf("no test %s", name[1])
+				t.Errorf("test %s does not exist", name[1])
 			}
 		}
 		for _, name := range scenarios {
 			if _, err := os.Stat(filepath.Join("testdata/scenarios", name[1])); err != nil {
-				t.Errorf("no scenario %s", name[1])
+				t.Errorf("scenario %s does not exist", name[1])
 			}
 		}
 		header := strings.Contains(line, "---") || strings.Contains(line, "| shown by |") || strings.Contains(line, "| went red |")
 		if tableLine.MatchString(line) && !header && len(names)+len(scenarios) == 0 {
-			t.Errorf("line names no test: %s", line)
+			t.Errorf("table row names no test: %s", line)
 		}
 	}
 }
 
-// allTests returns the text of all test files.
+// allTests returns the concatenated source of all test files.
 func allTests(t *testing.T) string {
 	var all strings.Builder
 	err := filepath.WalkDir("..", func(path string, _ fs.DirEntry, err error) error {
--- a/proof/proof_test.go
+++ b/proof/proof_test.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	ciSeed      = "20260101" // fixed, so that CI never varies
+	ciSeed      = "20260101" // fixed, so that CI runs are reproducible
 	ciSequences = "1000"
-	shards      = 4 // sequences of one test run side by side
-	gentleShare = 4 // one gentle sequence for so many with faults
+	shards      = 4 // sequences of one test that run concurrently
+	gentleShare = 4 // number of sequences with faults per gentle sequence
 )
 
-// TestMain fixes seed and number of sequences unless flags name others, as
-// `make fuzz` does.
+// TestMain sets the default seed and number of sequences; flags override them,
+// as in `make fuzz`.
 func TestMain(m *testing.M) {
-	debug.SetGCPercent(400) // short-lived worlds: time goes to collecting otherwise
+	debug.SetGCPercent(400) // worlds are short-lived; the default spends most of the time in garbage collection
 	rapidtest.Main(m, rapidtest.Flags{"seed": ciSeed, "checks": ciSequences, "nofailfile": "true", "shrinktime": "60s"})
 }
 
 // uniform generates a number from 0 to n-1. rapid's own generators of numbers
-// and choices prefer small ones, by which rare actions would hardly be reached.
+// and choices prefer small values and would rarely select the last actions.
 func uniform(n int) *rapid.Generator[int] {
 	return rapid.Custom(func(t *rapid.T) int {
 		drawn := 0
@@ -50,10 +50,10 @@
 	moreSteps   = 26
 )
 
-// actionsOf generates sequences of some verbs. Requests are more frequent than
-// faults, and waits let both take effect.
+// actionsOf generates sequences of the named verbs. Requests are more frequent
+// than faults, and waits let both take effect.
 func actionsOf(names []string) *rapid.Generator[[]Action] {
-	weighted := []string{"wait"} // first, since shorter sequences are looked for there
+	weighted := []string{"wait"} // first, because rapid shrinks towards the first choice
 	for _, frequent := range []string{"wait", "wait", "narrative", "narrative", "letter", "letter", "verdict", "verdict", "reading", "repeat elsewhere", "resume elsewhere", "thaw host", "start host"} {
 		if slices.Contains(names, frequent) {
 			weighted = append(weighted, frequent)
@@ -73,9 +73,10 @@
 	})
 }
 
-// runSharded checks sequences, a part of them in each of several shards at
-// once. All shards draw the same sequences from the same seed, and each runs
-// shards-th one, or of a smaller share of them every stride-th one.
+// runSharded checks sequences in several shards that run concurrently. All
+// shards draw the same sequences from the same seed, and each runs every
+// stride-th one, starting at a different offset. A stride equal to shards runs
+// all sequences; a larger one runs fewer.
 func runSharded(t *testing.T, stride int, sequences *rapid.Generator[[]Action], play func([]Action, *Counts) []string) *Counts {
 	counts := NewCounts()
 	t.Run("shards", func(t *testing.T) {
@@ -87,13 +88,13 @@
 					actions := sequences.Draw(rt, "actions")
 					turn++
 					if turn%stride != 0 && !failing {
-						return // another shard's
+						return // another shard's sequence, or skipped
 					}
 					var broken []string
 					defer tellOfBlocked(t)
 					synctest.Test(t, func(*testing.T) { broken = play(actions, counts) })
 					if len(broken) > 0 {
-						failing = true // from here on rapid looks for a shorter sequence
+						failing = true // rapid shrinks from here on, so every sequence has to run
 						rt.Fatalf("%s", strings.Join(broken, "\n"))
 					}
 				})
@@ -103,8 +104,8 @@
 	return counts
 }
 
-// tellOfBlocked prints the goroutines of a world that outlived it, without
-// which the panic about them tells nothing.
+// tellOfBlocked logs the stacks of goroutines that are still blocked in the
+// bubble when synctest panics with a deadlock; the panic does not include them.
 func tellOfBlocked(t *testing.T) {
 	cause := recover()
 	if cause == nil {
@@ -121,29 +122,25 @@
 	panic(cause)
 }
 
-// Whatever order requests, repeats and faults come in, no caller may see a
-// token twice, out of order or from another generation, no letter or verdict
-// may run twice, and "not run" must be true. After all faults have ended every
-// host must serve again.
+// Guards against duplicate, reordered or foreign tokens, double runs of letters and verdicts,
+// wrong "not run" outcomes, and hosts that do not recover, under any order of requests and faults.
 func TestOracleUnderFaults(t *testing.T) {
 	names := slices.Sorted(maps.Keys(verbs))
 	counts := runSharded(t, shards, actionsOf(names), RunSequence)
-	t.Logf("reached:\n%s", counts)
+	t.Logf("actions that applied:\n%s", counts)
 	if missing := counts.Missing(); len(missing) > 0 {
-		t.Errorf("never reached: %s", strings.Join(missing, ", "))
+		t.Errorf("actions that never applied: %s", strings.Join(missing, ", "))
 	}
 }
 
-// Hosts are restarted gracefully, one, two or all one after the other, backend
-// servers are drained and the store comes and goes, all under load. Callers
-// that use the client library may notice nothing: every request succeeds and
-// runs exactly once.
+// Guards against requests lost or run twice under load during graceful restarts, drains and
+// store outages: every request sent through the client library must succeed and run exactly once.
 func TestGentleSequencesLoseNothing(t *testing.T) {
 	counts := runSharded(t, gentleShare*shards, actionsOf(gentleVerbs), RunGentleSequence)
-	t.Logf("reached:\n%s", counts)
+	t.Logf("actions that applied:\n%s", counts)
 	for _, name := range gentleVerbs {
 		if counts.Reached(name) == 0 {
-			t.Errorf("never reached: %s", name)
+			t.Errorf("action never applied: %s", name)
 		}
 	}
 }
--- a/proof/rolling_test.go
+++ b/proof/rolling_test.go
@@ -10,9 +10,8 @@
 	"github.com/papayasail/papayasail/entryhost"
 )
 
-// All seven hosts of a site are restarted one after the other, the next as
-// soon as the one before serves again, while letters, narratives and verdicts
-// go on. No caller may notice: every request is done and ran once.
+// Guards against requests lost or run twice while seven hosts restart one after the other,
+// each as soon as the previous one serves again, under continuous load.
 func TestRollingRestartOfSeven(t *testing.T) {
 	const site = 7
 	synctest.Test(t, func(t *testing.T) {
--- a/proof/scenario_test.go
+++ b/proof/scenario_test.go
@@ -7,14 +7,13 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// Each file under testdata/scenarios is the report of one incident: what goes
-// wrong in which order, and what every caller may see of it. See Script for
-// the language.
-// scenarioPolicy places as long as an engine has room in its batch. The
-// scenarios are about outcomes; the forecast, which has learned no lengths
-// yet, would refuse some of their bursts at engines of 400 tokens.
+// scenarioPolicy places requests as long as an engine has room in its batch.
+// The scenarios test outcomes; the forecast policy has no length statistics at
+// this point and would refuse some of the bursts at engines of 400 tokens.
 const scenarioPolicy = "least_in_flight"
 
+// Each file under testdata/scenarios describes one incident: a sequence of
+// faults and the result that each caller must receive. See Script for the syntax.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata/scenarios", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
--- a/proof/script.go
+++ b/proof/script.go
@@ -14,30 +14,30 @@
 
 const pollEvery = 10 * time.Millisecond // virtual
 
-// Script plays a scenario, one step a line, in a world of its own. The steps:
+// Script executes a scenario in its own world, one step per line. The steps:
 //
 //	narrative NAME tokens=N at HOST            send a request; letter, verdict and
 //	letter NAME tokens=N at HOST home HOST     reading likewise. The key of a
-//	verdict NAME at HOST home HOST             letter or verdict is made for the
-//	reading NAME at HOST                       home that is named
-//	prepare KIND NAME ... at HOST home HOST    make a request and its key, and send nothing
-//	repeat NAME at HOST                        send it, with the same key each time
-//	reuse NAME as OTHER at HOST                send another request with its key
-//	resume NAME at HOST                        take the stream up by Last-Event-ID
-//	abandon NAME                               its caller closes the connections
-//	wait 2s | await                            for a time, or until all has ended
+//	verdict NAME at HOST home HOST             letter or verdict is created for
+//	reading NAME at HOST                       the named home
+//	prepare KIND NAME ... at HOST home HOST    create a request and its key without sending it
+//	repeat NAME at HOST                        send the request with the same key
+//	reuse NAME as OTHER at HOST                send a different request with the same key
+//	resume NAME at HOST                        resume the stream with Last-Event-ID
+//	abandon NAME                               close the caller's connections
+//	wait 2s | await                            wait for a duration, or until all attempts have ended
 //	until NAME has N tokens | until NAME runs  wait for progress
-//	kill M | start M | freeze M | thaw M       a machine's process
-//	stop HOST | restart HOST                   gracefully
-//	cut M M | silence M M | stall M M | heal   links
-//	silence-open M M                           only connections that are open
-//	cross M N | cross-chunks M | skip M        spoil an engine's next answers
-//	spoil M MODE                               spoil a plain service's next call
-//	pause M | unpause M                        an engine's steps
-//	drain M at HOST | leave M | reclaim M 5s   a backend server that leaves
-//	store out | store in                       the platform's store
-//	mark | new work on M                       count what starts on M after mark
-//	quick NAME 2s                              its last attempt ended within
+//	kill M | start M | freeze M | thaw M       act on the process of a machine
+//	stop HOST | restart HOST                   stop or restart gracefully
+//	cut M M | silence M M | stall M M | heal   inject link faults, or end them
+//	silence-open M M                           silence the open connections only
+//	cross M N | cross-chunks M | skip M        corrupt an engine's next responses
+//	spoil M MODE                               make a plain service's next call fail
+//	pause M | unpause M                        pause or continue an engine's steps
+//	drain M at HOST | leave M | reclaim M 5s   make a backend server drain or leave
+//	store out | store in                       start or end an outage of the platform's store
+//	mark | new work on M                       count the work that starts on M after mark
+//	quick NAME 2s                              check that the last attempt ended within 2s
 //
 // A machine M is named host-1, engine-1, plain-1, caller, or "server-of NAME"
 // for the backend server that runs a request.
@@ -45,14 +45,14 @@
 	world    *World
 	requests map[string]*Request
 	names    []string
-	marked   map[string]int // what was sent to each server by then
+	marked   map[string]int // requests sent to each server before the mark
 	account  strings.Builder
 }
 
-// NewScript returns a script that plays in a world.
+// NewScript returns a script that runs in world w.
 func NewScript(w *World) *Script { return &Script{world: w, requests: map[string]*Request{}} }
 
-// Play plays the steps and returns what became of each request.
+// Play executes the steps and returns the results of all requests.
 func (s *Script) Play(steps string) string {
 	for _, line := range strings.Split(strings.TrimSpace(steps), "\n") {
 		if err := s.step(strings.Fields(line)); err != nil {
@@ -64,7 +64,8 @@
 	return s.account.String()
 }
 
-// report tells of each request how its attempts ended and how often it ran.
+// report writes, for each request, how its attempts ended and how often it ran,
+// followed by the violations that the oracle found.
 func (s *Script) report() {
 	broken := s.world.Oracle.Check()
 	for _, name := range s.names {
@@ -76,7 +77,7 @@
 		fmt.Fprintf(&s.account, "%s: %s; ran %s\n", name, strings.Join(ends, ", "), times(s.world.runs(r.Body)))
 	}
 	for _, fault := range broken {
-		fmt.Fprintf(&s.account, "BROKEN PROMISE: %s\n", fault)
+		fmt.Fprintf(&s.account, "INVARIANT VIOLATED: %s\n", fault)
 	}
 }
 
@@ -90,7 +91,8 @@
 	return strconv.Itoa(n) + " times"
 }
 
-// end says how an attempt ended. Call it when it has.
+// end returns a description of how the attempt ended. Call it after the end of
+// the attempt.
 func (a *Attempt) end() string {
 	switch {
 	case a.Outcome == contract.OutcomeDone && a.from > 0:
@@ -112,7 +114,7 @@
 	return address
 }
 
-// step plays one line.
+// step executes one line.
 func (s *Script) step(words []string) error {
 	words, err := s.resolve(words)
 	if err != nil {
@@ -123,10 +125,10 @@
 			return err
 		}
 	}
-	return fmt.Errorf("no such step")
+	return fmt.Errorf("unknown step")
 }
 
-// resolve replaces "server-of NAME" by the machine that runs the request.
+// resolve replaces "server-of NAME" with the machine that runs the request.
 func (s *Script) resolve(words []string) ([]string, error) {
 	at := slices.Index(words, "server-of")
 	if at < 0 {
@@ -134,7 +136,7 @@
 	}
 	server := s.serverOf(s.requests[words[at+1]])
 	if server == "" {
-		return nil, fmt.Errorf("it runs nowhere")
+		return nil, fmt.Errorf("no backend server runs the request")
 	}
 	return slices.Replace(slices.Clone(words), at, at+2, server), nil
 }
@@ -153,7 +155,7 @@
 	return ""
 }
 
-// after returns the word behind a keyword, or "".
+// after returns the word that follows a keyword, or "" if there is none.
 func after(words []string, keyword string) string {
 	if at := slices.Index(words, keyword); at >= 0 && at+1 < len(words) {
 		return words[at+1]
@@ -222,7 +224,7 @@
 		s.add(after(words, "as"), a.Request)
 	case "resume":
 		if s.world.Resume(s.requests[words[1]], at) == nil {
-			return true, fmt.Errorf("no token came yet")
+			return true, fmt.Errorf("no token received yet")
 		}
 	case "abandon":
 		for _, a := range s.requests[words[1]].attempts {
@@ -289,7 +291,7 @@
 	return err
 }
 
-// until waits for a request's progress, for a minute at most.
+// until waits for the progress of a request, for at most one minute.
 func (s *Script) until(words []string) error {
 	r := s.requests[words[1]]
 	want := 0
@@ -302,16 +304,16 @@
 		}
 		time.Sleep(pollEvery)
 	}
-	return fmt.Errorf("it never came to that")
+	return fmt.Errorf("condition not reached within a minute")
 }
 
-// newWork tells how much was sent to a server since the mark, whether it took
-// it or not.
+// newWork writes the number of requests sent to a server since the mark,
+// accepted or not.
 func (s *Script) newWork(name string) {
 	fmt.Fprintf(&s.account, "new work there: %d\n", s.workOn(name)-s.marked[name])
 }
 
-// workOn counts what was sent to a server so far.
+// workOn returns the number of requests sent to a server so far.
 func (s *Script) workOn(name string) int {
 	if e := s.engine(name); e != nil {
 		counters := e.Engine().Counters()
@@ -323,7 +325,7 @@
 	return 0
 }
 
-// mark remembers what was sent to each server so far.
+// mark records the number of requests sent to each server so far.
 func (s *Script) mark() {
 	s.marked = map[string]int{}
 	for _, slot := range s.world.Models {
--- a/proof/sequence.go
+++ b/proof/sequence.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	fleet        = 3                // entry hosts of a sequence's world
-	settleTime   = 10 * time.Second // after Mend, until the fleet is expected to work
-	recoverLimit = 60 * time.Second // after settleTime, until it must
+	fleet        = 3                // number of entry hosts in the world of a sequence
+	settleTime   = 10 * time.Second // wait after Mend before the recovery check
+	recoverLimit = 60 * time.Second // deadline of the recovery check, per host and kind
 )
 
-// RunSequence plays a sequence of actions in a fresh world and returns the
-// promises it found broken. It has to run in a synctest bubble.
+// RunSequence executes a sequence of actions in a new world and returns the
+// violations that the oracle found. It has to run in a synctest bubble.
 func RunSequence(actions []Action, counts *Counts) []string {
 	w, err := NewWorld(fleet, entryhost.DefaultPolicy)
 	if err != nil {
-		return []string{fmt.Sprintf("the world does not start: %v", err)}
+		return []string{fmt.Sprintf("world does not start: %v", err)}
 	}
 	for _, action := range actions {
 		w.Do(action, counts)
 	}
 	if err := w.Mend(); err != nil {
-		w.Oracle.fail("the world does not mend: %v", err)
+		w.Oracle.fail("faults cannot be ended: %v", err)
 	}
 	w.Await()
 	time.Sleep(settleTime)
@@ -37,7 +37,8 @@
 	return faults
 }
 
-// recovers checks that every kind of work succeeds again at each host.
+// recovers ends all drains and checks that every kind of work succeeds again at
+// each host.
 func (w *World) recovers() {
 	for _, address := range w.backendAddresses() {
 		w.endDrainSurely(address)
@@ -45,7 +46,7 @@
 	for _, host := range w.Hosts {
 		for _, kind := range []Kind{Narrative, Letter, Verdict, Reading} {
 			if reason := w.succeeds(kind, host); reason != "" {
-				w.Oracle.fail("%s serves nothing of kind %d after all faults ended: %s", host.Name, kind, reason)
+				w.Oracle.fail("%s serves no requests of kind %d after all faults ended: %s", host.Name, kind, reason)
 			}
 		}
 	}
@@ -59,8 +60,8 @@
 	}
 }
 
-// succeeds tries new requests until one succeeds; else it says why the last
-// one did not.
+// succeeds sends new requests until one succeeds and returns "". After
+// recoverLimit it returns why the last one failed.
 func (w *World) succeeds(kind Kind, host *HostSlot) string {
 	reason := ""
 	for until := time.Now().Add(recoverLimit); time.Now().Before(until); time.Sleep(time.Second) {
--- a/proof/slot.go
+++ b/proof/slot.go
@@ -16,8 +16,9 @@
 	"github.com/papayasail/papayasail/settings"
 )
 
-// lifeNetwork is the network of one process. A killed process's goroutines
-// still run in the test's process; they must reach nobody any more.
+// lifeNetwork is the network of one incarnation of an entry host. The goroutines
+// of a killed incarnation still run in the test process, but must not reach
+// another machine.
 type lifeNetwork struct {
 	link.Network
 	dead atomic.Bool
@@ -36,28 +37,28 @@
 	return conn, err
 }
 
-// HostSlot is a machine on which lives of one entry host follow each other.
+// HostSlot is a machine that runs incarnations of one entry host, one at a time.
 type HostSlot struct {
 	world *World
 	Name  string
 	IP    string
 
 	mu     sync.Mutex // guards all below
-	life   *hostLife  // nil: none runs
-	lives  int        // processes started so far
+	life   *hostLife  // nil if none runs
+	lives  int        // number of incarnations started so far
 	frozen bool
 }
 
-// hostLife is one process of an entry host.
+// hostLife is one incarnation of an entry host.
 type hostLife struct {
 	host    *entryhost.Host
 	network *lifeNetwork
 	cancel  context.CancelFunc
-	ended   chan struct{} // closed when the process has ended
-	leaving bool          // a graceful stop began
+	ended   chan struct{} // closed when the incarnation has ended
+	leaving bool          // a graceful stop has begun
 }
 
-// Address is where callers connect.
+// Address returns the address to which callers connect.
 func (s *HostSlot) Address() string { return fmt.Sprintf("%s:%d", s.IP, callerPort) }
 
 func (s *HostSlot) settings() (*settings.Settings, error) {
@@ -82,9 +83,9 @@
 	return settings.Parse(s.Name, []byte(text))
 }
 
-// Start starts the host unless it runs.
+// Start starts the host unless it is running.
 func (s *HostSlot) Start() error {
-	time.Sleep(time.Millisecond) // incarnations follow the clock
+	time.Sleep(time.Millisecond) // incarnation numbers are derived from the clock and must differ
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.life != nil {
@@ -109,7 +110,7 @@
 
 func (s *HostSlot) run(ctx context.Context, life *hostLife) {
 	defer close(life.ended)
-	_ = life.host.Run(ctx) // how it ends is up to the faults
+	_ = life.host.Run(ctx) // may fail as a result of injected faults
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.life == life {
@@ -117,7 +118,8 @@
 	}
 }
 
-// Kill ends the process as SIGKILL does.
+// Kill ends the incarnation without a graceful stop, like SIGKILL, and waits
+// for its end.
 func (s *HostSlot) Kill() {
 	s.mu.Lock()
 	life := s.life
@@ -132,7 +134,7 @@
 	<-life.ended
 }
 
-// Freeze stops the machine's network as SIGSTOP stops a process.
+// Freeze stops the network of the machine, which simulates SIGSTOP of the process.
 func (s *HostSlot) Freeze() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,10 +152,11 @@
 	s.world.Fabric.Thaw(s.IP)
 }
 
-// Restart stops the host gracefully and starts it again. It returns at once.
+// Restart stops the host gracefully and starts it again. It returns without
+// waiting for either.
 func (s *HostSlot) Restart() { s.stop(true) }
 
-// Stop stops the host gracefully. It returns at once.
+// Stop stops the host gracefully. It returns without waiting for its end.
 func (s *HostSlot) Stop() { s.stop(false) }
 
 func (s *HostSlot) stop(again bool) {
@@ -168,10 +171,10 @@
 	s.world.callers.Go(func() {
 		ctx, stop := context.WithTimeout(context.Background(), stopBound)
 		defer stop()
-		_ = life.host.Stop(ctx) // a kill in between is no error here
+		_ = life.host.Stop(ctx) // a kill during the stop is not an error here
 		<-life.ended
 		if again {
-			_ = s.Start() // an address still taken shows as a host that stays down
+			_ = s.Start() // an address that is still in use shows up as a host that stays down
 		}
 	})
 }
@@ -186,14 +189,15 @@
 	}
 }
 
-// Up reports whether the host runs, is not frozen and not stopping.
+// Up reports whether the host is running, not frozen and not stopping.
 func (s *HostSlot) Up() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.life != nil && !s.frozen && !s.life.leaving
 }
 
-// Running reports whether a process runs, in whatever state.
+// Running reports whether an incarnation is running, including one that is
+// frozen or stopping.
 func (s *HostSlot) Running() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -207,7 +211,7 @@
 	return s.frozen
 }
 
-// EngineSlot is a machine on which engines follow each other.
+// EngineSlot is a machine that runs incarnations of one engine, one at a time.
 type EngineSlot struct {
 	world *World
 	Name  string
@@ -218,10 +222,10 @@
 	lives []*engine.Engine
 }
 
-// Address is where the engine listens.
+// Address returns the address on which the engine listens.
 func (s *EngineSlot) Address() string { return fmt.Sprintf("%s:%d", s.IP, backendPort) }
 
-// Start starts a new engine with empty memory.
+// Start starts a new incarnation of the engine, without generations.
 func (s *EngineSlot) Start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -236,27 +240,28 @@
 	return nil
 }
 
-// Engine returns the engine that runs or ran last.
+// Engine returns the newest incarnation of the engine, running or not.
 func (s *EngineSlot) Engine() *engine.Engine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.now
 }
 
-// Lives returns all engines that ran here.
+// Lives returns all incarnations of the engine, oldest first.
 func (s *EngineSlot) Lives() []*engine.Engine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*engine.Engine(nil), s.lives...)
 }
 
-// Kill ends the engine; its generations are lost.
+// Kill ends the engine without a graceful stop; its generations are lost.
 func (s *EngineSlot) Kill() {
 	s.Engine().Close()
 	s.world.Fabric.Kill(s.IP)
 }
 
-// Revive starts a new engine if the last one is gone, and ends its faults.
+// Revive ends the faults of the engine; it starts a new incarnation if the last
+// one is closed or leaving.
 func (s *EngineSlot) Revive() error {
 	s.world.Fabric.Thaw(s.IP)
 	e := s.Engine()
@@ -271,7 +276,8 @@
 	return nil
 }
 
-// PlainSlot is a machine on which plain services follow each other.
+// PlainSlot is a machine that runs incarnations of one plain service, one at a
+// time.
 type PlainSlot struct {
 	world *World
 	Name  string
@@ -282,10 +288,10 @@
 	lives []*plain.Service
 }
 
-// Address is where the service listens.
+// Address returns the address on which the service listens.
 func (s *PlainSlot) Address() string { return fmt.Sprintf("%s:%d", s.IP, backendPort) }
 
-// Start starts a new service.
+// Start starts a new incarnation of the service.
 func (s *PlainSlot) Start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -299,27 +305,28 @@
 	return nil
 }
 
-// Service returns the service that runs or ran last.
+// Service returns the newest incarnation of the service, running or not.
 func (s *PlainSlot) Service() *plain.Service {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.now
 }
 
-// Lives returns all services that ran here.
+// Lives returns all incarnations of the service, oldest first.
 func (s *PlainSlot) Lives() []*plain.Service {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*plain.Service(nil), s.lives...)
 }
 
-// Kill ends the service.
+// Kill ends the service without a graceful stop.
 func (s *PlainSlot) Kill() {
 	s.Service().Close()
 	s.world.Fabric.Kill(s.IP)
 }
 
-// Revive starts a new service if the last one is gone, and ends its faults.
+// Revive ends the faults of the service; it starts a new incarnation if the
+// last one is closed.
 func (s *PlainSlot) Revive() error {
 	s.world.Fabric.Thaw(s.IP)
 	if s.Service().Closed() {
--- a/proof/world.go
+++ b/proof/world.go
@@ -18,16 +18,16 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// Services of the world.
+// Names of the services in every world.
 const (
-	ServiceNarratives = "outlook" // generations that are idempotent
-	ServiceLetters    = "letters" // generations that are not
+	ServiceNarratives = "outlook" // idempotent generations
+	ServiceLetters    = "letters" // generations that are not idempotent
 	ServiceRisk       = "risk"    // exact calls
 )
 
 const (
-	// CallerIP is the machine of the raw callers, OtherCallerIP that of
-	// callers that use the client library.
+	// CallerIP is the address of the machine of callers that send plain HTTP
+	// requests, OtherCallerIP that of callers that use the client library.
 	CallerIP      = "10.0.9.1"
 	OtherCallerIP = "10.0.9.2"
 
@@ -35,20 +35,20 @@
 	peerPort    = 7580
 	backendPort = 8000
 
-	joinTime  = 3 * time.Second  // virtual; until a fresh fleet knows itself
-	drainTime = 5 * time.Minute  // virtual; longer than any timeout that still runs
-	stopBound = 2 * time.Minute  // of a graceful stop
-	token     = "secret of dsi"  // of the one organisation
-	operator  = "secret of duty" // of the one operator
-	outlive   = 60 * time.Second // how long an engine keeps an ended generation
-	grace     = 10 * time.Second // how long an engine runs a generation unread
+	joinTime  = 3 * time.Second  // virtual; time for the hosts of a new fleet to discover each other
+	drainTime = 5 * time.Minute  // virtual; longer than any timer that is still pending at the end
+	stopBound = 2 * time.Minute  // timeout of a graceful stop
+	token     = "secret of dsi"  // bearer token of the only organisation
+	operator  = "secret of duty" // bearer token of the only operator
+	outlive   = 60 * time.Second // retention of an ended generation in an engine
+	grace     = 10 * time.Second // how long an engine runs a generation without a reader
 	network1  = time.Millisecond // latency between any two machines
 	engines   = 2
 	plains    = 2
 )
 
-// World is a small fleet: entry hosts, engines, plain services and the
-// platform's store.
+// World is a simulated deployment: entry hosts, engines, plain services and the
+// platform's store on one in-memory network.
 type World struct {
 	policy string // routing policy of the hosts
 	Fabric *network.Fabric
@@ -58,14 +58,14 @@
 	Plains []*PlainSlot
 	Oracle *Oracle
 
-	http    *http.Client   // of the raw callers
+	http    *http.Client   // of callers that send plain HTTP requests
 	client  *caller.Client // of callers that use the client library
 	callers sync.WaitGroup
-	faulty  bool // a link has a fault; used by the goroutine that acts
+	faulty  bool // a link has a fault; only used by the goroutine that executes actions
 }
 
-// NewWorld starts a fleet of so many entry hosts under a routing policy and waits until its members
-// know each other.
+// NewWorld starts a world with the given number of entry hosts and routing
+// policy, and waits until the hosts have had time to discover each other.
 func NewWorld(hosts int, policy string) (*World, error) {
 	w := &World{policy: policy, Fabric: network.New(network.Options{}), Store: store.NewMemory()}
 	w.Oracle = newOracle(w)
@@ -117,7 +117,7 @@
 	return err
 }
 
-// configure puts the service documents in force.
+// configure puts the documents of all services in force.
 func (w *World) configure() error {
 	acceptor := configuration.NewAcceptor(w.Store, contract.ParseDocument)
 	for service, document := range w.documents() {
@@ -150,7 +150,7 @@
 	}
 }
 
-// Machines returns the IPs of all machines.
+// Machines returns the IP addresses of all machines.
 func (w *World) Machines() []string {
 	ips := []string{CallerIP, OtherCallerIP}
 	for _, slot := range w.Hosts {
@@ -165,8 +165,8 @@
 	return ips
 }
 
-// Mend ends every fault: links heal, the store is back, whatever was frozen,
-// stopped or killed runs again.
+// Mend ends every fault: it heals all links, makes the store available, and
+// thaws or restarts every process that was frozen, stopped or killed.
 func (w *World) Mend() error {
 	w.Fabric.HealAll()
 	w.Store.SetFaults(store.Faults{})
@@ -190,10 +190,11 @@
 	return nil
 }
 
-// Await waits until every caller has ended.
+// Await waits until every attempt and every graceful stop has ended.
 func (w *World) Await() { w.callers.Wait() }
 
-// Close ends everything. The world's goroutines have ended when it returns.
+// Close stops all processes of the world. All goroutines of the world have ended
+// when Close returns.
 func (w *World) Close() {
 	w.callers.Wait()
 	w.client.Close()
@@ -210,7 +211,8 @@
 	time.Sleep(drainTime)
 }
 
-// engineConfig is small and quick, so that memory fills and lengths vary.
+// engineConfig returns the configuration of a small and fast engine, so that
+// its memory fills up and generations of different lengths overlap.
 func engineConfig(name string) engine.Config {
 	return engine.Config{
 		Name: name, TokenCapacity: 400, MaxBatch: 6, MaxWaiting: 8, StepBase: 50 * time.Millisecond,
@@ -219,7 +221,8 @@
 	}
 }
 
-// plainConfig makes calls take a while, so that faults meet them running.
+// plainConfig returns a configuration with a delay, so that faults occur while
+// calls are running.
 func plainConfig(name string) plain.Config {
 	return plain.Config{Name: name, Delay: 100 * time.Millisecond}
 }
