--- a/bench/arrivals.go
+++ b/bench/arrivals.go
@@ -10,20 +10,20 @@
 	"github.com/papayasail/papayasail/backend"
 )
 
-// arrival is one request that is to be sent.
+// arrival is one request of the generated load.
 type arrival struct {
 	number       int
-	at           time.Duration // after the start
+	at           time.Duration // intended send time, after the start of the run
 	organisation int
 	prompt       string
 	promptTokens int
 	tokens       int // output length
-	host         int
+	host         int // selects the caller that sends it
 }
 
-// arrivals draws the requests of a run: Poisson arrivals at a load that may
-// change with time, heavy-tailed lengths. The same seed gives the same ones,
-// whatever the policy.
+// arrivals generates the requests of a run: Poisson arrivals at a load that may
+// change with time, and heavy-tailed lengths. The requests depend on the seed
+// and not on the policy.
 func arrivals(s site, seed uint64, load func(time.Duration) float64, end time.Duration) []arrival {
 	random := rand.New(rand.NewPCG(seed, 7))
 	mean := s.outputs.mean()
@@ -58,7 +58,7 @@
 	return max(1, min(l.most, int(l.median*math.Exp(l.sigma*random.NormFloat64()))))
 }
 
-// mean returns the mean of the distribution with its cut, by drawing.
+// mean returns the mean of the truncated distribution, estimated from samples.
 func (l lengths) mean() float64 {
 	const draws = 50_000
 	random := rand.New(rand.NewPCG(1, 1))
@@ -71,8 +71,8 @@
 
 const promptBytesPerToken = 4
 
-// prompt is a prefix that several requests share, then a tag that names the
-// request, so that the oracle finds it again in the engines' journals.
+// prompt returns a prefix that several requests share, followed by a tag that
+// identifies the request, by which the oracle finds it among the engines' runs.
 func prompt(s site, seed uint64, a arrival, prefix int) string {
 	shared := fmt.Sprintf("%s organisation %d form %d ", s.name, a.organisation, prefix)
 	shared += strings.Repeat("~", backend.PrefixBytes-len(shared))
@@ -85,7 +85,7 @@
 
 func tag(seed uint64, number int) string { return fmt.Sprintf("#%d/%d#", seed, number) }
 
-// tagOf returns the tag in a prompt.
+// tagOf returns the tag in a prompt, or "" if it contains none.
 func tagOf(prompt string) string {
 	if len(prompt) < backend.PrefixBytes {
 		return ""
--- a/bench/bench.go
+++ b/bench/bench.go
@@ -1,6 +1,7 @@
-// Package bench measures routing policies: it starts entry hosts as they are,
-// over loopback TCP, against stand-in engines of a site's shape, sends an
-// open-loop load and reports what callers see.
+// Package bench measures routing policies. It runs the production code of entry
+// hosts over loopback TCP against simulated engines in the layout of a site,
+// sends an open-loop load and reports latency, throughput and outcomes as
+// callers see them.
 package bench
 
 import (
@@ -21,7 +22,7 @@
 	"github.com/papayasail/papayasail/routing"
 )
 
-// AllPolicies stands for every policy that is not an ablation.
+// AllPolicies selects every policy that is not an ablation.
 const AllPolicies = "all"
 
 const (
@@ -31,39 +32,40 @@
 	quickMeasured   = 6 * time.Second
 	defaultParallel = 3
 	quickParallel   = 5
-	// collectAt lets garbage collection run less often than usual: callers and
-	// engines share the process, and their garbage is not the hosts' cost.
+	// collectAt is the GC percentage during a run. It is above the default
+	// because callers and engines share the process with the hosts, and
+	// collecting their garbage must not count as a cost of the hosts.
 	collectAt = 400
 )
 
-// Options of a run. Site is required; the rest has defaults.
+// Options configures a run. Site is required; the other fields have defaults.
 type Options struct {
 	Site     string    // one of Sites()
 	Policies []string  // default: all
-	Loads    []float64 // share of the site's peak. Default 0.8 and 0.95.
-	Seed     uint64    // of arrivals and lengths. Default 1.
-	Seeds    int       // runs with Seed, Seed+1, ... Default 1.
+	Loads    []float64 // fractions of the site's peak. Default 0.8 and 0.95.
+	Seed     uint64    // seed of arrivals and lengths. Default 1.
+	Seeds    int       // number of runs, with Seed, Seed+1, ... Default 1.
 	Faults   string    // "none", "all", a script's file, or its lines joined by ";"
 	Quick    bool      // a smoke run that ends within 60 s
-	Out      string    // file for the JSON result; empty: none
-	Progress io.Writer // progress and table; nil: none
-	// Burst is "AT LENGTH LOAD" after the start of the measured window, such
-	// as "10s 10s 2"; empty: none.
+	Out      string    // file for the JSON result; none if empty
+	Progress io.Writer // destination of progress and table; none if nil
+	// Burst is "AT LENGTH LOAD", such as "10s 10s 2", where AT counts from the
+	// start of the measured window; no burst if empty.
 	Burst string
 	// Measured is the length of the measured window. Default 20 s.
 	Measured time.Duration
-	// Parallel is how many policies run at once, each on a site of its own.
-	// Default 3.
+	// Parallel is the number of policies that run concurrently, each on its own
+	// site. Default 3.
 	Parallel int
-	// ReportLag and ReportLoss are the age of engines' load reports and the
-	// share of them that is lost.
+	// ReportLag is the age of the engines' load reports, ReportLoss the fraction
+	// of them that is lost.
 	ReportLag  time.Duration
 	ReportLoss float64
-	// StreamReports has engines put a load report into every so many-th chunk
-	// of a stream; 0: none.
+	// StreamReports is the number of stream chunks per load report that engines
+	// put into a stream; 0 means that streams carry no reports.
 	StreamReports int
-	// PollsPerSecond is the rate of load questions of a host; 0: as for a
-	// fleet of the site's size.
+	// PollsPerSecond is the rate at which a host polls engines for their load;
+	// 0 means the rate for a fleet of the site's size.
 	PollsPerSecond float64
 }
 
@@ -81,7 +83,7 @@
 	Cells    []Cell    `json:"cells"`
 }
 
-// Broken returns how many promises were broken in the whole run.
+// Broken returns the number of invariant violations in the whole run.
 func (r *Report) Broken() int {
 	broken := 0
 	for _, cell := range r.Cells {
@@ -90,8 +92,8 @@
 	return broken
 }
 
-// Run runs every policy at every load with every seed, and writes the result.
-// It returns an error, besides the report, if a promise was broken.
+// Run runs every policy at every load with every seed and writes the result. If
+// the oracle found violations, it returns an error together with the report.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	p, err := newPlan(options)
 	if err != nil {
@@ -116,7 +118,7 @@
 	return report, nil
 }
 
-// plan is a run with its options checked.
+// plan is a run with validated options.
 type plan struct {
 	options  Options
 	site     site
@@ -204,8 +206,8 @@
 	return b, errors.CombineErrors(err1, err2)
 }
 
-// run fills in the cells. Policies at the same load and seed run side by side,
-// so that what else the machine does meets them alike.
+// run fills in the cells. Policies at the same load and seed run concurrently,
+// so that other work on the machine affects all of them equally.
 func (p *plan) run(ctx context.Context, report *Report) error {
 	for _, load := range p.options.Loads {
 		for i := range p.options.Seeds {
@@ -244,7 +246,7 @@
 	return errors.Wrap(os.WriteFile(file, append(data, '\n'), 0o644), "bench")
 }
 
-// Load reads a result that Run wrote.
+// Load reads a result file written by Run.
 func Load(file string) (*Report, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -257,5 +259,5 @@
 	return &report, nil
 }
 
-// ParsePolicies splits a list of policies at commas.
+// ParsePolicies splits a comma-separated list of policies.
 func ParsePolicies(list string) []string { return strings.Split(list, ",") }
--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -16,25 +16,25 @@
 )
 
 var (
-	runSite     = flag.String("bench.site", "", "run the bench for this site")
+	runSite     = flag.String("bench.site", "", "site to run the bench for")
 	runPolicies = flag.String("bench.policies", "all", "policies, comma separated")
-	runLoads    = flag.String("bench.loads", "0.8,0.95", "loads")
-	runSeeds    = flag.Int("bench.seeds", 1, "seeds")
+	runLoads    = flag.String("bench.loads", "0.8,0.95", "fractions of the site's peak load, comma separated")
+	runSeeds    = flag.Int("bench.seeds", 1, "number of seeds")
 	runSeed     = flag.Uint64("bench.seed", 1, "first seed")
 	runFaults   = flag.String("bench.faults", "none", "fault script")
-	runBurst    = flag.String("bench.burst", "", "burst")
+	runBurst    = flag.String("bench.burst", "", "burst as AT LENGTH LOAD")
 	runOut      = flag.String("bench.out", "", "result file")
 	runQuick    = flag.Bool("bench.quick", false, "smoke run")
-	runParallel = flag.Int("bench.parallel", 3, "policies at once")
-	runMeasured = flag.Duration("bench.measured", 0, "measured window")
-	runLag      = flag.Duration("bench.lag", 200*time.Millisecond, "age of reports")
-	runLoss     = flag.Float64("bench.loss", 0, "share of reports lost")
+	runParallel = flag.Int("bench.parallel", 3, "number of policies that run concurrently")
+	runMeasured = flag.Duration("bench.measured", 0, "length of the measured window")
+	runLag      = flag.Duration("bench.lag", 200*time.Millisecond, "age of load reports")
+	runLoss     = flag.Float64("bench.loss", 0, "fraction of load reports that is lost")
 )
 
-// BenchmarkSite runs the bench for the site of -bench.site.
+// BenchmarkSite runs the bench for the site given by -bench.site.
 func BenchmarkSite(t *testing.B) {
 	if *runSite == "" {
-		t.Fatal("name a site with -bench.site")
+		t.Fatal("no site given: set -bench.site")
 	}
 	var loads []float64
 	for _, text := range strings.Split(*runLoads, ",") {
@@ -88,12 +88,12 @@
 	is := is.New(t)
 	fair := fairDivision(map[int]float64{0: 1000, 8: 10, 9: 100}, 120)
 	is.Equal(fair[8], 10.0)
-	is.Equal(fair[9], 22.0) // weight 1 beside weight 4 over what is left
+	is.Equal(fair[9], 22.0) // the remaining 110 tokens divided at weights 4 and 1
 	is.Equal(fair[0], 88.0)
 }
 
-// The oracle is what "no promise broken" rests on, so each kind of breach is
-// shown to it once.
+// Guards against an oracle that misses violations: four kinds of violation are
+// each presented to it once.
 func TestOracleSeesEachBreach(t *testing.T) {
 	is := is.New(t)
 	o := newOracle(1, false)
@@ -109,15 +109,15 @@
 	is.Equal(o.broken[brokenForeign], 1) // no engine ran it
 }
 
-// Something between host and engine forgets an open connection: nothing comes
-// any more and nothing fails, while new connections work.
+// Guards against connections that hang after a middlebox drops their state: reads
+// must time out, and new connections to the address must work.
 func TestSilencedConnectionTimesOutAndNewOnesWork(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer listener.Close()
 	address := listener.Addr().String()
-	go func() { // echoes
+	go func() { // echo server
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
--- a/bench/cell.go
+++ b/bench/cell.go
@@ -12,7 +12,7 @@
 	"github.com/papayasail/papayasail/contract"
 )
 
-// cellRun is one policy at one load with one seed.
+// cellRun is the run of one policy at one load with one seed.
 type cellRun struct {
 	site     site
 	policy   string
@@ -29,13 +29,13 @@
 	requests   sync.WaitGroup
 }
 
-// burst raises the load for a while; zero: none.
+// burst changes the load for a limited time; the zero value means no burst.
 type burst struct {
 	at, length time.Duration // after the start of the measured window
 	load       float64
 }
 
-// drainBound is how long streams that still run after the end are waited for.
+// drainBound is how long a run waits for open streams after the end of the load.
 const drainBound = 5 * time.Second
 
 func (c *cellRun) loadAt(at time.Duration) float64 {
@@ -46,7 +46,7 @@
 	return c.load
 }
 
-// run starts the site, sends the load and returns the figures.
+// run deploys the site, sends the load and returns the measurements.
 func (c *cellRun) run(ctx context.Context) (Cell, error) {
 	attempts := 1
 	if len(c.script.steps) > 0 {
@@ -75,7 +75,8 @@
 	return c.cell(<-preempted), nil
 }
 
-// send sends each request at its time, whatever became of those before it.
+// send sends each request at its intended time, independent of the progress of
+// earlier requests, and returns at the end of the measured window.
 func (c *cellRun) send(ctx, streams context.Context, all []arrival) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -92,14 +93,14 @@
 	return nil
 }
 
-// drain waits for the streams that still run, and cuts off what takes too long.
+// drain waits for the open streams and cancels those that outlast drainBound.
 func (c *cellRun) drain(cut context.CancelFunc) {
 	timer := time.AfterFunc(drainBound, cut)
 	c.requests.Wait()
 	timer.Stop()
 }
 
-// request sends one request and follows its stream.
+// request sends one request and reads its stream to the end.
 func (c *cellRun) request(ctx context.Context, a arrival) {
 	c.meter.send(a)
 	clients := c.deployment.callers[a.organisation]
@@ -140,7 +141,8 @@
 	c.meter.ended(a, refusal, time.Now())
 }
 
-// watchPreemptions counts the engines' preemptions in the measured window.
+// watchPreemptions counts the engines' preemptions in the measured window. The
+// returned channel receives the count at the end of the window.
 func (c *cellRun) watchPreemptions(ctx context.Context, end time.Duration) <-chan int {
 	result := make(chan int, 1)
 	go func() {
--- a/bench/control/changes.go
+++ b/bench/control/changes.go
@@ -13,15 +13,17 @@
 )
 
 const (
-	changeTimeout = 10 * time.Second // after it a host counts as missing
+	changeTimeout = 10 * time.Second // after which a host without the change counts as missing
 	changeSeed    = 1
-	// changePause lets pushes and probes of one change end before the next.
+	// changePause lets pushes and probes of one change finish before the next
+	// change.
 	changePause = 200 * time.Millisecond
 )
 
-// measureChanges accepts documents one after another, each at some host, and
-// times until each is in force on every host. With storeGone the store refuses
-// all calls from the moment of acceptance until the change is everywhere.
+// measureChanges accepts documents one after another, each at a random host, and
+// measures the time until each is in force on every host. If storeGone is set,
+// the store rejects all calls from the acceptance of a change until the change
+// is in force on every host.
 func (f *fleet) measureChanges(ctx context.Context, changes int, storeGone bool) (InForce, error) {
 	random := rand.New(rand.NewPCG(changeSeed, 0))
 	histogram := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
@@ -44,13 +46,13 @@
 
 func seconds(micros int64) float64 { return float64(micros) / 1e6 }
 
-// arrivals notes when each host had a version of a service in force.
+// arrivals records when each host put the newest version of a service in force.
 type arrivals struct {
 	service string
 
 	mu   sync.Mutex // guards at
 	at   map[*host]arrival
-	wake chan struct{}
+	wake chan struct{} // receives a value after each change of at
 }
 
 type arrival struct {
@@ -71,7 +73,8 @@
 	}
 }
 
-// count returns how many hosts have a version in force.
+// count returns the number of hosts that have this version or a newer one in
+// force.
 func (a *arrivals) count(version store.Version) (count int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/bench/control/control.go
+++ b/bench/control/control.go
@@ -1,7 +1,8 @@
-// Package control measures what entry hosts spend on control: membership,
-// the spreading of configuration, and calls to the platform. It runs the real
-// code of these for fleets of several sizes in one process, over loopback
-// TCP, against a stand-in of the platform, and draws slopes from them.
+// Package control measures the cost of the control plane of entry hosts:
+// membership, dissemination of configuration, and calls to the platform. It runs
+// their production code for fleets of several sizes in one process, over
+// loopback TCP, against a simulated platform, and extrapolates the results to
+// the target size by linear regression.
 package control
 
 import (
@@ -17,7 +18,8 @@
 	"github.com/papayasail/papayasail/peer"
 )
 
-// Limits of one entry host for control at the target size.
+// Limits of the control plane at the target size, for one entry host unless
+// stated otherwise.
 const (
 	TargetHosts     = 390
 	LimitBytes      = 2 << 10  // bytes/s
@@ -26,24 +28,24 @@
 	LimitCallsFleet = 2000     // platform reads/s, the whole fleet
 )
 
-// Options of a run; zero values stand for the defaults.
+// Options configures a run; zero values select the defaults.
 type Options struct {
 	Hosts   []int         // fleet sizes
-	Workers []int         // backend servers named by the documents
-	Settle  time.Duration // longest wait for the news of the joining to run out
-	Steady  time.Duration // how long the steady state is measured
-	Changes int           // accepted changes timed, with the store healthy and again with it gone
-	Quick   bool          // at most 60 s in all
+	Workers []int         // numbers of backend servers listed in the documents
+	Settle  time.Duration // maximum wait for the gossip about joining hosts to end
+	Steady  time.Duration // duration of the steady-state measurement
+	Changes int           // number of accepted changes timed with the store available, and again with it unavailable
+	Quick   bool          // a run of at most 60 s in total
 	// Disruptions are the fleet sizes at which a failure domain and a region
-	// are cut off; none in quick runs.
+	// are partitioned off; by default none in quick runs or if Hosts is set.
 	Disruptions []int
-	// Organisations are named by each document; default 20. 30,000 over 13
-	// documents are about 2,300 each.
+	// Organisations is the number of organisations in each document; default
+	// 20. 30,000 organisations in 13 documents are about 2,300 per document.
 	Organisations int
-	Progress      io.Writer // nil: none
+	Progress      io.Writer // destination of progress messages; none if nil
 }
 
-// Defaults.
+// Default sizes.
 var (
 	defaultHosts   = []int{7, 25, 50, 100, 200}
 	defaultWorkers = []int{12, 100, 600}
@@ -106,38 +108,38 @@
 	Cut       []Disruption `json:"disruptions,omitempty"`
 }
 
-// Size is what one fleet showed. Figures are for one host unless they say
-// otherwise.
+// Size contains the measurements of one fleet. Figures are per host unless
+// stated otherwise.
 type Size struct {
 	Hosts          int     `json:"hosts"`
 	Workers        int     `json:"workers"`
 	SteadySeconds  float64 `json:"steady_seconds"`
 	BytesPerSecond float64 `json:"bytes_per_second"` // between hosts, in and out, without TCP/IP headers
 	WatcherBytes   float64 `json:"platform_bytes_per_second"`
-	CorePercent    float64 `json:"core_percent"` // includes this host's share of the stand-in
-	HeapBytes      float64 `json:"heap_bytes"`   // live heap after a collection
+	CorePercent    float64 `json:"core_percent"` // includes this host's share of the simulated platform
+	HeapBytes      float64 `json:"heap_bytes"`   // live heap after a garbage collection
 	StackBytes     float64 `json:"stack_bytes"`
 	Goroutines     float64 `json:"goroutines"`
-	Connections    float64 `json:"connections"`            // open, both directions
-	CallsPerSecond float64 `json:"platform_calls_fleet"`   // the whole fleet, a watch counts as one
-	JoinSeconds    float64 `json:"join_seconds"`           // until every host knew all
-	DocumentBytes  int     `json:"document_bytes"`         // of one document
-	ChangeBytes    float64 `json:"change_bytes"`           // between hosts, in and out, for one change beyond the steady rate
+	Connections    float64 `json:"connections"`            // open connections, both directions
+	CallsPerSecond float64 `json:"platform_calls_fleet"`   // of the whole fleet; a watch counts as one call
+	JoinSeconds    float64 `json:"join_seconds"`           // until every host had all members and the whole configuration
+	DocumentBytes  int     `json:"document_bytes"`         // size of one document
+	ChangeBytes    float64 `json:"change_bytes"`           // between hosts, in and out, per change, above the steady rate
 	Healthy        InForce `json:"in_force_store_healthy"` // from acceptance until in force on all hosts
 	StoreGone      InForce `json:"in_force_store_gone"`
 }
 
-// InForce is the time from acceptance until a change is in force, over all
-// hosts and changes, in seconds.
+// InForce contains quantiles of the time from the acceptance of a change until
+// it is in force, over all hosts and changes, in seconds.
 type InForce struct {
 	Changes int     `json:"changes"`
-	Missing int     `json:"missing"` // host and change pairs not in force in time
+	Missing int     `json:"missing"` // pairs of host and change not in force before the timeout
 	P50     float64 `json:"p50"`
 	P99     float64 `json:"p99"`
 	Max     float64 `json:"max"`
 }
 
-// Run measures each combination of sizes and draws the slopes.
+// Run measures each combination of sizes and extrapolates to the target size.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	o := options.withDefaults()
 	report := &Report{GoVersion: runtime.Version(), Cores: runtime.NumCPU(), Quick: o.Quick}
@@ -162,8 +164,8 @@
 	return report, nil
 }
 
-// combinations are all fleet sizes with the most workers, and all numbers of
-// workers with the smallest fleet.
+// combinations returns all fleet sizes with the last number of workers, and the
+// other numbers of workers with the first fleet size.
 func (o Options) combinations() []Size {
 	var sizes []Size
 	last := o.Workers[len(o.Workers)-1]
@@ -200,7 +202,8 @@
 	return err
 }
 
-// measureSteady reads the counters over a while in which nothing changes.
+// measureSteady measures traffic, processor time and memory over a period
+// without changes.
 func (f *fleet) measureSteady(ctx context.Context, o Options, size *Size, before footprint) error {
 	if err := f.settle(ctx, o.Settle); err != nil {
 		return err
@@ -225,7 +228,8 @@
 	return nil
 }
 
-// settle waits until the news of the joining has run out, at most for longest.
+// settle waits until no gossip updates are pending after the join, for at most
+// longest, and then for one settleCheck.
 func (f *fleet) settle(ctx context.Context, longest time.Duration) error {
 	deadline := time.Now().Add(longest)
 	for time.Now().Before(deadline) && f.metric("papayasail_peer_news_pending") > 0 {
@@ -240,7 +244,7 @@
 	start := time.Now()
 	for !f.complete() {
 		if time.Since(start) > joinTimeout {
-			return errors.Newf("not all hosts knew all others within %s", joinTimeout)
+			return errors.Newf("membership and configuration not complete on all hosts within %s", joinTimeout)
 		}
 		if err := sleep.For(ctx, 20*time.Millisecond); err != nil {
 			return err
@@ -250,7 +254,7 @@
 	return nil
 }
 
-// complete reports whether every host holds all hosts for alive and has the
+// complete reports whether every host considers all hosts alive and has the
 // whole configuration.
 func (f *fleet) complete() bool {
 	for _, h := range f.hosts {
--- a/bench/control/control_test.go
+++ b/bench/control/control_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// The smallest run has to carry every change to every host, also with the
-// store gone, and its report has to name each figure.
+// Guards against changes that do not reach every host, with the store available
+// or not, and against figures missing from the report.
 func TestRunSmall(t *testing.T) {
 	is := is.New(t)
 	report, err := Run(t.Context(), Options{Hosts: []int{3, 5}, Workers: []int{12}, Settle: time.Second, Steady: time.Second, Changes: 2})
--- a/bench/control/cut.go
+++ b/bench/control/cut.go
@@ -8,12 +8,12 @@
 	"github.com/papayasail/papayasail/link"
 )
 
-// cutter silences the links between some failure domains and all others, as
-// when a domain dies or regions lose each other.
+// cutter drops all data between a set of failure domains and the others, which
+// simulates a network partition or the failure of a domain.
 type cutter struct {
-	mu       sync.Mutex // guards all below
-	domainOf map[string]string
-	apart    map[string]bool // failure domains
+	mu       sync.Mutex        // guards all below
+	domainOf map[string]string // failure domain by peer address; written before the hosts run
+	apart    map[string]bool   // failure domains on one side of the partition
 }
 
 func newCutter() *cutter {
@@ -35,14 +35,15 @@
 	return c.apart[from] != c.apart[c.domainOf[address]]
 }
 
-// cutNetwork is loopback TCP as a host in a failure domain sees it.
+// cutNetwork is the loopback TCP network of a host in a failure domain.
 type cutNetwork struct {
 	link.TCP
 	cutter *cutter
 	domain string
 }
 
-// Dial hangs while the link is cut.
+// Dial implements link.Network. If the partition separates the address, Dial
+// blocks until ctx is done.
 func (n cutNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
 	if n.cutter.between(n.domain, address) {
 		<-ctx.Done()
@@ -55,7 +56,8 @@
 	return &cutConn{Conn: conn, network: n, address: address}, nil
 }
 
-// cutConn loses bytes both ways while its link is cut, and from then on.
+// cutConn drops data in both directions once it is used during a partition of
+// its link, also after the partition has healed.
 type cutConn struct {
 	net.Conn
 	network cutNetwork
--- a/bench/control/disruption.go
+++ b/bench/control/disruption.go
@@ -13,25 +13,25 @@
 
 const (
 	disruptionTimeout = 90 * time.Second
-	disruptionWindow  = 5 * time.Second // over which the highest rate is taken
+	disruptionWindow  = 5 * time.Second // length of the windows whose highest rate is reported
 	disruptionCheck   = 250 * time.Millisecond
 )
 
-// Disruption is what a cut of the fleet in two did. Rates are the mean over
-// all hosts in the worst window.
+// Disruption contains the effects of a partition of the fleet into two sides.
+// Rates are means over all hosts, in the window with the highest rate.
 type Disruption struct {
 	What        string  `json:"what"`
 	Hosts       int     `json:"hosts"`
 	Apart       int     `json:"hosts_apart"`
-	GoneSeconds float64 `json:"gone_seconds"` // until both sides held each other for gone; negative: not in time
+	GoneSeconds float64 `json:"gone_seconds"` // until each side considered the other gone; negative if not before the timeout
 	CutBytes    float64 `json:"cut_bytes_per_second"`
 	CutCorePct  float64 `json:"cut_core_percent"`
-	MeetSeconds float64 `json:"meet_seconds"` // from the healing until all held all for alive; negative: not in time
+	MeetSeconds float64 `json:"meet_seconds"` // from the healing until all hosts considered all alive; negative if not before the timeout
 	MeetBytes   float64 `json:"meet_bytes_per_second"`
 	MeetCorePct float64 `json:"meet_core_percent"`
 }
 
-// measureDisruptions cuts off a failure domain, then a region.
+// measureDisruptions partitions off a failure domain and then a region.
 func measureDisruptions(ctx context.Context, o Options, hosts, workers int) ([]Disruption, error) {
 	f, err := startFleet(ctx, hosts, workers, o.Organisations)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return result, err
 }
 
-// agree reports whether a condition holds for all members on all hosts.
+// agree reports whether a condition is true for all members on all hosts.
 func (f *fleet) agree(holds func(*host, peer.Member) bool) bool {
 	for _, h := range f.hosts {
 		for _, m := range h.node.Members() {
@@ -102,8 +102,9 @@
 	return true
 }
 
-// until waits for a condition and returns how long that took and the highest
-// rates of bytes and processor time in any window until then.
+// until waits for a condition, for at most disruptionTimeout. It returns the
+// time until the condition was true, in seconds, or -1, and the highest rates of
+// any window: bytes/s and percent of a core, per host.
 func (f *fleet) until(ctx context.Context, condition func() bool) (took, bytes, core float64, err error) {
 	start := time.Now()
 	windowStart, windowBytes := takeUsage(), f.bytes()
--- a/bench/control/fleet.go
+++ b/bench/control/fleet.go
@@ -28,10 +28,10 @@
 )
 
 const (
-	services    = 13 // models in steady use at the target size
+	services    = 13 // number of models in steady use at the target size
 	joinTimeout = 2 * time.Minute
-	// manyHosts is the size from which a fleet has the target's 10 failure
-	// domains in 3 regions; below it has 3 domains in one region.
+	// manyHosts is the size above which a fleet has the 10 failure domains and
+	// 3 regions of the target; up to it a fleet has 3 domains in one region.
 	manyHosts   = 30
 	manyDomains = 10
 	fewDomains  = 3
@@ -39,7 +39,7 @@
 	seedHosts   = 3
 )
 
-// fleet is a number of entry hosts' control parts in one process.
+// fleet runs the control planes of several entry hosts in one process.
 type fleet struct {
 	memory        *store.Memory
 	server        *http.Server
@@ -50,24 +50,24 @@
 	hosts         []*host
 	documents     []string // service names
 	workers       int
-	organisations int // named by each document
+	organisations int // number of organisations in each document
 	stopHosts     context.CancelFunc
 	running       sync.WaitGroup
 }
 
-// host is the control part of one entry host.
+// host is the control plane of one entry host.
 type host struct {
 	domain   string
 	node     *peer.Node
 	table    *configuration.Table
 	client   *platform.ObjectStore
-	store    store.Store // client, within a budget of calls
+	store    store.Store // client with a limited rate of calls
 	acceptor *configuration.Acceptor
 	registry *prometheus.Registry
-	inForce  atomic.Pointer[func(*host)] // called after each change of the table
+	inForce  atomic.Pointer[func(*host)] // if set, called after each change of the table
 }
 
-// startFleet starts the stand-in platform with documents and all hosts.
+// startFleet starts the simulated platform with documents, and all hosts.
 func startFleet(ctx context.Context, hosts, workers, organisations int) (*fleet, error) {
 	f := &fleet{memory: store.NewMemory(), cutter: newCutter(), workers: workers, organisations: organisations}
 	f.network = &countingNetwork{bytes: &f.platformBytes}
@@ -96,7 +96,7 @@
 	return f, nil
 }
 
-// freeAddresses finds free loopback ports.
+// freeAddresses returns n distinct loopback addresses with free ports.
 func freeAddresses(n int) ([]string, error) {
 	var addresses []string
 	for range n {
@@ -104,7 +104,7 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "free port")
 		}
-		defer listener.Close() // all are held until the last is found, so none comes twice
+		defer listener.Close() // all listeners stay open until the last port is found, so that ports are distinct
 		addresses = append(addresses, listener.Addr().String())
 	}
 	return addresses, nil
@@ -118,7 +118,8 @@
 	return fmt.Sprintf("domain-%d", i%domains)
 }
 
-// nearDomains are the failure domains of a host's region.
+// nearDomains returns the failure domains in the region of a host; nil if the
+// fleet has one region.
 func nearDomains(i, hosts int) []string {
 	if hosts <= manyHosts {
 		return nil
@@ -169,8 +170,8 @@
 	return domain.Watches(h.node.Members(), h.node.Self().Host)
 }
 
-// putDocuments accepts the documents of all services, at several hosts so
-// that no host's budget of platform calls runs out.
+// putDocuments accepts the documents of all services, at different hosts, so
+// that no host exceeds its limit of platform calls.
 func (f *fleet) putDocuments(ctx context.Context) error {
 	for s := range services {
 		name := fmt.Sprintf("model-%d", s)
@@ -197,8 +198,8 @@
 	return result.Version, nil
 }
 
-// document is that of one service: its share of the workers, and its
-// organisations. Round makes its text differ.
+// document returns the document of one service, with its share of the workers
+// and its organisations. Different values of round give different texts.
 func (f *fleet) document(index, round int) string {
 	name := f.documents[index]
 	var b strings.Builder
@@ -214,7 +215,7 @@
 	return b.String()
 }
 
-// stop ends all hosts and the stand-in.
+// stop stops all hosts and the simulated platform.
 func (f *fleet) stop() {
 	f.memory.SetFaults(store.Faults{})
 	f.stopHosts()
@@ -228,7 +229,7 @@
 func (f *fleet) bytes() float64       { return f.metric("papayasail_peer_bytes_total") }
 func (f *fleet) connections() float64 { return f.metric("papayasail_peer_connections") }
 
-// metric sums a counter or gauge over all hosts.
+// metric returns the sum of a counter or gauge over all hosts.
 func (f *fleet) metric(name string) (total float64) {
 	for _, h := range f.hosts {
 		total += h.metric(name)
@@ -236,7 +237,7 @@
 	return total
 }
 
-// metric sums a counter or gauge of the host over its labels.
+// metric returns the sum of a counter or gauge of the host over its labels.
 func (h *host) metric(name string) (total float64) {
 	families, _ := h.registry.Gather()
 	for _, family := range families {
@@ -250,7 +251,7 @@
 	return total
 }
 
-// peerTable is the configuration as peers spread it.
+// peerTable adapts the configuration table to peer.ConfigurationTable.
 type peerTable struct{ *configuration.Table }
 
 // Adopt implements peer.ConfigurationTable.
@@ -259,7 +260,7 @@
 	return changed, nil
 }
 
-// noRequests is a handler for a fleet without requests.
+// noRequests is the peer request handler of a fleet without requests.
 type noRequests struct{}
 
 func (noRequests) Forward(context.Context, *peerpb.ForwardRequest) *peerpb.ForwardResponse {
@@ -268,7 +269,7 @@
 
 func (noRequests) HandOver(context.Context, *peerpb.HandOverRequest) error { return nil }
 
-// countingNetwork counts the bytes of all its connections.
+// countingNetwork counts the bytes read and written by all its connections.
 type countingNetwork struct {
 	link.TCP
 	bytes *atomic.Int64
--- a/bench/control/outlook.go
+++ b/bench/control/outlook.go
@@ -7,16 +7,16 @@
 	"text/tabwriter"
 )
 
-// Outlook is one figure extrapolated to the target size by a line fitted to
-// the measured fleet sizes with the most workers.
+// Outlook is one figure, extrapolated to the target size by a line fitted to the
+// measured fleet sizes that share the last number of workers.
 type Outlook struct {
 	Figure   string  `json:"figure"`
 	Unit     string  `json:"unit"`
-	Base     float64 `json:"base"`  // at no hosts
-	Slope    float64 `json:"slope"` // for each host of the fleet
+	Base     float64 `json:"base"`  // value of the line at 0 hosts
+	Slope    float64 `json:"slope"` // increase per host of the fleet
 	Expected float64 `json:"expected"`
 	Limit    float64 `json:"limit"`
-	Ratio    float64 `json:"ratio"` // limit over expected
+	Ratio    float64 `json:"ratio"` // limit divided by expected; 0 if expected is not positive
 }
 
 type figure struct {
@@ -32,7 +32,8 @@
 	{"platform calls", "calls/s of the fleet", LimitCallsFleet, func(s Size) float64 { return s.CallsPerSecond }},
 }
 
-// outlooks fits lines over the sizes with the most workers.
+// outlooks extrapolates every figure from the sizes that have the same number of
+// workers as the last one.
 func outlooks(sizes []Size) []Outlook {
 	var same []Size
 	for _, s := range sizes {
@@ -53,7 +54,7 @@
 	return result
 }
 
-// fit is a least squares line over the fleet sizes.
+// fit returns the least squares line of a value over the number of hosts.
 func fit(sizes []Size, value func(Size) float64) (base, slope float64) {
 	var n, sumX, sumY, sumXX, sumXY float64
 	for _, s := range sizes {
@@ -75,7 +76,7 @@
 	return encoder.Encode(r)
 }
 
-// WriteTable writes the report for people.
+// WriteTable writes the report as text tables.
 func (r *Report) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "hosts\tworkers\tbytes/s\tplatform B/s\tcore %\theap KB\tstack KB\tgoroutines\tconnections\tcalls/s fleet\tjoin s\tdocument B\tB/change\t")
--- a/bench/control/sample.go
+++ b/bench/control/sample.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// usage is the processor time of the process up to a moment.
+// usage is the processor time used by the process up to a point in time.
 type usage struct {
 	at  time.Time
 	cpu time.Duration // user and system
 }
 
-// footprint is the memory of the process after a collection.
+// footprint is the memory used by the process after a garbage collection.
 type footprint struct {
 	heap       float64 // live bytes
 	stack      float64 // bytes
@@ -21,11 +21,11 @@
 
 func takeUsage() usage { return usage{at: time.Now(), cpu: cpuTime()} }
 
-// takeFootprint collects garbage first, so it must not fall into a window in
-// which processor time is measured.
+// takeFootprint runs the garbage collector first, so it must not be called while
+// processor time is measured.
 func takeFootprint() footprint {
 	runtime.GC()
-	runtime.GC() // the second empties the pools that the first set aside
+	runtime.GC() // the second frees the sync.Pool objects that survived the first
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	return footprint{heap: float64(memory.HeapAlloc), stack: float64(memory.StackInuse), goroutines: runtime.NumGoroutine()}
--- a/bench/control/slope_test.go
+++ b/bench/control/slope_test.go
@@ -10,12 +10,12 @@
 )
 
 var slopes = flag.String("slopes", "", "measure slopes: quick or full; writes JSON to the file named by -slopes.json")
-var slopesCuts = flag.String("slopes.cuts", "", "fleet sizes to cut in two, with commas; the sizes are then not measured otherwise")
-var slopesHosts = flag.String("slopes.hosts", "", "fleet sizes, with commas; then no fleet is cut in two")
-var slopesOrganisations = flag.Int("slopes.organisations", 0, "organisations named by each document; then only 25 hosts are measured")
-var slopesJSON = flag.String("slopes.json", "", "file for the report")
+var slopesCuts = flag.String("slopes.cuts", "", "fleet sizes to partition, comma separated; apart from that only 7 hosts are measured")
+var slopesHosts = flag.String("slopes.hosts", "", "fleet sizes, comma separated; no fleet is partitioned")
+var slopesOrganisations = flag.Int("slopes.organisations", 0, "number of organisations in each document; only 25 hosts are measured")
+var slopesJSON = flag.String("slopes.json", "", "file for the JSON report")
 
-// BenchmarkSlopes prints the table of docs/CAPACITY.md.
+// BenchmarkSlopes prints the tables of docs/CAPACITY.md.
 func BenchmarkSlopes(t *testing.B) {
 	if *slopes == "" {
 		t.Fatal("run with -slopes=quick or -slopes=full")
@@ -50,7 +50,7 @@
 	}
 }
 
-// numbers reads numbers with commas between them.
+// numbers parses a comma-separated list and skips fields that are not numbers.
 func numbers(text string) (list []int) {
 	for _, field := range strings.Split(text, ",") {
 		if number, err := strconv.Atoi(field); err == nil {
--- a/bench/deployment.go
+++ b/bench/deployment.go
@@ -26,11 +26,11 @@
 	probePeriod  = 500 * time.Millisecond
 	keepAddress  = 10 * time.Second
 	startBound   = 30 * time.Second
-	callersOfOne = 7 // callers of one organisation
+	callersOfOne = 7 // client library instances per organisation
 )
 
-// deployment is one site in this process: the entry hosts' real code over
-// loopback TCP, and stand-ins of the engines and the store.
+// deployment is one site in this process: the production code of the entry hosts
+// over loopback TCP, simulated engines and an in-memory store.
 type deployment struct {
 	site     site
 	policy   string
@@ -53,7 +53,8 @@
 	done     chan struct{}
 }
 
-// deploy starts a site under a policy and returns when all hosts serve.
+// deploy starts a site under a policy and returns when the site is ready.
+// attempts is the maximum number of attempts per request of the callers.
 func deploy(ctx context.Context, s site, policy string, seed uint64, attempts int) (*deployment, error) {
 	d := &deployment{site: s, policy: policy, store: store.NewMemory(), topology: newTopology(s)}
 	if err := d.start(ctx, seed, attempts); err != nil {
@@ -110,7 +111,8 @@
 	return nil
 }
 
-// weights of the organisations: the large ones weigh more.
+// weights are the fair-share weights of the organisations, by index; the largest
+// three have higher ones.
 var weights = []int{4, 3, 2, 1, 1, 1, 1, 1, 1, 1}
 
 func (d *deployment) document() string {
@@ -167,7 +169,7 @@
 		*address = free
 		d.topology.place(free, s.FailureDomain)
 	}
-	s.Platform = "127.0.0.1:1" // unused: the store is in memory
+	s.Platform = "127.0.0.1:1" // unused, because the store is in memory
 	s.EventKey = []byte("a key that only benches use, of 32 bytes")
 	for org := range d.site.shares {
 		s.Organisations = append(s.Organisations, settings.Organisation{Name: organisationName(org), TokenSHA256: settings.HashToken(organisationToken(org))})
@@ -184,9 +186,9 @@
 	return s, nil
 }
 
-// Ports that entry hosts listen at, below those that the system gives to
-// outgoing connections: one of these could otherwise take a port between its
-// choice and the host's start.
+// Range of the ports on which entry hosts listen. It is below the ephemeral
+// ports of the operating system, so that no outgoing connection can take a port
+// between its selection and the start of the host.
 const (
 	firstPort = 12_000
 	ports     = 18_000
@@ -194,10 +196,10 @@
 
 var nextPort atomic.Uint32
 
-// freeAddress returns a loopback address that was free a moment ago and is
-// given out once.
+// freeAddress returns a loopback address whose port was free when checked. It
+// returns each address at most once per cycle through the port range.
 func freeAddress() (string, error) {
-	start := uint32(os.Getpid()) * 61 // processes side by side begin elsewhere
+	start := uint32(os.Getpid()) * 61 // concurrent processes start at different ports
 	for range ports {
 		address := fmt.Sprintf("127.0.0.1:%d", firstPort+(start+nextPort.Add(1))%ports)
 		if listener, err := net.Listen("tcp", address); err == nil {
@@ -247,7 +249,8 @@
 	return nil
 }
 
-// ready waits until every caller has addresses and a request has gone through.
+// ready waits until every caller has the addresses of all entry hosts and a
+// request has succeeded.
 func (d *deployment) ready(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startBound)
 	defer cancel()
@@ -258,7 +261,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrap(err, "bench: the site does not come up")
+			return errors.Wrap(err, "bench: site not ready before the timeout")
 		case <-time.After(probePeriod / 2):
 		}
 	}
@@ -272,7 +275,7 @@
 				return err
 			}
 			if len(answer.Addresses) < len(d.hosts) {
-				return errors.Newf("%d of %d entry hosts known", len(answer.Addresses), len(d.hosts))
+				return errors.Newf("caller has addresses of %d of %d entry hosts", len(answer.Addresses), len(d.hosts))
 			}
 		}
 	}
@@ -285,13 +288,13 @@
 	return err
 }
 
-// kill ends a host at once.
+// kill ends a host without a graceful stop and waits for its end.
 func (p *hostProcess) kill() {
 	p.stop()
 	<-p.done
 }
 
-// close ends everything.
+// close stops all callers, hosts and engines and waits for their end.
 func (d *deployment) close() {
 	for _, clients := range d.callers {
 		for _, client := range clients {
--- a/bench/fault.go
+++ b/bench/fault.go
@@ -14,11 +14,13 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// attemptsWithFaults is how often callers try in runs with faults.
+// attemptsWithFaults is the maximum number of attempts per request in runs with
+// faults; without faults it is 1.
 const attemptsWithFaults = 5
 
-// script is a list of faults. Each line reads "AFTER FAULT [ARGUMENT...]",
-// where AFTER counts from the start of the measured window:
+// script is a list of faults. Each line has the form
+// "AFTER FAULT ARGUMENT [ARGUMENT...]", where AFTER counts from the start of the
+// measured window:
 //
 //	5s engine_kill 0
 //	5s engine_reclaim 1 3s
@@ -34,10 +36,10 @@
 	arguments []string
 }
 
-// none is the script without faults.
+// none is the name of the script without faults.
 const none = "none"
 
-// all is the script with one fault of each kind.
+// all is the name of the script with one fault of each kind.
 const all = "all"
 
 var allFaults = `
@@ -49,8 +51,8 @@
 12s engine_reclaim 1 3s
 `
 
-// parseScript reads a script from a file, or the names "none" and "all", or
-// one line.
+// parseScript returns the script with the given name: "none" or "all", the lines
+// of a script joined by ";" if the name contains a space, or else a file.
 func parseScript(s site, name string) (script, error) {
 	switch {
 	case name == "" || name == none:
@@ -91,7 +93,7 @@
 	return result, nil
 }
 
-// check finds mistakes before the run starts.
+// check validates the step before the run starts.
 func (s step) check(site site) error {
 	inject := injections[s.fault]
 	if inject.do == nil {
@@ -156,12 +158,13 @@
 	d.store.SetFaults(store.Faults{})
 }
 
-// number and duration read arguments that check has passed.
+// number and duration parse arguments that check has validated.
 func number(s string) int { n, _ := strconv.Atoi(s); return n }
 
 func duration(s string) time.Duration { d, _ := time.ParseDuration(s); return d }
 
-// start runs the steps at their times; the returned function waits for them.
+// start schedules the steps and returns a function that waits until all have
+// run.
 func (s script) start(ctx context.Context, c *cellRun) (wait func()) {
 	var running sync.WaitGroup
 	for _, one := range s.steps {
--- a/bench/meter.go
+++ b/bench/meter.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// stallAfter is the gap between tokens from which on a stream counts as
-	// stalled; what goes beyond it is stall time.
+	// stallAfter is the gap between tokens above which a stream counts as
+	// stalled. The part of the gap above it is stall time.
 	stallAfter   = 250 * time.Millisecond
 	longestValue = int64(10 * time.Minute / time.Microsecond)
 	precision    = 3 // decimal places
 )
 
-// meter takes the measurements of one cell. Values outside the measured
-// window are left out.
+// meter collects the measurements of one cell. It ignores values outside the
+// measured window, except in perSecond.
 type meter struct {
 	start    time.Time
-	from, to time.Duration // measured window after start
+	from, to time.Duration // measured window, relative to start
 
 	mu        sync.Mutex // guards all below
 	gaps      *hdrhistogram.Histogram
 	first     *hdrhistogram.Histogram
 	refusal   *hdrhistogram.Histogram
 	stall     time.Duration
-	tokens    int // of whole answers
-	delivered int // tokens that reached callers, of whole answers or not
-	answers   int
+	tokens    int // output tokens of complete answers
+	delivered int // output tokens that callers received, including those of incomplete answers
+	answers   int // complete answers
 	sent      int
-	outcomes  map[string]int // of requests without their whole answer: outcome/reason
-	served    map[int]float64
-	offered   map[int]float64
-	perSecond []float64
+	outcomes  map[string]int  // requests without a complete answer, by outcome/reason
+	served    map[int]float64 // prompt and output tokens of complete answers, by organisation
+	offered   map[int]float64 // prompt and output tokens requested, by organisation
+	perSecond []float64       // output tokens of complete answers, by second after start
 }
 
 func newMeter(start time.Time, from, to time.Duration) *meter {
@@ -53,10 +53,10 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(longestValue, max(1, d.Microseconds()))) // within bounds
+	_ = h.RecordValue(min(longestValue, max(1, d.Microseconds()))) // cannot fail: within the bounds of the histogram
 }
 
-// send counts a request in; latency counts from its intended time.
+// send counts a sent request. Latency is measured from its intended send time.
 func (m *meter) send(a arrival) {
 	if !m.measured(m.start.Add(a.at)) {
 		return
@@ -67,8 +67,8 @@
 	m.offered[a.organisation] += float64(a.tokens + a.promptTokens)
 }
 
-// token takes one token of a stream; last is when the one before came, zero
-// for the first.
+// token records one token of a stream. last is the time of the previous token,
+// zero for the first one.
 func (m *meter) token(a arrival, now, last time.Time) {
 	if !m.measured(now) {
 		return
@@ -85,7 +85,7 @@
 	m.stall += max(0, gap-stallAfter)
 }
 
-// whole counts a whole answer.
+// whole counts a complete answer.
 func (m *meter) whole(a arrival, tokens int, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -100,7 +100,7 @@
 	m.served[a.organisation] += float64(tokens + a.promptTokens)
 }
 
-// ended counts a request that ended without its whole answer.
+// ended counts a request that ended without a complete answer.
 func (m *meter) ended(a arrival, refusal *contract.Refusal, now time.Time) {
 	if !m.measured(m.start.Add(a.at)) {
 		return
--- a/bench/network.go
+++ b/bench/network.go
@@ -12,15 +12,15 @@
 	"github.com/papayasail/papayasail/link"
 )
 
-// topology knows where each address is, how far places are apart, and which
-// links are cut off for now.
+// topology stores the failure domain of each address and the faults of links
+// and connections. Latencies are those of the site.
 type topology struct {
 	site site
 
-	mu      sync.Mutex // guards all below
-	domains map[string]string
-	stalled map[string]time.Time // by failure domain: no data passes until then
-	silent  map[string]time.Time // by address: connections opened before are dead
+	mu      sync.Mutex           // guards all below
+	domains map[string]string    // failure domains by address
+	stalled map[string]time.Time // by failure domain; no data passes before this time
+	silent  map[string]time.Time // by address; connections opened before this time lose all data
 }
 
 func newTopology(s site) *topology {
@@ -39,22 +39,23 @@
 	return t.domains[address]
 }
 
-// stall holds up all data from and to a failure domain for a while.
+// stall delays all data from and to a failure domain until d has passed.
 func (t *topology) stall(domain string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.stalled[domain] = time.Now().Add(d)
 }
 
-// silence makes every connection to an address that is open now go silent for
-// good; new ones work.
+// silence drops all further data on the currently open connections to an
+// address. New connections work.
 func (t *topology) silence(address string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.silent[address] = time.Now()
 }
 
-// passes returns when data on a connection may pass; false: never.
+// passes returns the time at which data that is due at a given time is
+// delivered on a connection, and false if the data is lost.
 func (t *topology) passes(c *delayedConn, at time.Time) (time.Time, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,8 +70,8 @@
 	return at, true
 }
 
-// network is the loopback network as one machine sees it: TCP, with the
-// latency of its place added by the side that dials.
+// network is the loopback network of one machine. The dialling side adds the
+// latency between the failure domains to both directions of a connection.
 type network struct {
 	link.TCP
 	topology *topology
@@ -103,7 +104,7 @@
 	err  error
 }
 
-// delayedConn delays what is read and written by the latency of the link.
+// delayedConn delays reads and writes by the latency of the link.
 type delayedConn struct {
 	net.Conn
 	topology *topology
@@ -114,15 +115,16 @@
 	chunks   chan chunk
 	closed   chan struct{}
 	once     sync.Once
-	rest     []byte // of the chunk being read; used by Read only
-	failed   error  // used by Read only
+	rest     []byte // unread part of the current chunk; used by Read only
+	failed   error  // error that ended the stream; used by Read only
 
-	mu       sync.Mutex // guards deadline
-	deadline time.Time  // of Read
-	wake     chan struct{}
+	mu       sync.Mutex    // guards all below
+	deadline time.Time     // of Read
+	wake     chan struct{} // closed when deadline changes
 }
 
-// pump reads ahead and stamps what it reads with the time it is due.
+// pump reads ahead from the connection and adds to each chunk the time at which
+// it is due.
 func (c *delayedConn) pump() {
 	defer close(c.chunks)
 	buffer := make([]byte, chunkBytes)
@@ -157,8 +159,8 @@
 	return n, nil
 }
 
-// receive waits for the next chunk and until it is due. A deadline that passes
-// ends the wait and leaves the chunk for the next call.
+// receive waits for the next chunk and then until the chunk is due. The read
+// deadline ends the wait for a chunk, which then remains for the next call.
 func (c *delayedConn) receive() error {
 	for {
 		deadline, wake := c.readDeadline()
@@ -186,8 +188,8 @@
 	}
 }
 
-// take waits until a chunk is due; false: the connection is silent and the
-// chunk is lost.
+// take waits until a chunk is due and makes it the current one. It returns false
+// if the connection is silenced and the chunk is lost.
 func (c *delayedConn) take(next chunk) bool {
 	due, ok := c.topology.passes(c, next.due)
 	if !ok {
@@ -211,7 +213,7 @@
 func (c *delayedConn) Write(p []byte) (int, error) {
 	due, ok := c.topology.passes(c, time.Now().Add(c.delay))
 	if !ok {
-		return len(p), nil // swallowed, as by a middlebox that forgot the connection
+		return len(p), nil // dropped, as by a middlebox that has lost the state of the connection
 	}
 	if wait := time.Until(due); wait > 0 {
 		time.Sleep(wait)
@@ -242,7 +244,7 @@
 	return c.Conn.Close()
 }
 
-// timeoutError is what net.Conn returns after a deadline.
+// timeoutError is the net.Error that Read returns after its deadline.
 type timeoutError struct{}
 
 func (timeoutError) Error() string   { return "bench: i/o timeout" }
--- a/bench/oracle.go
+++ b/bench/oracle.go
@@ -9,7 +9,7 @@
 	"github.com/papayasail/papayasail/fake/engine"
 )
 
-// Broken promises that the oracle counts.
+// Kinds of violation that the oracle counts. They are keys in the result file.
 const (
 	brokenToken    = "token wrong, doubled, lost or out of order"
 	brokenMixed    = "tokens of two generations in one answer"
@@ -19,16 +19,17 @@
 	brokenRepeated = "non-idempotent request ran twice"
 )
 
-// oracle checks each answer against what engines say and have run.
+// oracle checks the answers that callers received against the runs of the
+// engines.
 type oracle struct {
 	seed       uint64
 	idempotent bool
 
-	mu     sync.Mutex // guards all below
-	broken map[string]int
-	sample []string                 // a few of them, in words
-	from   map[int]string           // generation that answered a request
-	notRun map[int]contract.Outcome // requests told that they did not run
+	mu     sync.Mutex               // guards all below
+	broken map[string]int           // number of violations by kind
+	sample []string                 // descriptions of the first violations
+	from   map[int]string           // id of the generation that answered a request, by its number
+	notRun map[int]contract.Outcome // requests with the outcome not run, by number
 }
 
 const maxSamples = 5
@@ -46,16 +47,16 @@
 	}
 }
 
-// answer checks the tokens of one answer as they come.
+// answer checks the tokens of one answer as they arrive.
 type answer struct {
 	oracle     *oracle
 	number     int
 	generation string
-	next       int
-	bad        bool
+	next       int  // expected index of the next token
+	bad        bool // a wrong token was reported; further ones are not
 }
 
-// token checks one token.
+// token checks that a token is the next one of the answer's generation.
 func (a *answer) token(index int, text string) {
 	generation, _, _ := strings.Cut(text, ".")
 	if a.next == 0 {
@@ -72,7 +73,8 @@
 	a.next++
 }
 
-// whole checks an answer that was said to be whole.
+// whole checks the length of an answer that ended as complete, and records its
+// generation.
 func (a *answer) whole(expected int) {
 	if a.next != expected {
 		a.oracle.report(brokenLength, a.number, fmt.Sprintf("%d tokens, asked for %d", a.next, expected))
@@ -82,7 +84,7 @@
 	a.oracle.from[a.number] = a.generation
 }
 
-// refused notes what a request without its whole answer was told.
+// refused records the outcome of a request without a complete answer.
 func (o *oracle) refused(number int, outcome contract.Outcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -91,7 +93,8 @@
 	}
 }
 
-// settle compares with what the engines ran, after everything has ended.
+// settle compares the answers and outcomes with the runs of the engines. Call it
+// after all requests have ended.
 func (o *oracle) settle(engines []*engineServer, all []arrival) {
 	runs := map[string]int{}          // by tag
 	prompts := map[string]string{}    // tag by generation
--- a/bench/plot.go
+++ b/bench/plot.go
@@ -19,9 +19,9 @@
 	barWidth   = 14
 )
 
-// Plot draws a result that Run wrote: bars of the main figures by policy for
-// each load, and goodput over time. It returns the PNG files, which stand
-// beside the result.
+// Plot draws charts of a result file written by Run: bar charts of the main
+// figures by policy and load, and goodput over time. It writes them as PNG files
+// next to the result file and returns their names.
 func Plot(file string) ([]string, error) {
 	report, err := Load(file)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return append(files, name), nil
 }
 
-// figure is one value of a cell that is drawn.
+// figure is a value of a cell for which Plot draws a bar chart.
 type figure struct {
 	name, label string
 	value       func(Cell) float64
@@ -82,7 +82,7 @@
 	return errors.Wrap(p.Save(plotWidth, plotHeight, file), "bench: plot")
 }
 
-// curves draws goodput over time, by policy, for the first load and seed.
+// curves draws goodput over time by policy, for the first load and seed only.
 func (r *Report) curves(file string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s, faults %s %s", r.Site, r.Faults, r.Burst)
--- a/bench/result.go
+++ b/bench/result.go
@@ -13,7 +13,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Quantiles of a latency, ms.
+// Quantiles are quantiles of a latency, in ms.
 type Quantiles struct {
 	P50  float64 `json:"p50"`
 	P95  float64 `json:"p95"`
@@ -22,26 +22,27 @@
 	Max  float64 `json:"max"`
 }
 
-// Cell holds the figures of one policy at one load with one seed. Times count
-// from the intended send; figures cover the measured window.
+// Cell contains the figures of one policy at one load with one seed. Latencies
+// are measured from the intended send time; figures cover the measured window.
 type Cell struct {
 	Policy       string         `json:"policy"`
 	Load         float64        `json:"load"`
 	Seed         uint64         `json:"seed"`
 	MeasuredS    float64        `json:"measured_s"`
 	Sent         int            `json:"sent"`
-	Answers      int            `json:"answers"`     // whole ones
-	Goodput      float64        `json:"goodput"`     // tokens/s of whole answers
-	Delivered    float64        `json:"delivered"`   // tokens/s that reached callers
-	StallS       float64        `json:"stall_s"`     // beyond 250 ms a gap, all streams
-	Preemptions  int            `json:"preemptions"` // as the engines count them
+	Answers      int            `json:"answers"`     // complete answers
+	Goodput      float64        `json:"goodput"`     // tokens/s of complete answers
+	Delivered    float64        `json:"delivered"`   // tokens/s that callers received
+	StallS       float64        `json:"stall_s"`     // sum of the parts of gaps above 250 ms, all streams
+	Preemptions  int            `json:"preemptions"` // as counted by the engines
 	Gap          Quantiles      `json:"gap_ms"`
 	First        Quantiles      `json:"first_token_ms"`
 	RefusedAfter Quantiles      `json:"refused_after_ms"`
-	Outcomes     map[string]int `json:"outcomes"` // of requests without their whole answer
-	// SmallestShare and LeastShare are the tokens served over the fair part
-	// of what was served in all (weighted max-min over what was asked for), of
-	// the smallest organisation and of the worst served one.
+	Outcomes     map[string]int `json:"outcomes"` // requests without a complete answer, by outcome/reason
+	// SmallestShare and LeastShare are the ratio of the tokens served to the
+	// fair share of all tokens served, for the smallest organisation and for
+	// the one with the lowest ratio. The fair share is the weighted max-min
+	// division over the tokens requested.
 	SmallestShare float64        `json:"smallest_share"`
 	LeastShare    float64        `json:"least_share"`
 	Broken        int            `json:"broken_promises"`
@@ -50,7 +51,7 @@
 	PerSecond     []float64      `json:"goodput_per_second"`
 }
 
-// cell sums up what was measured.
+// cell returns the figures of the run.
 func (c *cellRun) cell(preemptions int) Cell {
 	m := c.meter
 	m.mu.Lock()
@@ -74,8 +75,9 @@
 	return Quantiles{P50: at(50), P95: at(95), P99: at(99), P999: at(99.9), Max: at(100)}
 }
 
-// fairness compares what organisations were served with the weighted max-min
-// fair division of the same total over what they asked for.
+// fairness compares the tokens served to organisations with the weighted max-min
+// fair division of the same total over the tokens requested. It returns the
+// ratio for the smallest organisation and the lowest ratio.
 func fairness(offered, served map[int]float64) (smallest, least float64) {
 	total := 0.0
 	for _, tokens := range served {
@@ -96,8 +98,9 @@
 	return smallest, least
 }
 
-// fairDivision gives each organisation what it asks for, or its weighted part
-// of what is left when that is less.
+// fairDivision returns the weighted max-min fair division of total: each
+// organisation receives the tokens it requested, or its weighted part of the
+// remaining tokens if that is less.
 func fairDivision(offered map[int]float64, total float64) map[int]float64 {
 	fair := map[int]float64{}
 	open := make([]int, 0, len(offered))
@@ -118,7 +121,8 @@
 	return fair
 }
 
-// writeTable prints the cells for people: one row for each, by load.
+// writeTable prints the cells as a table, one row per cell, and the sampled
+// violations.
 func (r *Report) writeTable(w io.Writer) {
 	fmt.Fprintf(w, "\n%s, faults %s, reports %d ms old, %.0f%% of them lost; %d policies at once on %d cores\n", r.Site, r.Faults, r.LagMs, 100*r.Loss, r.Parallel, r.Cores)
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
--- a/bench/site.go
+++ b/bench/site.go
@@ -14,38 +14,40 @@
 	SiteTaoyuan = "taoyuan"
 )
 
-// site is the shape of a deployment and of its load.
+// site describes the layout of a deployment and its load.
 type site struct {
 	name        string
 	service     string
 	domains     []string
-	between     time.Duration // one way between failure domains
-	toCallers   time.Duration // one way
+	between     time.Duration // one-way latency between failure domains
+	toCallers   time.Duration // one-way latency between callers and hosts
 	entryHosts  int
 	workers     int
-	idempotent  bool // generations may be started again
+	idempotent  bool // whether generations may run more than once
 	engine      engine.Config
 	prompts     lengths
 	outputs     lengths
-	prefixes    int // distinct prompt prefixes of one organisation
-	shares      []float64
-	peakTokens  float64 // output tokens/s of the whole site that count as load 1
+	prefixes    int       // distinct prompt prefixes of one organisation
+	shares      []float64 // fractions of the requests, by organisation
+	peakTokens  float64   // output tokens/s of the whole site at load 1
 	firstToken  time.Duration
 	queue       time.Duration
 	targetGap   time.Duration
 	placingRisk float64
-	// pollsPerSecond is the rate of load questions of a host; 0: the default.
+	// pollsPerSecond is the rate at which a host polls engines for their load;
+	// 0 means the default.
 	pollsPerSecond float64
 }
 
-// lengths is a log-normal distribution, tokens.
+// lengths is a truncated log-normal distribution, in tokens.
 type lengths struct {
 	median float64
 	sigma  float64
 	most   int
 }
 
-// tenOrganisations has a few large ones.
+// tenOrganisations are the request fractions of ten organisations, a few of them
+// large.
 var tenOrganisations = []float64{0.35, 0.2, 0.15, 0.08, 0.06, 0.05, 0.04, 0.03, 0.02, 0.02}
 
 var sites = map[string]site{
@@ -69,7 +71,7 @@
 	},
 }
 
-// Sites lists the names that Options.Site takes.
+// Sites returns the valid values of Options.Site.
 func Sites() []string { return []string{SiteAkarsu, SiteTaoyuan} }
 
 func siteNamed(name string) (site, error) {
@@ -83,8 +85,8 @@
 // domain returns the failure domain of the i-th machine of a kind.
 func (s site) domain(i int) string { return s.domains[i%len(s.domains)] }
 
-// latency returns the one-way latency between two failure domains; callers
-// are a place of their own.
+// latency returns the one-way latency between two failure domains. callers
+// counts as a separate domain.
 func (s site) latency(from, to string) time.Duration {
 	switch {
 	case from == callers || to == callers:
@@ -95,5 +97,5 @@
 	return s.between
 }
 
-// callers stands for where callers are.
+// callers is the pseudo failure domain of callers.
 const callers = "callers"
