--- a/proof/action.go
+++ b/proof/action.go
@@ -32,10 +32,10 @@
 	"letter":           func(w *World, a Action) bool { return w.newRequest(Letter, a) },
 	"verdict":          func(w *World, a Action) bool { return w.newRequest(Verdict, a) },
 	"reading":          func(w *World, a Action) bool { return w.newRequest(Reading, a) },
-	"client narrative": func(w *World, a Action) bool { return w.byClient(Narrative, a) },
-	"client letter":    func(w *World, a Action) bool { return w.byClient(Letter, a) },
-	"client verdict":   func(w *World, a Action) bool { return w.byClient(Verdict, a) },
-	"client reading":   func(w *World, a Action) bool { return w.byClient(Reading, a) },
+	"client narrative": func(w *World, a Action) bool { return w.newClientRequest(Narrative, a) },
+	"client letter":    func(w *World, a Action) bool { return w.newClientRequest(Letter, a) },
+	"client verdict":   func(w *World, a Action) bool { return w.newClientRequest(Verdict, a) },
+	"client reading":   func(w *World, a Action) bool { return w.newClientRequest(Reading, a) },
 	"repeat same":      func(w *World, a Action) bool { return w.repeat(a, true) },
 	"repeat elsewhere": func(w *World, a Action) bool { return w.repeat(a, false) },
 	"repeat changed":   repeatChanged,
@@ -62,7 +62,7 @@
 	"pause engine":     pauseEngine,
 	"platform out":     platformOut,
 	"platform in":      platformIn,
-	"wait":             waitABit,
+	"wait":             waitBriefly,
 }
 
 // Do executes an action and counts it if it applied.
@@ -85,18 +85,18 @@
 	return true
 }
 
-// byClient sends a new request through the client library.
-func (w *World) byClient(kind Kind, a Action) bool {
-	w.sendByClient(kind, a, func(*Request, error) {})
+// newClientRequest sends a new request through the client library.
+func (w *World) newClientRequest(kind Kind, a Action) bool {
+	w.sendWithClient(kind, a, func(*Request, error) {})
 	return true
 }
 
 // NewRequest prepares a request without sending it. If the kind requires a
-// key, NewRequest queries host ask for the home of host of.
-func (w *World) NewRequest(kind Kind, tokens int, ask, of *HostSlot) (*Request, error) {
+// key, NewRequest queries host via for the home of host target.
+func (w *World) NewRequest(kind Kind, tokens int, via, target *HostSlot) (*Request, error) {
 	r := &Request{Kind: kind, Tokens: tokens, Body: w.Oracle.newBody()}
 	if kind == Letter || kind == Verdict {
-		home, err := w.Home(ask, of)
+		home, err := w.Home(via, target)
 		if err != nil {
 			return nil, err
 		}
@@ -105,25 +105,25 @@
 	return r, nil
 }
 
-// pick returns the n-th earlier request, modulo their number, for which passes
-// returns true; nil if there is none.
-func (w *World) pick(n int, passes func(*Request) bool) *Request {
-	var fitting []*Request
+// pickRequest returns the n-th earlier request, modulo their number, for which
+// matches returns true; nil if there is none.
+func (w *World) pickRequest(n int, matches func(*Request) bool) *Request {
+	var matching []*Request
 	for _, r := range w.Oracle.Requests() {
-		if passes(r) {
-			fitting = append(fitting, r)
+		if matches(r) {
+			matching = append(matching, r)
 		}
 	}
-	if len(fitting) == 0 {
+	if len(matching) == 0 {
 		return nil
 	}
-	return fitting[n%len(fitting)]
+	return matching[n%len(matching)]
 }
 
 func hasKey(r *Request) bool { return r.Key != "" }
 
 func (w *World) repeat(a Action, same bool) bool {
-	r := w.pick(a.A, hasKey)
+	r := w.pickRequest(a.A, hasKey)
 	if r == nil {
 		return false
 	}
@@ -136,7 +136,7 @@
 }
 
 func repeatChanged(w *World, a Action) bool {
-	r := w.pick(a.A, hasKey)
+	r := w.pickRequest(a.A, hasKey)
 	if r == nil {
 		return false
 	}
@@ -145,13 +145,13 @@
 }
 
 func resumeElsewhere(w *World, a Action) bool {
-	r := w.pick(a.A, func(r *Request) bool { return !r.byClient && w.Oracle.lastEvent(r) != "" })
+	r := w.pickRequest(a.A, func(r *Request) bool { return !r.usesClient && w.Oracle.lastEvent(r) != "" })
 	return r != nil && w.Resume(r, w.host(a.B)) != nil
 }
 
 func abandon(w *World, a Action) bool {
-	attempt := w.Oracle.running(a.A)
-	if attempt == nil || attempt.Request.byClient {
+	attempt := w.Oracle.runningAttempt(a.A)
+	if attempt == nil || attempt.Request.usesClient {
 		return false
 	}
 	attempt.Abandon()
@@ -216,19 +216,19 @@
 		from, to = to, from
 	}
 	do(from, to)
-	w.faulty = true
+	w.linkFault = true
 	return true
 }
 
 func heal(w *World, _ Action) bool {
-	was := w.faulty
+	hadFaults := w.linkFault
 	w.Fabric.HealAll()
-	w.faulty = false
-	return was
+	w.linkFault = false
+	return hadFaults
 }
 
 func crossAnswers(w *World, a Action) bool {
-	e := w.Models[a.A%len(w.Models)].Engine()
+	e := w.Engines[a.A%len(w.Engines)].Engine()
 	switch a.B % 3 {
 	case 0:
 		e.CrossAnswers(1 + a.N%2)
@@ -258,13 +258,13 @@
 	addresses := w.backendAddresses()
 	address := addresses[server%len(addresses)]
 	body := fmt.Sprintf(`{"end":%t,"change_id":%q}`, end, w.Oracle.newBody())
-	ctx, cancel := context.WithTimeout(context.Background(), silenceLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), idleTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at.Address()+"/v1/operator/backend_servers/"+address+"/drain", strings.NewReader(body))
 	if err != nil {
 		return false
 	}
-	request.Header.Set("Authorization", "Bearer "+operator)
+	request.Header.Set("Authorization", "Bearer "+operatorToken)
 	request.Header.Set("Content-Type", "application/json")
 	response, err := w.http.Do(request)
 	if err != nil {
@@ -276,7 +276,7 @@
 
 func (w *World) backendAddresses() []string {
 	var addresses []string
-	for _, slot := range w.Models {
+	for _, slot := range w.Engines {
 		addresses = append(addresses, slot.Address())
 	}
 	for _, slot := range w.Plains {
@@ -286,7 +286,7 @@
 }
 
 func killEngine(w *World, a Action) bool {
-	slot := w.Models[a.A%len(w.Models)]
+	slot := w.Engines[a.A%len(w.Engines)]
 	if slot.Engine().Closed() {
 		return false
 	}
@@ -295,7 +295,7 @@
 }
 
 func reclaimEngine(w *World, a Action) bool {
-	e := w.Models[a.A%len(w.Models)].Engine()
+	e := w.Engines[a.A%len(w.Engines)].Engine()
 	if e.Closed() || e.Load().Leaving {
 		return false
 	}
@@ -304,16 +304,16 @@
 }
 
 func reviveEngine(w *World, a Action) bool {
-	for i := range w.Models {
-		if slot := w.Models[(a.A+i)%len(w.Models)]; slot.Engine().Closed() {
-			return slot.Revive() == nil
+	for i := range w.Engines {
+		if slot := w.Engines[(a.A+i)%len(w.Engines)]; slot.Engine().Closed() {
+			return slot.Repair() == nil
 		}
 	}
 	return false
 }
 
 func pauseEngine(w *World, a Action) bool {
-	e := w.Models[a.A%len(w.Models)].Engine()
+	e := w.Engines[a.A%len(w.Engines)].Engine()
 	e.Pause(a.N%2 == 0)
 	return true
 }
@@ -324,12 +324,12 @@
 }
 
 func platformIn(w *World, _ Action) bool {
-	was := w.Store.Faults() != store.Faults{}
+	hadFaults := w.Store.Faults() != store.Faults{}
 	w.Store.SetFaults(store.Faults{})
-	return was
+	return hadFaults
 }
 
-func waitABit(_ *World, a Action) bool {
+func waitBriefly(_ *World, a Action) bool {
 	time.Sleep(time.Duration(1<<a.N) * 50 * time.Millisecond)
 	return true
 }
--- a/proof/attempt.go
+++ b/proof/attempt.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	silenceLimit = 5 * time.Second  // without data, after which a caller treats its connection as failed
-	attemptLimit = 75 * time.Second // after which a caller cancels an attempt
+	idleTimeout    = 5 * time.Second  // without data, after which a caller treats its connection as failed
+	attemptTimeout = 75 * time.Second // after which a caller cancels an attempt
 )
 
 // Kind is the type of work that a request is for.
@@ -39,9 +39,9 @@
 	Body   string // unique, so that runs on backend servers can be matched to the request
 	Tokens int    // length of the generation
 	Key    string // idempotency key; empty if the kind requires none
-	// byClient reports whether the client library sends the request, in which
+	// usesClient reports whether the client library sends the request, in which
 	// case the library creates the keys.
-	byClient bool
+	usesClient bool
 
 	// The oracle's mutex guards the rest.
 	attempts   []*Attempt
@@ -52,20 +52,20 @@
 
 // Attempt is one transmission of a request to one entry host.
 type Attempt struct {
-	Request *Request
-	Host    string
-	resumed bool
-	from    int // expected offset of the first token
-	began   time.Time
-	ranThen int // runs of the request when the attempt began
-	cancel  context.CancelFunc
+	Request     *Request
+	Host        string
+	resumed     bool
+	from        int // expected offset of the first token
+	startedAt   time.Time
+	runsAtStart int // runs of the request when the attempt began
+	cancel      context.CancelFunc
 
 	// The oracle's mutex guards the rest.
 	next    int // offset of the next token
 	ended   bool
 	Outcome contract.Outcome // set when ended is true
 	Reason  contract.Reason  // reason of the refusal; empty if the connection failed
-	Took    time.Duration
+	Elapsed time.Duration
 	detail  string
 }
 
@@ -75,7 +75,7 @@
 
 // Send starts an attempt at a host and returns without waiting for its end.
 func (w *World) Send(r *Request, host *HostSlot) *Attempt {
-	return w.launch(&Attempt{Request: r, Host: host.Address()})
+	return w.startAttempt(&Attempt{Request: r, Host: host.Address()})
 }
 
 // SendChanged sends a different request with the key of an earlier one.
@@ -89,13 +89,13 @@
 	if w.Oracle.lastEvent(r) == "" {
 		return nil
 	}
-	return w.launch(&Attempt{Request: r, Host: host.Address(), resumed: true})
+	return w.startAttempt(&Attempt{Request: r, Host: host.Address(), resumed: true})
 }
 
-func (w *World) launch(a *Attempt) *Attempt {
-	ctx, cancel := context.WithTimeout(context.Background(), attemptLimit)
+func (w *World) startAttempt(a *Attempt) *Attempt {
+	ctx, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 	a.cancel = cancel
-	lastEvent := w.Oracle.begin(a)
+	lastEvent := w.Oracle.beginAttempt(a)
 	w.callers.Go(func() {
 		defer cancel()
 		var refusal *contract.Refusal
@@ -104,7 +104,7 @@
 		} else {
 			refusal = w.call(ctx, a)
 		}
-		w.Oracle.end(a, refusal)
+		w.Oracle.endAttempt(a, refusal)
 	})
 	return a
 }
@@ -112,18 +112,18 @@
 // Abandon closes the caller's connection.
 func (a *Attempt) Abandon() { a.cancel() }
 
-// broken returns the result of an attempt whose connection failed. Its outcome
-// is unknown to the caller.
-func broken(err error) *contract.Refusal {
+// connectionFailure returns the result of an attempt whose connection failed.
+// Its outcome is unknown to the caller.
+func connectionFailure(err error) *contract.Refusal {
 	return &contract.Refusal{Outcome: contract.OutcomeUnknown, Err: err}
 }
 
-func (w *World) request(ctx context.Context, a *Attempt, method, path string, body string) (*http.Request, error) {
+func (w *World) newHTTPRequest(ctx context.Context, a *Attempt, method, path string, body string) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+a.Host+path, strings.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	request.Header.Set("Authorization", "Bearer "+token)
+	request.Header.Set("Authorization", "Bearer "+callerToken)
 	if a.Request.Key != "" {
 		request.Header.Set(relay.HeaderKey, a.Request.Key)
 	}
@@ -140,36 +140,36 @@
 		service = ServiceLetters
 	}
 	body, _ := json.Marshal(relay.GenerateRequest{Prompt: a.Request.Body, StopAfter: a.Request.Tokens})
-	request, err := w.request(ctx, a, http.MethodPost, "/v1/services/"+service+"/generations", string(body))
+	request, err := w.newHTTPRequest(ctx, a, http.MethodPost, "/v1/services/"+service+"/generations", string(body))
 	if err != nil {
-		return broken(err)
+		return connectionFailure(err)
 	}
 	if a.resumed {
 		request.Header.Set(relay.HeaderLastEventID, lastEvent)
 	}
 	response, err := w.http.Do(request)
 	if err != nil {
-		return broken(err)
+		return connectionFailure(err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return w.problem(a, response)
+		return w.readProblem(a, response)
 	}
-	silent := time.AfterFunc(silenceLimit, cancel)
+	silent := time.AfterFunc(idleTimeout, cancel)
 	defer silent.Stop()
 	lines := bufio.NewScanner(response.Body)
 	var event sseEvent
 	for lines.Scan() {
-		silent.Reset(silenceLimit)
+		silent.Reset(idleTimeout)
 		if !event.line(lines.Text()) {
 			continue
 		}
-		if done, refusal := w.take(a, event); done {
+		if done, refusal := w.handleEvent(a, event); done {
 			return refusal
 		}
 		event = sseEvent{}
 	}
-	return broken(lines.Err())
+	return connectionFailure(lines.Err())
 }
 
 // sseEvent is one server-sent event.
@@ -189,35 +189,35 @@
 	return line == "" && e.name != ""
 }
 
-// take handles one event. It reports whether the event ends the stream, and
-// returns the refusal of an error event.
-func (w *World) take(a *Attempt, event sseEvent) (bool, *contract.Refusal) {
+// handleEvent handles one event. It reports whether the event ends the stream,
+// and returns the refusal of an error event.
+func (w *World) handleEvent(a *Attempt, event sseEvent) (bool, *contract.Refusal) {
 	if event.name == relay.EventError {
 		return true, parseProblem([]byte(event.data))
 	}
 	var token relay.TokenEvent
 	if err := json.Unmarshal([]byte(event.data), &token); err != nil {
-		w.Oracle.fail("%s: cannot decode event %q", a.Request.Body, event.data)
-		return true, broken(err)
+		w.Oracle.reportViolation("%s: cannot decode event %q", a.Request.Body, event.data)
+		return true, connectionFailure(err)
 	}
 	if event.name == relay.EventEnd {
-		w.Oracle.whole(a, token)
+		w.Oracle.checkEnd(a, token)
 		return true, nil
 	}
-	w.Oracle.token(a, event.id, token)
+	w.Oracle.addToken(a, event.id, token)
 	return false, nil
 }
 
-// problem reads a refusal. Every refusal has to be a problem document with an
-// outcome and a reason; the oracle records any other as a violation.
-func (w *World) problem(a *Attempt, response *http.Response) *contract.Refusal {
+// readProblem reads a refusal. Every refusal has to be a problem document with
+// an outcome and a reason; the oracle records any other as a violation.
+func (w *World) readProblem(a *Attempt, response *http.Response) *contract.Refusal {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return broken(err)
+		return connectionFailure(err)
 	}
 	refusal := parseProblem(body)
 	if refusal.Outcome != contract.OutcomeNotRun && refusal.Outcome != contract.OutcomeUnknown || refusal.Reason == "" {
-		w.Oracle.fail("%s: status %d without outcome and reason: %s", a.Request.Body, response.StatusCode, body)
+		w.Oracle.reportViolation("%s: status %d without outcome and reason: %s", a.Request.Body, response.StatusCode, body)
 	}
 	return refusal
 }
@@ -239,21 +239,21 @@
 	if a.Request.Kind == Reading {
 		method, path = http.MethodGet, plain.PathReadings
 	}
-	request, err := w.request(ctx, a, method, "/v1/services/"+ServiceRisk+"/call"+path, a.Request.Body)
+	request, err := w.newHTTPRequest(ctx, a, method, "/v1/services/"+ServiceRisk+"/call"+path, a.Request.Body)
 	if err != nil {
-		return broken(err)
+		return connectionFailure(err)
 	}
 	response, err := w.http.Do(request)
 	if err != nil {
-		return broken(err)
+		return connectionFailure(err)
 	}
 	defer response.Body.Close()
 	if response.Header.Get("Content-Type") == "application/problem+json" {
-		return w.problem(a, response)
+		return w.readProblem(a, response)
 	}
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return broken(err)
+		return connectionFailure(err)
 	}
 	w.checkAnswer(a, method, path, response.StatusCode, body)
 	return nil
@@ -268,20 +268,20 @@
 		want = plain.FailText
 	}
 	if string(body) != want {
-		w.Oracle.fail("%s: got status %d and %q", a.Request.Body, status, body)
+		w.Oracle.reportViolation("%s: got status %d and %q", a.Request.Body, status, body)
 	}
 }
 
-// Home queries host ask for the list of addresses and returns the home of host
-// of, which is the prefix of keys for that host.
-func (w *World) Home(ask, of *HostSlot) (string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), silenceLimit)
+// Home queries host via for the list of addresses and returns the home of host
+// target, which is the prefix of keys for that host.
+func (w *World) Home(via, target *HostSlot) (string, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), idleTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+ask.Address()+"/v1/addresses", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+via.Address()+"/v1/addresses", nil)
 	if err != nil {
 		return "", err
 	}
-	request.Header.Set("Authorization", "Bearer "+token)
+	request.Header.Set("Authorization", "Bearer "+callerToken)
 	response, err := w.http.Do(request)
 	if err != nil {
 		return "", err
@@ -294,9 +294,9 @@
 		return "", err
 	}
 	for _, address := range answer.Addresses {
-		if address.Host == of.Name {
+		if address.Host == target.Name {
 			return address.Home, nil
 		}
 	}
-	return "", fmt.Errorf("address list contains no home of %s", of.Name)
+	return "", fmt.Errorf("address list contains no home of %s", target.Name)
 }
--- a/proof/counts.go
+++ b/proof/counts.go
@@ -30,7 +30,7 @@
 	c.actions[verb]++
 }
 
-func (c *Counts) sequence(o *Oracle) {
+func (c *Counts) addSequence(o *Oracle) {
 	o.mu.Lock()
 	outcomes := maps.Clone(o.outcomes)
 	o.mu.Unlock()
@@ -56,8 +56,8 @@
 	return missing
 }
 
-// Reached returns how often an action applied.
-func (c *Counts) Reached(name string) int {
+// Applied returns how often an action applied.
+func (c *Counts) Applied(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.actions[name]
--- a/proof/gentle.go
+++ b/proof/gentle.go
@@ -26,32 +26,32 @@
 // the client library and returns the violations that the oracle found. A
 // request that does not succeed is a violation.
 func RunGentleSequence(actions []Action, counts *Counts) []string {
-	w, err := NewWorld(fleet, entryhost.DefaultPolicy)
+	w, err := NewWorld(defaultHosts, entryhost.DefaultPolicy)
 	if err != nil {
 		return []string{err.Error()}
 	}
 	for _, action := range actions {
-		if w.gentle(action) {
+		if w.doGentle(action) {
 			counts.add(action.Verb)
 		}
 	}
-	w.Await()
-	faults := w.Oracle.Check()
-	counts.sequence(w.Oracle)
+	w.AwaitCallers()
+	violations := w.Oracle.Check()
+	counts.addSequence(w.Oracle)
 	w.Close()
-	return faults
+	return violations
 }
 
 var requestKinds = map[string]Kind{"narrative": Narrative, "letter": Letter, "verdict": Verdict, "reading": Reading}
 
-func (w *World) gentle(a Action) bool {
+func (w *World) doGentle(a Action) bool {
 	if kind, ok := requestKinds[a.Verb]; ok {
-		w.sendByClient(kind, a, func(r *Request, err error) {
+		w.sendWithClient(kind, a, func(r *Request, err error) {
 			if err != nil {
-				w.Oracle.fail("%s: failed although no fault was injected: %v", r.Body, err)
+				w.Oracle.reportViolation("%s: failed although no fault was injected: %v", r.Body, err)
 			}
-			if ran := w.runs(r.Body); ran != 1 {
-				w.Oracle.fail("%s: ran %d times although no fault was injected, want 1", r.Body, ran)
+			if ran := w.runCount(r.Body); ran != 1 {
+				w.Oracle.reportViolation("%s: ran %d times although no fault was injected, want 1", r.Body, ran)
 			}
 		})
 		return true
@@ -80,32 +80,32 @@
 	return up
 }
 
-// sendByClient sends a new request through the client library and returns
+// sendWithClient sends a new request through the client library and returns
 // without waiting for its end. It calls check when the request has ended.
-func (w *World) sendByClient(kind Kind, a Action, check func(*Request, error)) {
-	attempt := &Attempt{Request: &Request{Kind: kind, Tokens: 5 + a.N*7, Body: w.Oracle.newBody(), byClient: true}}
-	w.Oracle.begin(attempt)
+func (w *World) sendWithClient(kind Kind, a Action, check func(*Request, error)) {
+	attempt := &Attempt{Request: &Request{Kind: kind, Tokens: 5 + a.N*7, Body: w.Oracle.newBody(), usesClient: true}}
+	w.Oracle.beginAttempt(attempt)
 	w.callers.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), 2*attemptLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), 2*attemptTimeout)
 		defer cancel()
-		err := w.askByClient(ctx, attempt)
+		err := w.requestWithClient(ctx, attempt)
 		var refusal *contract.Refusal
 		if err != nil && !errors.As(err, &refusal) {
-			refusal = broken(err)
+			refusal = connectionFailure(err)
 		}
-		w.Oracle.end(attempt, refusal)
+		w.Oracle.endAttempt(attempt, refusal)
 		check(attempt.Request, err)
 	})
 }
 
-func (w *World) askByClient(ctx context.Context, a *Attempt) error {
+func (w *World) requestWithClient(ctx context.Context, a *Attempt) error {
 	if a.Request.Kind == Narrative || a.Request.Kind == Letter {
-		return w.streamByClient(ctx, a)
+		return w.streamWithClient(ctx, a)
 	}
-	return w.callByClient(ctx, a)
+	return w.callWithClient(ctx, a)
 }
 
-func (w *World) streamByClient(ctx context.Context, a *Attempt) error {
+func (w *World) streamWithClient(ctx context.Context, a *Attempt) error {
 	service := ServiceNarratives
 	if a.Request.Kind == Letter {
 		service = ServiceLetters
@@ -118,17 +118,17 @@
 	for {
 		token, err := stream.Next()
 		if errors.Is(err, io.EOF) {
-			w.Oracle.whole(a, relay.TokenEvent{Tokens: stream.End().Tokens, FinishReason: stream.End().FinishReason})
+			w.Oracle.checkEnd(a, relay.TokenEvent{Tokens: stream.End().Tokens, FinishReason: stream.End().FinishReason})
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		w.Oracle.token(a, token.ID, relay.TokenEvent{Index: token.Index, Text: token.Text})
+		w.Oracle.addToken(a, token.ID, relay.TokenEvent{Index: token.Index, Text: token.Text})
 	}
 }
 
-func (w *World) callByClient(ctx context.Context, a *Attempt) error {
+func (w *World) callWithClient(ctx context.Context, a *Attempt) error {
 	method, path := http.MethodPost, plain.PathVerdicts
 	if a.Request.Kind == Reading {
 		method, path = http.MethodGet, plain.PathReadings
--- a/proof/oracle.go
+++ b/proof/oracle.go
@@ -18,21 +18,21 @@
 type Oracle struct {
 	world *World
 
-	mu       sync.Mutex // guards all below, and the fields of Request and Attempt that name it
-	requests []*Request
-	bodies   int
-	faults   []string
-	outcomes map[contract.Outcome]int
+	mu         sync.Mutex // guards all below, and the fields of Request and Attempt that name it
+	requests   []*Request
+	bodies     int
+	violations []string
+	outcomes   map[contract.Outcome]int
 }
 
 func newOracle(w *World) *Oracle {
 	return &Oracle{world: w, outcomes: map[contract.Outcome]int{}}
 }
 
-// begin records the start of an attempt and returns the id of the last event
-// that the caller received.
-func (o *Oracle) begin(a *Attempt) string {
-	ran := o.world.runs(a.Request.Body)
+// beginAttempt records the start of an attempt and returns the id of the last
+// event that the caller received.
+func (o *Oracle) beginAttempt(a *Attempt) string {
+	ran := o.world.runCount(a.Request.Body)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	r := a.Request
@@ -40,7 +40,7 @@
 		o.requests = append(o.requests, r)
 	}
 	r.attempts = append(r.attempts, a)
-	a.began, a.ranThen = time.Now(), ran
+	a.startedAt, a.runsAtStart = time.Now(), ran
 	if a.resumed {
 		a.from = r.received
 	}
@@ -48,9 +48,9 @@
 	return r.lastEvent
 }
 
-// token records a received token and checks that tokens arrive in order,
+// addToken records a received token and checks that tokens arrive in order,
 // without gaps and from one generation only.
-func (o *Oracle) token(a *Attempt, id string, token relay.TokenEvent) {
+func (o *Oracle) addToken(a *Attempt, id string, token relay.TokenEvent) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	r := a.Request
@@ -60,13 +60,13 @@
 	}
 	switch {
 	case token.Index != a.next:
-		o.faultf("%s: received token %d, want token %d", a.Request.Body, token.Index, a.next)
+		o.addViolation("%s: received token %d, want token %d", a.Request.Body, token.Index, a.next)
 	case generation != r.generation:
-		o.faultf("%s: received a token of generation %s after one of generation %s", a.Request.Body, generation, r.generation)
+		o.addViolation("%s: received a token of generation %s after one of generation %s", a.Request.Body, generation, r.generation)
 	case token.Text != engine.TokenText(generation, token.Index):
-		o.faultf("%s: token %d has the wrong text %q", a.Request.Body, token.Index, token.Text)
+		o.addViolation("%s: token %d has the wrong text %q", a.Request.Body, token.Index, token.Text)
 	case id == "":
-		o.faultf("%s: token %d has no event id", a.Request.Body, token.Index)
+		o.addViolation("%s: token %d has no event id", a.Request.Body, token.Index)
 	}
 	a.next = token.Index + 1
 	if a.next > r.received {
@@ -74,35 +74,35 @@
 	}
 }
 
-// whole checks that the end event counts all received tokens and that a
+// checkEnd checks that the end event counts all received tokens and that a
 // generation that finished with "stop" has the requested length.
-func (o *Oracle) whole(a *Attempt, end relay.TokenEvent) {
+func (o *Oracle) checkEnd(a *Attempt, end relay.TokenEvent) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if end.Tokens != a.next {
-		o.faultf("%s: end event counts %d tokens, caller received %d", a.Request.Body, end.Tokens, a.next)
+		o.addViolation("%s: end event counts %d tokens, caller received %d", a.Request.Body, end.Tokens, a.next)
 	}
 	if end.FinishReason == "stop" && end.Tokens != a.Request.Tokens {
-		o.faultf("%s: ended after %d of %d tokens", a.Request.Body, end.Tokens, a.Request.Tokens)
+		o.addViolation("%s: ended after %d of %d tokens", a.Request.Body, end.Tokens, a.Request.Tokens)
 	}
 }
 
-// end records how an attempt ended and checks that an outcome of "not run" is
-// correct: the request must not have run before the attempt began, and the
-// attempt must not have received tokens.
-func (o *Oracle) end(a *Attempt, refusal *contract.Refusal) {
+// endAttempt records how an attempt ended and checks that an outcome of "not
+// run" is correct: the request must not have run before the attempt began, and
+// the attempt must not have received tokens.
+func (o *Oracle) endAttempt(a *Attempt, refusal *contract.Refusal) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	a.ended, a.Outcome, a.Took = true, contract.OutcomeDone, time.Since(a.began)
+	a.ended, a.Outcome, a.Elapsed = true, contract.OutcomeDone, time.Since(a.startedAt)
 	if refusal != nil {
 		a.Outcome, a.Reason, a.detail = refusal.Outcome, refusal.Reason, refusal.Detail
 	}
 	o.outcomes[a.Outcome]++
-	if a.Outcome == contract.OutcomeNotRun && !a.resumed && a.ranThen > 0 {
-		o.faultf("%s: outcome not run (%s) although the request ran before the attempt", a.Request.Body, a.Reason)
+	if a.Outcome == contract.OutcomeNotRun && !a.resumed && a.runsAtStart > 0 {
+		o.addViolation("%s: outcome not run (%s) although the request ran before the attempt", a.Request.Body, a.Reason)
 	}
 	if a.Outcome == contract.OutcomeNotRun && a.next > a.from {
-		o.faultf("%s: outcome not run (%s) after %d tokens", a.Request.Body, a.Reason, a.next-a.from)
+		o.addViolation("%s: outcome not run (%s) after %d tokens", a.Request.Body, a.Reason, a.next-a.from)
 	}
 }
 
@@ -115,25 +115,25 @@
 		o.checkRuns(r)
 	}
 	o.checkKeys()
-	return append([]string(nil), o.faults...)
+	return append([]string(nil), o.violations...)
 }
 
 // checkRuns checks that work that is not idempotent ran at most once, that a
 // request did not run if all its attempts ended as "not run", and that a request
 // ran if one of its attempts ended as "done".
 func (o *Oracle) checkRuns(r *Request) {
-	runs, done, mayHaveRun := o.world.runs(r.Body), false, false
+	runs, done, mayHaveRun := o.world.runCount(r.Body), false, false
 	for _, a := range r.attempts {
 		done = done || a.Outcome == contract.OutcomeDone
 		mayHaveRun = mayHaveRun || a.Outcome != contract.OutcomeNotRun
 	}
 	switch {
 	case runs > 1 && (r.Kind == Letter || r.Kind == Verdict):
-		o.faultf("%s: ran %d times", r.Body, runs)
+		o.addViolation("%s: ran %d times", r.Body, runs)
 	case runs > 0 && !mayHaveRun:
-		o.faultf("%s: ran, but the outcome of every attempt is not run", r.Body)
+		o.addViolation("%s: ran, but the outcome of every attempt is not run", r.Body)
 	case runs == 0 && done:
-		o.faultf("%s: outcome done, but the request did not run", r.Body)
+		o.addViolation("%s: outcome done, but the request did not run", r.Body)
 	}
 }
 
@@ -141,25 +141,25 @@
 func (o *Oracle) checkKeys() {
 	ran := map[string]string{}
 	for _, r := range o.requests {
-		if r.Key == "" || o.world.runs(r.Body) == 0 {
+		if r.Key == "" || o.world.runCount(r.Body) == 0 {
 			continue
 		}
 		if other := ran[r.Key]; other != "" {
-			o.faultf("%s: ran, but %s ran with the same key", r.Body, other)
+			o.addViolation("%s: ran, but %s ran with the same key", r.Body, other)
 		}
 		ran[r.Key] = r.Body
 	}
 }
 
-func (o *Oracle) fail(format string, args ...any) {
+func (o *Oracle) reportViolation(format string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.faultf(format, args...)
+	o.addViolation(format, args...)
 }
 
-// faultf records a violated invariant. The caller must hold mu.
-func (o *Oracle) faultf(format string, args ...any) {
-	o.faults = append(o.faults, fmt.Sprintf(format, args...))
+// addViolation records a violated invariant. The caller must hold mu.
+func (o *Oracle) addViolation(format string, args ...any) {
+	o.violations = append(o.violations, fmt.Sprintf(format, args...))
 }
 
 func (o *Oracle) lastEvent(r *Request) string {
@@ -176,9 +176,9 @@
 	return fmt.Sprintf("request-%d", o.bodies)
 }
 
-// running returns the n-th attempt that has not ended, modulo their number; nil
-// if all have ended.
-func (o *Oracle) running(n int) *Attempt {
+// runningAttempt returns the n-th attempt that has not ended, modulo their
+// number; nil if all have ended.
+func (o *Oracle) runningAttempt(n int) *Attempt {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var running []*Attempt
@@ -195,7 +195,7 @@
 	return running[n%len(running)]
 }
 
-func (o *Oracle) received(r *Request) int {
+func (o *Oracle) receivedTokens(r *Request) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return r.received
@@ -208,24 +208,25 @@
 	return append([]*Request(nil), o.requests...)
 }
 
-// Ended returns how an attempt ended, and false if it has not ended.
-func (o *Oracle) Ended(a *Attempt) (contract.Outcome, contract.Reason, bool) {
+// AttemptResult returns how an attempt ended, and false if it has not ended.
+func (o *Oracle) AttemptResult(a *Attempt) (contract.Outcome, contract.Reason, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return a.Outcome, a.Reason, a.ended
 }
 
-// runs returns how often the request with this body ran on all backend servers.
-func (w *World) runs(body string) int {
+// runCount returns how often the request with this body ran on all backend
+// servers.
+func (w *World) runCount(body string) int {
 	count := 0
-	for _, slot := range w.Models {
-		for _, life := range slot.Lives() {
-			count += life.RunsOf(body)
+	for _, slot := range w.Engines {
+		for _, incarnation := range slot.Incarnations() {
+			count += incarnation.RunsOf(body)
 		}
 	}
 	for _, slot := range w.Plains {
-		for _, life := range slot.Lives() {
-			count += life.RunsOf(body)
+		for _, incarnation := range slot.Incarnations() {
+			count += incarnation.RunsOf(body)
 		}
 	}
 	return count
--- a/proof/proof_test.go
+++ b/proof/proof_test.go
@@ -19,7 +19,7 @@
 	ciSeed      = "20260101" // fixed, so that CI runs are reproducible
 	ciSequences = "1000"
 	shards      = 4 // sequences of one test that run concurrently
-	gentleShare = 4 // number of sequences with faults per gentle sequence
+	gentleRatio = 4 // number of sequences with faults per gentle sequence
 )
 
 // TestMain sets the default seed and number of sequences; flags override them,
@@ -46,8 +46,8 @@
 
 const (
 	uniformBits = 10
-	leastSteps  = 10
-	moreSteps   = 26
+	minSteps    = 10
+	extraSteps  = 26
 )
 
 // actionsOf generates sequences of the named verbs. Requests are more frequent
@@ -68,7 +68,7 @@
 		}
 	})
 	return rapid.Custom(func(t *rapid.T) []Action {
-		steps := leastSteps + uniform(moreSteps).Draw(t, "steps")
+		steps := minSteps + uniform(extraSteps).Draw(t, "steps")
 		return rapid.SliceOfN(action, steps, steps).Draw(t, "steps")
 	})
 }
@@ -90,12 +90,12 @@
 					if turn%stride != 0 && !failing {
 						return // another shard's sequence, or skipped
 					}
-					var broken []string
-					defer tellOfBlocked(t)
-					synctest.Test(t, func(*testing.T) { broken = play(actions, counts) })
-					if len(broken) > 0 {
+					var violations []string
+					defer logBlockedGoroutines(t)
+					synctest.Test(t, func(*testing.T) { violations = play(actions, counts) })
+					if len(violations) > 0 {
 						failing = true // rapid shrinks from here on, so every sequence has to run
-						rt.Fatalf("%s", strings.Join(broken, "\n"))
+						rt.Fatalf("%s", strings.Join(violations, "\n"))
 					}
 				})
 			})
@@ -104,9 +104,10 @@
 	return counts
 }
 
-// tellOfBlocked logs the stacks of goroutines that are still blocked in the
-// bubble when synctest panics with a deadlock; the panic does not include them.
-func tellOfBlocked(t *testing.T) {
+// logBlockedGoroutines logs the stacks of goroutines that are still blocked in
+// the bubble when synctest panics with a deadlock; the panic does not include
+// them.
+func logBlockedGoroutines(t *testing.T) {
 	cause := recover()
 	if cause == nil {
 		return
@@ -136,10 +137,10 @@
 // Guards against requests lost or run twice under load during graceful restarts, drains and
 // store outages: every request sent through the client library must succeed and run exactly once.
 func TestGentleSequencesLoseNothing(t *testing.T) {
-	counts := runSharded(t, gentleShare*shards, actionsOf(gentleVerbs), RunGentleSequence)
+	counts := runSharded(t, gentleRatio*shards, actionsOf(gentleVerbs), RunGentleSequence)
 	t.Logf("actions that applied:\n%s", counts)
 	for _, name := range gentleVerbs {
-		if counts.Reached(name) == 0 {
+		if counts.Applied(name) == 0 {
 			t.Errorf("action never applied: %s", name)
 		}
 	}
--- a/proof/rolling_test.go
+++ b/proof/rolling_test.go
@@ -21,20 +21,20 @@
 		counts := NewCounts()
 		for i, host := range w.Hosts {
 			for _, kind := range []string{"narrative", "letter", "verdict", "reading", "letter"} {
-				is.True(w.gentle(Action{Verb: kind, N: 7}))
+				is.True(w.doGentle(Action{Verb: kind, N: 7}))
 				time.Sleep(100 * time.Millisecond)
 			}
 			host.Restart()
-			is.True(w.gentle(Action{Verb: "letter", N: i}))
+			is.True(w.doGentle(Action{Verb: "letter", N: i}))
 			host.awaitStop()
 			time.Sleep(time.Second)
 		}
-		w.Await()
+		w.AwaitCallers()
 		is.Equal(len(w.Oracle.Check()), 0)
-		counts.sequence(w.Oracle)
+		counts.addSequence(w.Oracle)
 		w.Close()
 		for _, host := range w.Hosts {
-			is.Equal(host.lives, 2)
+			is.Equal(host.started, 2)
 		}
 		t.Log(counts)
 	})
--- a/proof/scenario_test.go
+++ b/proof/scenario_test.go
@@ -17,16 +17,16 @@
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata/scenarios", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			var account string
+			var output string
 			synctest.Test(t, func(t *testing.T) {
-				w, err := NewWorld(fleet, scenarioPolicy)
+				w, err := NewWorld(defaultHosts, scenarioPolicy)
 				if err != nil {
 					t.Fatal(err)
 				}
-				account = NewScript(w).Play(d.Input)
+				output = NewScript(w).Play(d.Input)
 				w.Close()
 			})
-			return account
+			return output
 		})
 	})
 }
--- a/proof/script.go
+++ b/proof/script.go
@@ -42,11 +42,11 @@
 // A machine M is named host-1, engine-1, plain-1, caller, or "server-of NAME"
 // for the backend server that runs a request.
 type Script struct {
-	world    *World
-	requests map[string]*Request
-	names    []string
-	marked   map[string]int // requests sent to each server before the mark
-	account  strings.Builder
+	world      *World
+	requests   map[string]*Request
+	names      []string
+	sentAtMark map[string]int // requests sent to each server before the mark
+	output     strings.Builder
 }
 
 // NewScript returns a script that runs in world w.
@@ -56,32 +56,32 @@
 func (s *Script) Play(steps string) string {
 	for _, line := range strings.Split(strings.TrimSpace(steps), "\n") {
 		if err := s.step(strings.Fields(line)); err != nil {
-			fmt.Fprintf(&s.account, "%s: %v\n", line, err)
+			fmt.Fprintf(&s.output, "%s: %v\n", line, err)
 		}
 	}
-	s.world.Await()
+	s.world.AwaitCallers()
 	s.report()
-	return s.account.String()
+	return s.output.String()
 }
 
 // report writes, for each request, how its attempts ended and how often it ran,
 // followed by the violations that the oracle found.
 func (s *Script) report() {
-	broken := s.world.Oracle.Check()
+	violations := s.world.Oracle.Check()
 	for _, name := range s.names {
 		r := s.requests[name]
 		var ends []string
 		for _, a := range r.attempts {
-			ends = append(ends, s.hostName(a.Host)+": "+a.end())
+			ends = append(ends, s.hostName(a.Host)+": "+a.result())
 		}
-		fmt.Fprintf(&s.account, "%s: %s; ran %s\n", name, strings.Join(ends, ", "), times(s.world.runs(r.Body)))
+		fmt.Fprintf(&s.output, "%s: %s; ran %s\n", name, strings.Join(ends, ", "), formatTimes(s.world.runCount(r.Body)))
 	}
-	for _, fault := range broken {
-		fmt.Fprintf(&s.account, "INVARIANT VIOLATED: %s\n", fault)
+	for _, violation := range violations {
+		fmt.Fprintf(&s.output, "INVARIANT VIOLATED: %s\n", violation)
 	}
 }
 
-func times(n int) string {
+func formatTimes(n int) string {
 	switch n {
 	case 0:
 		return "never"
@@ -91,9 +91,9 @@
 	return strconv.Itoa(n) + " times"
 }
 
-// end returns a description of how the attempt ended. Call it after the end of
-// the attempt.
-func (a *Attempt) end() string {
+// result returns a description of how the attempt ended. Call it after the end
+// of the attempt.
+func (a *Attempt) result() string {
 	switch {
 	case a.Outcome == contract.OutcomeDone && a.from > 0:
 		return "rest done"
@@ -142,7 +142,7 @@
 }
 
 func (s *Script) serverOf(r *Request) string {
-	for _, slot := range s.world.Models {
+	for _, slot := range s.world.Engines {
 		if slot.Engine().RunsOf(r.Body) > 0 {
 			return slot.Name
 		}
@@ -155,8 +155,8 @@
 	return ""
 }
 
-// after returns the word that follows a keyword, or "" if there is none.
-func after(words []string, keyword string) string {
+// wordAfter returns the word that follows a keyword, or "" if there is none.
+func wordAfter(words []string, keyword string) string {
 	if at := slices.Index(words, keyword); at >= 0 && at+1 < len(words) {
 		return words[at+1]
 	}
@@ -173,7 +173,7 @@
 }
 
 func (s *Script) engine(name string) *EngineSlot {
-	for _, slot := range s.world.Models {
+	for _, slot := range s.world.Engines {
 		if slot.Name == name {
 			return slot
 		}
@@ -206,7 +206,7 @@
 var kinds = map[string]Kind{"narrative": Narrative, "letter": Letter, "verdict": Verdict, "reading": Reading}
 
 func (s *Script) requestStep(words []string) (bool, error) {
-	at := s.host(after(words, "at"))
+	at := s.host(wordAfter(words, "at"))
 	if kind, ok := kinds[words[0]]; ok {
 		err := s.newRequest(kind, words, at)
 		if err == nil {
@@ -221,7 +221,7 @@
 		s.world.Send(s.requests[words[1]], at)
 	case "reuse":
 		a := s.world.SendChanged(s.requests[words[1]], at)
-		s.add(after(words, "as"), a.Request)
+		s.add(wordAfter(words, "as"), a.Request)
 	case "resume":
 		if s.world.Resume(s.requests[words[1]], at) == nil {
 			return true, fmt.Errorf("no token received yet")
@@ -244,7 +244,7 @@
 		}
 	}
 	home := at
-	if name := after(words, "home"); name != "" {
+	if name := wordAfter(words, "home"); name != "" {
 		home = s.host(name)
 	}
 	r, err := s.world.NewRequest(kind, tokens, at, home)
@@ -265,13 +265,13 @@
 	case "wait":
 		return true, s.wait(words[1])
 	case "await":
-		s.world.Await()
+		s.world.AwaitCallers()
 	case "until":
 		return true, s.until(words)
 	case "quick":
 		limit, err := time.ParseDuration(words[2])
 		attempts := s.requests[words[1]].attempts
-		if took := attempts[len(attempts)-1].Took; err == nil && took > limit {
+		if took := attempts[len(attempts)-1].Elapsed; err == nil && took > limit {
 			err = fmt.Errorf("took %s", took)
 		}
 		return true, err
@@ -299,7 +299,7 @@
 		want, _ = strconv.Atoi(words[3])
 	}
 	for range time.Minute / pollEvery {
-		if want > 0 && s.world.Oracle.received(r) >= want || want == 0 && s.world.runs(r.Body) > 0 {
+		if want > 0 && s.world.Oracle.receivedTokens(r) >= want || want == 0 && s.world.runCount(r.Body) > 0 {
 			return nil
 		}
 		time.Sleep(pollEvery)
@@ -310,11 +310,11 @@
 // newWork writes the number of requests sent to a server since the mark,
 // accepted or not.
 func (s *Script) newWork(name string) {
-	fmt.Fprintf(&s.account, "new work there: %d\n", s.workOn(name)-s.marked[name])
+	fmt.Fprintf(&s.output, "new work there: %d\n", s.sentTo(name)-s.sentAtMark[name])
 }
 
-// workOn returns the number of requests sent to a server so far.
-func (s *Script) workOn(name string) int {
+// sentTo returns the number of requests sent to a server so far.
+func (s *Script) sentTo(name string) int {
 	if e := s.engine(name); e != nil {
 		counters := e.Engine().Counters()
 		return int(counters.Started + counters.RefusedStarts)
@@ -327,12 +327,12 @@
 
 // mark records the number of requests sent to each server so far.
 func (s *Script) mark() {
-	s.marked = map[string]int{}
-	for _, slot := range s.world.Models {
-		s.marked[slot.Name] = s.workOn(slot.Name)
+	s.sentAtMark = map[string]int{}
+	for _, slot := range s.world.Engines {
+		s.sentAtMark[slot.Name] = s.sentTo(slot.Name)
 	}
 	for _, slot := range s.world.Plains {
-		s.marked[slot.Name] = s.workOn(slot.Name)
+		s.sentAtMark[slot.Name] = s.sentTo(slot.Name)
 	}
 }
 
@@ -394,7 +394,7 @@
 	return true, nil
 }
 
-var modes = map[string]plain.Mode{
+var callFaultModes = map[string]plain.Mode{
 	"refuse": plain.Refuse, "fail": plain.Fail, "cross": plain.Cross, "drop-before": plain.DropBefore,
 	"drop-after": plain.DropAfter, "late": plain.Late, "truncate": plain.Truncate,
 }
@@ -438,7 +438,7 @@
 	switch words[0] {
 	case "spoil":
 		p.Service().LateBy(15 * time.Second)
-		p.Service().Next(modes[words[2]])
+		p.Service().Next(callFaultModes[words[2]])
 	case "leave":
 		p.Service().Leave(true)
 	default:
@@ -450,7 +450,7 @@
 func (s *Script) drain(words []string) error {
 	addresses := s.world.backendAddresses()
 	at := slices.IndexFunc(addresses, func(address string) bool { return strings.HasPrefix(address, s.ip(words[1])+":") })
-	if !s.world.drain(s.host(after(words, "at")), at, false) {
+	if !s.world.drain(s.host(wordAfter(words, "at")), at, false) {
 		return fmt.Errorf("refused")
 	}
 	return nil
--- a/proof/slot.go
+++ b/proof/slot.go
@@ -16,16 +16,16 @@
 	"github.com/papayasail/papayasail/settings"
 )
 
-// lifeNetwork is the network of one incarnation of an entry host. The goroutines
-// of a killed incarnation still run in the test process, but must not reach
-// another machine.
-type lifeNetwork struct {
+// incarnationNetwork is the network of one incarnation of an entry host. The
+// goroutines of a killed incarnation still run in the test process, but must
+// not reach another machine.
+type incarnationNetwork struct {
 	link.Network
 	dead atomic.Bool
 }
 
 // Dial implements link.Network.
-func (n *lifeNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (n *incarnationNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
 	if n.dead.Load() {
 		return nil, syscall.ENETDOWN
 	}
@@ -43,19 +43,19 @@
 	Name  string
 	IP    string
 
-	mu     sync.Mutex // guards all below
-	life   *hostLife  // nil if none runs
-	lives  int        // number of incarnations started so far
-	frozen bool
+	mu      sync.Mutex       // guards all below
+	current *hostIncarnation // nil if none runs
+	started int              // number of incarnations started so far
+	frozen  bool
 }
 
-// hostLife is one incarnation of an entry host.
-type hostLife struct {
-	host    *entryhost.Host
-	network *lifeNetwork
-	cancel  context.CancelFunc
-	ended   chan struct{} // closed when the incarnation has ended
-	leaving bool          // a graceful stop has begun
+// hostIncarnation is one incarnation of an entry host.
+type hostIncarnation struct {
+	host     *entryhost.Host
+	network  *incarnationNetwork
+	cancel   context.CancelFunc
+	ended    chan struct{} // closed when the incarnation has ended
+	stopping bool          // a graceful stop has begun
 }
 
 // Address returns the address to which callers connect.
@@ -79,7 +79,7 @@
   - {name: duty, token_sha256: %s}
 organisations:
   - {name: dsi, token_sha256: %s}
-`, s.Name, s.Address(), s.IP, peerPort, peers, settings.HashToken(operator), settings.HashToken(token))
+`, s.Name, s.Address(), s.IP, peerPort, peers, settings.HashToken(operatorToken), settings.HashToken(callerToken))
 	return settings.Parse(s.Name, []byte(text))
 }
 
@@ -88,33 +88,33 @@
 	time.Sleep(time.Millisecond) // incarnation numbers are derived from the clock and must differ
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.life != nil {
+	if s.current != nil {
 		return nil
 	}
 	parsed, err := s.settings()
 	if err != nil {
 		return err
 	}
-	life := &hostLife{network: &lifeNetwork{Network: s.world.Fabric.Host(s.IP)}, ended: make(chan struct{})}
-	life.host, err = entryhost.New(entryhost.Options{Settings: parsed, Network: life.network, Store: s.world.Store, Policy: s.world.policy})
+	incarnation := &hostIncarnation{network: &incarnationNetwork{Network: s.world.Fabric.Host(s.IP)}, ended: make(chan struct{})}
+	incarnation.host, err = entryhost.New(entryhost.Options{Settings: parsed, Network: incarnation.network, Store: s.world.Store, Policy: s.world.policy})
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	life.cancel = cancel
-	s.life = life
-	s.lives++
-	go s.run(ctx, life)
+	incarnation.cancel = cancel
+	s.current = incarnation
+	s.started++
+	go s.run(ctx, incarnation)
 	return nil
 }
 
-func (s *HostSlot) run(ctx context.Context, life *hostLife) {
-	defer close(life.ended)
-	_ = life.host.Run(ctx) // may fail as a result of injected faults
+func (s *HostSlot) run(ctx context.Context, incarnation *hostIncarnation) {
+	defer close(incarnation.ended)
+	_ = incarnation.host.Run(ctx) // may fail as a result of injected faults
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.life == life {
-		s.life = nil
+	if s.current == incarnation {
+		s.current = nil
 	}
 }
 
@@ -122,23 +122,24 @@
 // for its end.
 func (s *HostSlot) Kill() {
 	s.mu.Lock()
-	life := s.life
-	s.life, s.frozen = nil, false
+	incarnation := s.current
+	s.current, s.frozen = nil, false
 	s.mu.Unlock()
-	if life == nil {
+	if incarnation == nil {
 		return
 	}
-	life.network.dead.Store(true)
+	incarnation.network.dead.Store(true)
 	s.world.Fabric.Kill(s.IP)
-	life.cancel()
-	<-life.ended
+	incarnation.cancel()
+	<-incarnation.ended
 }
 
-// Freeze stops the network of the machine, which simulates SIGSTOP of the process.
+// Freeze stops the network of the machine, which simulates SIGSTOP of the
+// process.
 func (s *HostSlot) Freeze() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.life != nil {
+	if s.current != nil {
 		s.frozen = true
 		s.world.Fabric.Freeze(s.IP)
 	}
@@ -159,21 +160,21 @@
 // Stop stops the host gracefully. It returns without waiting for its end.
 func (s *HostSlot) Stop() { s.stop(false) }
 
-func (s *HostSlot) stop(again bool) {
+func (s *HostSlot) stop(startAgain bool) {
 	s.mu.Lock()
-	life := s.life
-	if life == nil || life.leaving {
+	incarnation := s.current
+	if incarnation == nil || incarnation.stopping {
 		s.mu.Unlock()
 		return
 	}
-	life.leaving = true
+	incarnation.stopping = true
 	s.mu.Unlock()
 	s.world.callers.Go(func() {
-		ctx, stop := context.WithTimeout(context.Background(), stopBound)
+		ctx, stop := context.WithTimeout(context.Background(), stopTimeout)
 		defer stop()
-		_ = life.host.Stop(ctx) // a kill during the stop is not an error here
-		<-life.ended
-		if again {
+		_ = incarnation.host.Stop(ctx) // a kill during the stop is not an error here
+		<-incarnation.ended
+		if startAgain {
 			_ = s.Start() // an address that is still in use shows up as a host that stays down
 		}
 	})
@@ -182,10 +183,10 @@
 // awaitStop waits until a graceful stop has ended.
 func (s *HostSlot) awaitStop() {
 	s.mu.Lock()
-	life := s.life
+	incarnation := s.current
 	s.mu.Unlock()
-	if life != nil && life.leaving {
-		<-life.ended
+	if incarnation != nil && incarnation.stopping {
+		<-incarnation.ended
 	}
 }
 
@@ -193,7 +194,7 @@
 func (s *HostSlot) Up() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.life != nil && !s.frozen && !s.life.leaving
+	return s.current != nil && !s.frozen && !s.current.stopping
 }
 
 // Running reports whether an incarnation is running, including one that is
@@ -201,7 +202,7 @@
 func (s *HostSlot) Running() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.life != nil
+	return s.current != nil
 }
 
 // Frozen reports whether the host is frozen.
@@ -217,9 +218,9 @@
 	Name  string
 	IP    string
 
-	mu    sync.Mutex // guards all below
-	now   *engine.Engine
-	lives []*engine.Engine
+	mu           sync.Mutex // guards all below
+	current      *engine.Engine
+	incarnations []*engine.Engine
 }
 
 // Address returns the address on which the engine listens.
@@ -234,8 +235,8 @@
 		return err
 	}
 	e := engine.New(engineConfig(s.Name))
-	s.now = e
-	s.lives = append(s.lives, e)
+	s.current = e
+	s.incarnations = append(s.incarnations, e)
 	go e.Serve(listener)
 	return nil
 }
@@ -244,14 +245,14 @@
 func (s *EngineSlot) Engine() *engine.Engine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.now
+	return s.current
 }
 
-// Lives returns all incarnations of the engine, oldest first.
-func (s *EngineSlot) Lives() []*engine.Engine {
+// Incarnations returns all incarnations of the engine, oldest first.
+func (s *EngineSlot) Incarnations() []*engine.Engine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]*engine.Engine(nil), s.lives...)
+	return append([]*engine.Engine(nil), s.incarnations...)
 }
 
 // Kill ends the engine without a graceful stop; its generations are lost.
@@ -260,9 +261,9 @@
 	s.world.Fabric.Kill(s.IP)
 }
 
-// Revive ends the faults of the engine; it starts a new incarnation if the last
+// Repair ends the faults of the engine; it starts a new incarnation if the last
 // one is closed or leaving.
-func (s *EngineSlot) Revive() error {
+func (s *EngineSlot) Repair() error {
 	s.world.Fabric.Thaw(s.IP)
 	e := s.Engine()
 	if e.Closed() || e.Load().Leaving {
@@ -283,9 +284,9 @@
 	Name  string
 	IP    string
 
-	mu    sync.Mutex // guards all below
-	now   *plain.Service
-	lives []*plain.Service
+	mu           sync.Mutex // guards all below
+	current      *plain.Service
+	incarnations []*plain.Service
 }
 
 // Address returns the address on which the service listens.
@@ -299,9 +300,9 @@
 	if err != nil {
 		return err
 	}
-	s.now = plain.New(plainConfig(s.Name))
-	s.lives = append(s.lives, s.now)
-	go s.now.Serve(listener)
+	s.current = plain.New(plainConfig(s.Name))
+	s.incarnations = append(s.incarnations, s.current)
+	go s.current.Serve(listener)
 	return nil
 }
 
@@ -309,14 +310,14 @@
 func (s *PlainSlot) Service() *plain.Service {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.now
+	return s.current
 }
 
-// Lives returns all incarnations of the service, oldest first.
-func (s *PlainSlot) Lives() []*plain.Service {
+// Incarnations returns all incarnations of the service, oldest first.
+func (s *PlainSlot) Incarnations() []*plain.Service {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]*plain.Service(nil), s.lives...)
+	return append([]*plain.Service(nil), s.incarnations...)
 }
 
 // Kill ends the service without a graceful stop.
@@ -325,9 +326,9 @@
 	s.world.Fabric.Kill(s.IP)
 }
 
-// Revive ends the faults of the service; it starts a new incarnation if the
+// Repair ends the faults of the service; it starts a new incarnation if the
 // last one is closed.
-func (s *PlainSlot) Revive() error {
+func (s *PlainSlot) Repair() error {
 	s.world.Fabric.Thaw(s.IP)
 	if s.Service().Closed() {
 		return s.Start()
--- a/proof/world.go
+++ b/proof/world.go
@@ -35,33 +35,33 @@
 	peerPort    = 7580
 	backendPort = 8000
 
-	joinTime  = 3 * time.Second  // virtual; time for the hosts of a new fleet to discover each other
-	drainTime = 5 * time.Minute  // virtual; longer than any timer that is still pending at the end
-	stopBound = 2 * time.Minute  // timeout of a graceful stop
-	token     = "secret of dsi"  // bearer token of the only organisation
-	operator  = "secret of duty" // bearer token of the only operator
-	outlive   = 60 * time.Second // retention of an ended generation in an engine
-	grace     = 10 * time.Second // how long an engine runs a generation without a reader
-	network1  = time.Millisecond // latency between any two machines
-	engines   = 2
-	plains    = 2
+	discoveryTime       = 3 * time.Second  // virtual; time for the hosts of a new fleet to discover each other
+	shutdownTime        = 5 * time.Minute  // virtual; longer than any timer that is still pending at the end
+	stopTimeout         = 2 * time.Minute  // timeout of a graceful stop
+	callerToken         = "secret of dsi"  // bearer token of the only organisation
+	operatorToken       = "secret of duty" // bearer token of the only operator
+	generationRetention = 60 * time.Second // retention of an ended generation in an engine
+	unreadGrace         = 10 * time.Second // how long an engine runs a generation without a reader
+	network1            = time.Millisecond // latency between any two machines
+	engines             = 2
+	plains              = 2
 )
 
 // World is a simulated deployment: entry hosts, engines, plain services and the
 // platform's store on one in-memory network.
 type World struct {
-	policy string // routing policy of the hosts
-	Fabric *network.Fabric
-	Store  *store.Memory
-	Hosts  []*HostSlot
-	Models []*EngineSlot
-	Plains []*PlainSlot
-	Oracle *Oracle
-
-	http    *http.Client   // of callers that send plain HTTP requests
-	client  *caller.Client // of callers that use the client library
-	callers sync.WaitGroup
-	faulty  bool // a link has a fault; only used by the goroutine that executes actions
+	policy  string // routing policy of the hosts
+	Fabric  *network.Fabric
+	Store   *store.Memory
+	Hosts   []*HostSlot
+	Engines []*EngineSlot
+	Plains  []*PlainSlot
+	Oracle  *Oracle
+
+	http      *http.Client   // of callers that send plain HTTP requests
+	client    *caller.Client // of callers that use the client library
+	callers   sync.WaitGroup
+	linkFault bool // a link has a fault; only used by the goroutine that executes actions
 }
 
 // NewWorld starts a world with the given number of entry hosts and routing
@@ -71,7 +71,7 @@
 	w.Oracle = newOracle(w)
 	w.http = &http.Client{Transport: &http.Transport{DialContext: dialFrom(w.Fabric.Host(CallerIP)), DisableKeepAlives: true, DisableCompression: true}}
 	for i := range engines {
-		w.Models = append(w.Models, &EngineSlot{world: w, Name: fmt.Sprintf("engine-%d", i+1), IP: fmt.Sprintf("10.0.1.%d", i+1)})
+		w.Engines = append(w.Engines, &EngineSlot{world: w, Name: fmt.Sprintf("engine-%d", i+1), IP: fmt.Sprintf("10.0.1.%d", i+1)})
 	}
 	for i := range plains {
 		w.Plains = append(w.Plains, &PlainSlot{world: w, Name: fmt.Sprintf("plain-%d", i+1), IP: fmt.Sprintf("10.0.2.%d", i+1)})
@@ -89,7 +89,7 @@
 	if err := w.startClient(); err != nil {
 		return err
 	}
-	for _, slot := range w.Models {
+	for _, slot := range w.Engines {
 		if err := slot.Start(); err != nil {
 			return err
 		}
@@ -104,12 +104,12 @@
 			return err
 		}
 	}
-	time.Sleep(joinTime)
+	time.Sleep(discoveryTime)
 	return nil
 }
 
 func (w *World) startClient() (err error) {
-	config := caller.Config{Token: token, Network: w.Fabric.Host(OtherCallerIP)}
+	config := caller.Config{Token: callerToken, Network: w.Fabric.Host(OtherCallerIP)}
 	for _, slot := range w.Hosts {
 		config.Seeds = append(config.Seeds, slot.Address())
 	}
@@ -134,7 +134,7 @@
 func (w *World) documents() map[string]string {
 	model := func(service, idempotent string) string {
 		document := "service: " + service + "\nowner: proof\nkind: model\nmodel:\n  name: basin\n  version: \"1\"\n  max_tokens: 1000\n  idempotent: " + idempotent + "\nbackend_servers:\n"
-		for _, slot := range w.Models {
+		for _, slot := range w.Engines {
 			document += fmt.Sprintf("  - {name: %s, address: %q, failure_domain: konya}\n", slot.Name, slot.Address())
 		}
 		return document
@@ -156,7 +156,7 @@
 	for _, slot := range w.Hosts {
 		ips = append(ips, slot.IP)
 	}
-	for _, slot := range w.Models {
+	for _, slot := range w.Engines {
 		ips = append(ips, slot.IP)
 	}
 	for _, slot := range w.Plains {
@@ -165,18 +165,18 @@
 	return ips
 }
 
-// Mend ends every fault: it heals all links, makes the store available, and
+// EndFaults ends every fault: it heals all links, makes the store available, and
 // thaws or restarts every process that was frozen, stopped or killed.
-func (w *World) Mend() error {
+func (w *World) EndFaults() error {
 	w.Fabric.HealAll()
 	w.Store.SetFaults(store.Faults{})
-	for _, slot := range w.Models {
-		if err := slot.Revive(); err != nil {
+	for _, slot := range w.Engines {
+		if err := slot.Repair(); err != nil {
 			return err
 		}
 	}
 	for _, slot := range w.Plains {
-		if err := slot.Revive(); err != nil {
+		if err := slot.Repair(); err != nil {
 			return err
 		}
 	}
@@ -190,8 +190,8 @@
 	return nil
 }
 
-// Await waits until every attempt and every graceful stop has ended.
-func (w *World) Await() { w.callers.Wait() }
+// AwaitCallers waits until every attempt and every graceful stop has ended.
+func (w *World) AwaitCallers() { w.callers.Wait() }
 
 // Close stops all processes of the world. All goroutines of the world have ended
 // when Close returns.
@@ -201,14 +201,14 @@
 	for _, slot := range w.Hosts {
 		slot.Kill()
 	}
-	for _, slot := range w.Models {
+	for _, slot := range w.Engines {
 		slot.Kill()
 	}
 	for _, slot := range w.Plains {
 		slot.Kill()
 	}
 	w.Fabric.HealAll()
-	time.Sleep(drainTime)
+	time.Sleep(shutdownTime)
 }
 
 // engineConfig returns the configuration of a small and fast engine, so that
@@ -216,7 +216,7 @@
 func engineConfig(name string) engine.Config {
 	return engine.Config{
 		Name: name, TokenCapacity: 400, MaxBatch: 6, MaxWaiting: 8, StepBase: 50 * time.Millisecond,
-		Grace: grace, Keep: outlive, ReportLag: 200 * time.Millisecond, ReportLoss: 0.05,
+		Grace: unreadGrace, Keep: generationRetention, ReportLag: 200 * time.Millisecond, ReportLoss: 0.05,
 		Models: []string{"basin@1"},
 	}
 }
