--- a/bench/arrivals.go
+++ b/bench/arrivals.go
@@ -21,10 +21,10 @@
 	host         int // selects the caller that sends it
 }
 
-// arrivals generates the requests of a run: Poisson arrivals at a load that may
-// change with time, and heavy-tailed lengths. The requests depend on the seed
-// and not on the policy.
-func arrivals(s site, seed uint64, load func(time.Duration) float64, end time.Duration) []arrival {
+// generateArrivals generates the requests of a run: Poisson arrivals at a load
+// that may change with time, and heavy-tailed lengths. The requests depend on
+// the seed and not on the policy.
+func generateArrivals(s site, seed uint64, load func(time.Duration) float64, end time.Duration) []arrival {
 	random := rand.New(rand.NewPCG(seed, 7))
 	mean := s.outputs.mean()
 	var all []arrival
@@ -35,7 +35,7 @@
 			return all
 		}
 		a := arrival{
-			number: len(all), at: at, organisation: pick(random, s.shares), host: random.IntN(s.entryHosts),
+			number: len(all), at: at, organisation: pickWeighted(random, s.shares), host: random.IntN(s.entryHosts),
 			tokens: s.outputs.draw(random), promptTokens: s.prompts.draw(random),
 		}
 		a.prompt = prompt(s, seed, a, random.IntN(s.prefixes))
@@ -43,7 +43,7 @@
 	}
 }
 
-func pick(random *rand.Rand, shares []float64) int {
+func pickWeighted(random *rand.Rand, shares []float64) int {
 	u := random.Float64()
 	for i, share := range shares {
 		if u < share {
@@ -55,7 +55,7 @@
 }
 
 func (l lengths) draw(random *rand.Rand) int {
-	return max(1, min(l.most, int(l.median*math.Exp(l.sigma*random.NormFloat64()))))
+	return max(1, min(l.limit, int(l.median*math.Exp(l.sigma*random.NormFloat64()))))
 }
 
 // mean returns the mean of the truncated distribution, estimated from samples.
--- a/bench/bench.go
+++ b/bench/bench.go
@@ -32,10 +32,10 @@
 	quickMeasured   = 6 * time.Second
 	defaultParallel = 3
 	quickParallel   = 5
-	// collectAt is the GC percentage during a run. It is above the default
+	// gcPercent is the GC percentage during a run. It is above the default
 	// because callers and engines share the process with the hosts, and
 	// collecting their garbage must not count as a cost of the hosts.
-	collectAt = 400
+	gcPercent = 400
 )
 
 // Options configures a run. Site is required; the other fields have defaults.
@@ -83,13 +83,13 @@
 	Cells    []Cell    `json:"cells"`
 }
 
-// Broken returns the number of invariant violations in the whole run.
-func (r *Report) Broken() int {
-	broken := 0
+// ViolationCount returns the number of invariant violations in the whole run.
+func (r *Report) ViolationCount() int {
+	count := 0
 	for _, cell := range r.Cells {
-		broken += cell.Broken
+		count += cell.Violations
 	}
-	return broken
+	return count
 }
 
 // Run runs every policy at every load with every seed and writes the result. If
@@ -99,7 +99,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer debug.SetGCPercent(debug.SetGCPercent(collectAt))
+	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	report := &Report{
 		Site: p.site.name, Started: time.Now().UTC(), Cores: runtime.NumCPU(), Parallel: p.options.Parallel,
 		Faults: p.options.Faults, Burst: p.options.Burst, LagMs: p.options.ReportLag.Milliseconds(), Loss: p.options.ReportLoss,
@@ -112,8 +112,8 @@
 	if err := report.save(p.options.Out); err != nil {
 		return report, err
 	}
-	if broken := report.Broken(); broken > 0 {
-		return report, errors.Newf("bench: %d promises broken", broken)
+	if count := report.ViolationCount(); count > 0 {
+		return report, errors.Newf("bench: %d promises broken", count)
 	}
 	return report, nil
 }
@@ -162,7 +162,7 @@
 	}
 	o.Seeds = max(1, o.Seeds)
 	if o.Faults == "" {
-		o.Faults = none
+		o.Faults = noFaultsName
 	}
 	if o.Progress == nil {
 		o.Progress = io.Discard
@@ -246,8 +246,8 @@
 	return errors.Wrap(os.WriteFile(file, append(data, '\n'), 0o644), "bench")
 }
 
-// Load reads a result file written by Run.
-func Load(file string) (*Report, error) {
+// ReadReport reads a result file written by Run.
+func ReadReport(file string) (*Report, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, errors.Wrap(err, "bench")
--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -63,7 +63,7 @@
 	is := is.New(t)
 	load := func(time.Duration) float64 { return 0.8 }
 	s := sites[SiteAkarsu]
-	one, same, other := arrivals(s, 1, load, time.Minute), arrivals(s, 1, load, time.Minute), arrivals(s, 2, load, time.Minute)
+	one, same, other := generateArrivals(s, 1, load, time.Minute), generateArrivals(s, 1, load, time.Minute), generateArrivals(s, 2, load, time.Minute)
 	is.Equal(len(one), len(same))
 	for i := range one {
 		is.Equal(one[i], same[i])
@@ -79,7 +79,7 @@
 		_, err := parseScript(s, text)
 		is.True(err != nil) // text
 	}
-	whole, err := parseScript(s, all)
+	whole, err := parseScript(s, allFaultsName)
 	is.NoErr(err)
 	is.Equal(len(whole.steps), len(injections)) // one of each kind
 }
@@ -97,16 +97,16 @@
 func TestOracleSeesEachBreach(t *testing.T) {
 	is := is.New(t)
 	o := newOracle(1, false)
-	check := &answer{oracle: o, number: 1}
-	check.token(0, "g.0 ")
-	check.token(2, "g.2 ")
-	check = &answer{oracle: o, number: 2}
-	check.token(0, "g.0 ")
-	check.token(1, "h.1 ")
-	check.whole(3)
-	is.Equal(o.broken, map[string]int{brokenToken: 1, brokenMixed: 1, brokenLength: 1})
-	o.settle(nil, nil)
-	is.Equal(o.broken[brokenForeign], 1) // no engine ran it
+	check := &answerCheck{oracle: o, number: 1}
+	check.checkToken(0, "g.0 ")
+	check.checkToken(2, "g.2 ")
+	check = &answerCheck{oracle: o, number: 2}
+	check.checkToken(0, "g.0 ")
+	check.checkToken(1, "h.1 ")
+	check.checkEnd(3)
+	is.Equal(o.violations, map[string]int{violationToken: 1, violationMixed: 1, violationLength: 1})
+	o.checkRuns(nil, nil)
+	is.Equal(o.violations[violationForeign], 1) // no engine ran it
 }
 
 // Guards against connections that hang after a middlebox drops their state: reads
--- a/bench/cell.go
+++ b/bench/cell.go
@@ -35,8 +35,9 @@
 	load       float64
 }
 
-// drainBound is how long a run waits for open streams after the end of the load.
-const drainBound = 5 * time.Second
+// drainTimeout is how long a run waits for open streams after the end of the
+// load.
+const drainTimeout = 5 * time.Second
 
 func (c *cellRun) loadAt(at time.Duration) float64 {
 	at -= c.warm
@@ -59,20 +60,20 @@
 	defer d.close()
 	c.deployment = d
 	end := c.warm + c.measured
-	all := arrivals(c.site, c.seed, c.loadAt, end)
+	all := generateArrivals(c.site, c.seed, c.loadAt, end)
 	c.meter = newMeter(time.Now(), c.warm, end)
 	c.oracle = newOracle(c.seed, c.site.idempotent)
-	streams, cut := context.WithCancel(ctx)
-	defer cut()
-	faults := c.script.start(ctx, c)
+	streams, cancelStreams := context.WithCancel(ctx)
+	defer cancelStreams()
+	waitFaults := c.script.start(ctx, c)
 	preempted := c.watchPreemptions(ctx, end)
 	if err := c.send(ctx, streams, all); err != nil {
 		return Cell{}, err
 	}
-	c.drain(cut)
-	faults()
-	c.oracle.settle(d.engines, all)
-	return c.cell(<-preempted), nil
+	c.drain(cancelStreams)
+	waitFaults()
+	c.oracle.checkRuns(d.engines, all)
+	return c.result(<-preempted), nil
 }
 
 // send sends each request at its intended time, independent of the progress of
@@ -93,52 +94,52 @@
 	return nil
 }
 
-// drain waits for the open streams and cancels those that outlast drainBound.
-func (c *cellRun) drain(cut context.CancelFunc) {
-	timer := time.AfterFunc(drainBound, cut)
+// drain waits for the open streams and cancels those that outlast drainTimeout.
+func (c *cellRun) drain(cancelStreams context.CancelFunc) {
+	timer := time.AfterFunc(drainTimeout, cancelStreams)
 	c.requests.Wait()
 	timer.Stop()
 }
 
 // request sends one request and reads its stream to the end.
 func (c *cellRun) request(ctx context.Context, a arrival) {
-	c.meter.send(a)
+	c.meter.addRequest(a)
 	clients := c.deployment.callers[a.organisation]
 	stream, err := clients[a.host%len(clients)].Generate(ctx, c.site.service, caller.Request{Prompt: a.prompt, StopAfter: a.tokens})
 	if err != nil {
-		c.failed(a, err)
+		c.recordFailure(a, err)
 		return
 	}
 	defer stream.Close()
-	check := &answer{oracle: c.oracle, number: a.number}
+	check := &answerCheck{oracle: c.oracle, number: a.number}
 	var last time.Time
 	for {
 		token, err := stream.Next()
 		now := time.Now()
 		if errors.Is(err, io.EOF) {
-			check.whole(a.tokens)
-			c.meter.whole(a, check.next, now)
+			check.checkEnd(a.tokens)
+			c.meter.addAnswer(a, check.next, now)
 			return
 		}
 		if err != nil {
 			if ctx.Err() == nil {
-				c.failed(a, err)
+				c.recordFailure(a, err)
 			}
 			return
 		}
-		check.token(token.Index, token.Text)
-		c.meter.token(a, now, last)
+		check.checkToken(token.Index, token.Text)
+		c.meter.addToken(a, now, last)
 		last = now
 	}
 }
 
-func (c *cellRun) failed(a arrival, err error) {
+func (c *cellRun) recordFailure(a arrival, err error) {
 	var refusal *contract.Refusal
 	if !errors.As(err, &refusal) {
 		refusal = contract.Unknown("", 0, err.Error())
 	}
-	c.oracle.refused(a.number, refusal.Outcome)
-	c.meter.ended(a, refusal, time.Now())
+	c.oracle.recordOutcome(a.number, refusal.Outcome)
+	c.meter.addRefusal(a, refusal, time.Now())
 }
 
 // watchPreemptions counts the engines' preemptions in the measured window. The
--- a/bench/control/changes.go
+++ b/bench/control/changes.go
@@ -46,40 +46,41 @@
 
 func seconds(micros int64) float64 { return float64(micros) / 1e6 }
 
-// arrivals records when each host put the newest version of a service in force.
-type arrivals struct {
+// activations records when each host put the newest version of a service in
+// force.
+type activations struct {
 	service string
 
-	mu   sync.Mutex // guards at
-	at   map[*host]arrival
-	wake chan struct{} // receives a value after each change of at
+	mu      sync.Mutex // guards at
+	at      map[*host]activation
+	changed chan struct{} // receives a value after each change of at
 }
 
-type arrival struct {
+type activation struct {
 	version store.Version
 	when    time.Time
 }
 
-func (a *arrivals) note(h *host) {
+func (a *activations) record(h *host) {
 	_, version, _ := h.table.Document(a.service)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if version > a.at[h].version {
-		a.at[h] = arrival{version, time.Now()}
+		a.at[h] = activation{version, time.Now()}
 	}
 	select {
-	case a.wake <- struct{}{}:
+	case a.changed <- struct{}{}:
 	default:
 	}
 }
 
 // count returns the number of hosts that have this version or a newer one in
 // force.
-func (a *arrivals) count(version store.Version) (count int) {
+func (a *activations) count(version store.Version) (count int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, arrived := range a.at {
-		if arrived.version >= version {
+	for _, active := range a.at {
+		if active.version >= version {
 			count++
 		}
 	}
@@ -89,10 +90,10 @@
 func (f *fleet) timeChange(ctx context.Context, random *rand.Rand, round int, storeGone bool, histogram *hdrhistogram.Histogram) (missing int, err error) {
 	index := random.IntN(len(f.documents))
 	at := f.hosts[random.IntN(len(f.hosts))]
-	seen := &arrivals{service: f.documents[index], at: make(map[*host]arrival), wake: make(chan struct{}, 1)}
-	note := seen.note
+	seen := &activations{service: f.documents[index], at: make(map[*host]activation), changed: make(chan struct{}, 1)}
+	record := seen.record
 	for _, h := range f.hosts {
-		h.inForce.Store(&note)
+		h.inForce.Store(&record)
 	}
 	version, err := f.accept(ctx, at, seen.service, f.document(index, random.Int()))
 	if err != nil {
@@ -107,22 +108,22 @@
 	seen.mu.Lock()
 	defer seen.mu.Unlock()
 	for _, h := range f.hosts {
-		arrived := seen.at[h]
-		if arrived.version < version {
+		active := seen.at[h]
+		if active.version < version {
 			missing++
 			continue
 		}
-		_ = histogram.RecordValue(max(1, arrived.when.Sub(accepted).Microseconds()))
+		_ = histogram.RecordValue(max(1, active.when.Sub(accepted).Microseconds()))
 	}
 	return missing, nil
 }
 
-func (f *fleet) waitInForce(ctx context.Context, seen *arrivals, version store.Version) {
+func (f *fleet) waitInForce(ctx context.Context, seen *activations, version store.Version) {
 	deadline := time.NewTimer(changeTimeout)
 	defer deadline.Stop()
 	for seen.count(version) < len(f.hosts) {
 		select {
-		case <-seen.wake:
+		case <-seen.changed:
 		case <-deadline.C:
 			return
 		case <-ctx.Done():
--- a/bench/control/control.go
+++ b/bench/control/control.go
@@ -47,11 +47,11 @@
 
 // Default sizes.
 var (
-	defaultHosts   = []int{7, 25, 50, 100, 200}
-	defaultWorkers = []int{12, 100, 600}
-	defaultCuts    = []int{50, 100}
-	quickHosts     = []int{7, 15, 30}
-	quickWorkers   = []int{12, 600}
+	defaultHosts       = []int{7, 25, 50, 100, 200}
+	defaultWorkers     = []int{12, 100, 600}
+	defaultDisruptions = []int{50, 100}
+	quickHosts         = []int{7, 15, 30}
+	quickWorkers       = []int{12, 600}
 )
 
 const (
@@ -72,7 +72,7 @@
 		hosts, workers, settle, steady, changes = quickHosts, quickWorkers, quickSettle, quickSteady, quickChanges
 	}
 	if len(o.Disruptions) == 0 && len(o.Hosts) == 0 && !o.Quick {
-		o.Disruptions = defaultCuts
+		o.Disruptions = defaultDisruptions
 	}
 	if len(o.Hosts) == 0 {
 		o.Hosts = hosts
@@ -100,33 +100,33 @@
 
 // Report is the result of Run.
 type Report struct {
-	GoVersion string       `json:"go_version"`
-	Cores     int          `json:"cores"`
-	Quick     bool         `json:"quick"`
-	Sizes     []Size       `json:"sizes"`
-	AtTarget  []Outlook    `json:"at_target"`
-	Cut       []Disruption `json:"disruptions,omitempty"`
+	GoVersion         string          `json:"go_version"`
+	Cores             int             `json:"cores"`
+	Quick             bool            `json:"quick"`
+	Sizes             []Size          `json:"sizes"`
+	AtTarget          []Extrapolation `json:"at_target"`
+	DisruptionResults []Disruption    `json:"disruptions,omitempty"`
 }
 
 // Size contains the measurements of one fleet. Figures are per host unless
 // stated otherwise.
 type Size struct {
-	Hosts          int     `json:"hosts"`
-	Workers        int     `json:"workers"`
-	SteadySeconds  float64 `json:"steady_seconds"`
-	BytesPerSecond float64 `json:"bytes_per_second"` // between hosts, in and out, without TCP/IP headers
-	WatcherBytes   float64 `json:"platform_bytes_per_second"`
-	CorePercent    float64 `json:"core_percent"` // includes this host's share of the simulated platform
-	HeapBytes      float64 `json:"heap_bytes"`   // live heap after a garbage collection
-	StackBytes     float64 `json:"stack_bytes"`
-	Goroutines     float64 `json:"goroutines"`
-	Connections    float64 `json:"connections"`            // open connections, both directions
-	CallsPerSecond float64 `json:"platform_calls_fleet"`   // of the whole fleet; a watch counts as one call
-	JoinSeconds    float64 `json:"join_seconds"`           // until every host had all members and the whole configuration
-	DocumentBytes  int     `json:"document_bytes"`         // size of one document
-	ChangeBytes    float64 `json:"change_bytes"`           // between hosts, in and out, per change, above the steady rate
-	Healthy        InForce `json:"in_force_store_healthy"` // from acceptance until in force on all hosts
-	StoreGone      InForce `json:"in_force_store_gone"`
+	Hosts                  int     `json:"hosts"`
+	Workers                int     `json:"workers"`
+	SteadySeconds          float64 `json:"steady_seconds"`
+	BytesPerSecond         float64 `json:"bytes_per_second"` // between hosts, in and out, without TCP/IP headers
+	PlatformBytesPerSecond float64 `json:"platform_bytes_per_second"`
+	CorePercent            float64 `json:"core_percent"` // includes this host's share of the simulated platform
+	HeapBytes              float64 `json:"heap_bytes"`   // live heap after a garbage collection
+	StackBytes             float64 `json:"stack_bytes"`
+	Goroutines             float64 `json:"goroutines"`
+	Connections            float64 `json:"connections"`            // open connections, both directions
+	CallsPerSecond         float64 `json:"platform_calls_fleet"`   // of the whole fleet; a watch counts as one call
+	JoinSeconds            float64 `json:"join_seconds"`           // until every host had all members and the whole configuration
+	DocumentBytes          int     `json:"document_bytes"`         // size of one document
+	ChangeBytes            float64 `json:"change_bytes"`           // between hosts, in and out, per change, above the steady rate
+	Healthy                InForce `json:"in_force_store_healthy"` // from acceptance until in force on all hosts
+	StoreGone              InForce `json:"in_force_store_gone"`
 }
 
 // InForce contains quantiles of the time from the acceptance of a change until
@@ -152,14 +152,14 @@
 			size.BytesPerSecond, size.CorePercent, size.Healthy.P99, size.StoreGone.P99)
 		report.Sizes = append(report.Sizes, size)
 	}
-	report.AtTarget = outlooks(report.Sizes)
+	report.AtTarget = extrapolate(report.Sizes)
 	for _, hosts := range o.Disruptions {
-		fmt.Fprintf(o.Progress, "%d hosts, cut in two ...\n", hosts)
-		cut, err := measureDisruptions(ctx, o, hosts, o.Workers[len(o.Workers)-1])
+		fmt.Fprintf(o.Progress, "%d hosts, partitioned ...\n", hosts)
+		disruptions, err := measureDisruptions(ctx, o, hosts, o.Workers[len(o.Workers)-1])
 		if err != nil {
-			return nil, errors.Wrapf(err, "%d hosts, cut in two", hosts)
+			return nil, errors.Wrapf(err, "%d hosts, partitioned", hosts)
 		}
-		report.Cut = append(report.Cut, cut...)
+		report.DisruptionResults = append(report.DisruptionResults, disruptions...)
 	}
 	return report, nil
 }
@@ -205,7 +205,7 @@
 // measureSteady measures traffic, processor time and memory over a period
 // without changes.
 func (f *fleet) measureSteady(ctx context.Context, o Options, size *Size, before footprint) error {
-	if err := f.settle(ctx, o.Settle); err != nil {
+	if err := f.waitSettled(ctx, o.Settle); err != nil {
 		return err
 	}
 	start, startBytes, startCalls := takeUsage(), f.bytes(), f.memory.Calls()
@@ -217,7 +217,7 @@
 	seconds, hosts := end.at.Sub(start.at).Seconds(), float64(size.Hosts)
 	size.SteadySeconds = seconds
 	size.BytesPerSecond = (endBytes - startBytes) / seconds / hosts
-	size.WatcherBytes = float64(f.platformBytes.Load()-startPlatform) / seconds / hosts
+	size.PlatformBytesPerSecond = float64(f.platformBytes.Load()-startPlatform) / seconds / hosts
 	size.CorePercent = 100 * (end.cpu - start.cpu).Seconds() / seconds / hosts
 	size.CallsPerSecond = float64(endCalls-startCalls) / seconds
 	size.Connections = f.connections() / hosts
@@ -228,9 +228,9 @@
 	return nil
 }
 
-// settle waits until no gossip updates are pending after the join, for at most
-// longest, and then for one settleCheck.
-func (f *fleet) settle(ctx context.Context, longest time.Duration) error {
+// waitSettled waits until no gossip updates are pending after the join, for at
+// most longest, and then for one settleCheck.
+func (f *fleet) waitSettled(ctx context.Context, longest time.Duration) error {
 	deadline := time.Now().Add(longest)
 	for time.Now().Before(deadline) && f.metric("papayasail_peer_news_pending") > 0 {
 		if err := sleep.For(ctx, settleCheck); err != nil {
--- a/bench/control/outlook.go
+++ b/bench/control/extrapolation.go
@@ -7,9 +7,9 @@
 	"text/tabwriter"
 )
 
-// Outlook is one figure, extrapolated to the target size by a line fitted to the
-// measured fleet sizes that share the last number of workers.
-type Outlook struct {
+// Extrapolation is one figure, extrapolated to the target size by a line fitted
+// to the measured fleet sizes that share the last number of workers.
+type Extrapolation struct {
 	Figure   string  `json:"figure"`
 	Unit     string  `json:"unit"`
 	Base     float64 `json:"base"`  // value of the line at 0 hosts
@@ -32,20 +32,20 @@
 	{"platform calls", "calls/s of the fleet", LimitCallsFleet, func(s Size) float64 { return s.CallsPerSecond }},
 }
 
-// outlooks extrapolates every figure from the sizes that have the same number of
-// workers as the last one.
-func outlooks(sizes []Size) []Outlook {
+// extrapolate extrapolates every figure from the sizes that have the same
+// number of workers as the last one.
+func extrapolate(sizes []Size) []Extrapolation {
 	var same []Size
 	for _, s := range sizes {
 		if s.Workers == sizes[len(sizes)-1].Workers {
 			same = append(same, s)
 		}
 	}
-	var result []Outlook
+	var result []Extrapolation
 	for _, f := range figures {
 		base, slope := fit(same, f.value)
 		expected := base + slope*TargetHosts
-		o := Outlook{Figure: f.name, Unit: f.unit, Base: base, Slope: slope, Expected: expected, Limit: f.limit}
+		o := Extrapolation{Figure: f.name, Unit: f.unit, Base: base, Slope: slope, Expected: expected, Limit: f.limit}
 		if expected > 0 {
 			o.Ratio = f.limit / expected
 		}
@@ -81,7 +81,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "hosts\tworkers\tbytes/s\tplatform B/s\tcore %\theap KB\tstack KB\tgoroutines\tconnections\tcalls/s fleet\tjoin s\tdocument B\tB/change\t")
 	for _, s := range r.Sizes {
-		fmt.Fprintf(t, "%d\t%d\t%.0f\t%.1f\t%.3f\t%.0f\t%.0f\t%.0f\t%.1f\t%.2f\t%.1f\t%d\t%.0f\t\n", s.Hosts, s.Workers, s.BytesPerSecond, s.WatcherBytes,
+		fmt.Fprintf(t, "%d\t%d\t%.0f\t%.1f\t%.3f\t%.0f\t%.0f\t%.0f\t%.1f\t%.2f\t%.1f\t%d\t%.0f\t\n", s.Hosts, s.Workers, s.BytesPerSecond, s.PlatformBytesPerSecond,
 			s.CorePercent, s.HeapBytes/1024, s.StackBytes/1024, s.Goroutines, s.Connections, s.CallsPerSecond, s.JoinSeconds, s.DocumentBytes, s.ChangeBytes)
 	}
 	fmt.Fprintln(t, "\t\t\t\t\t\t\t\t\t\t\t")
@@ -95,11 +95,11 @@
 	for _, o := range r.AtTarget {
 		fmt.Fprintf(t, "%s\t%s\t%.4g\t%.4g\t%.4g\t%.4g\t%.1f\t\n", o.Figure, o.Unit, o.Base, o.Slope, o.Expected, o.Limit, o.Ratio)
 	}
-	if len(r.Cut) > 0 {
+	if len(r.DisruptionResults) > 0 {
 		fmt.Fprintln(t, "\t\t\t\t\t\t\t\t\t")
 		fmt.Fprintln(t, "cut off\thosts\tapart\tgone s\tbytes/s\tcore %\tmet s\tbytes/s\tcore %\t")
 	}
-	for _, d := range r.Cut {
+	for _, d := range r.DisruptionResults {
 		fmt.Fprintln(t, d)
 	}
 	return t.Flush()
--- a/bench/control/fleet.go
+++ b/bench/control/fleet.go
@@ -41,18 +41,18 @@
 
 // fleet runs the control planes of several entry hosts in one process.
 type fleet struct {
-	memory        *store.Memory
-	server        *http.Server
-	network       *countingNetwork
-	cutter        *cutter
-	platformBytes atomic.Int64
-	platformAt    string
-	hosts         []*host
-	documents     []string // service names
-	workers       int
-	organisations int // number of organisations in each document
-	stopHosts     context.CancelFunc
-	running       sync.WaitGroup
+	memory          *store.Memory
+	server          *http.Server
+	network         *countingNetwork
+	partition       *partition
+	platformBytes   atomic.Int64
+	platformAddress string
+	hosts           []*host
+	documents       []string // service names
+	workers         int
+	organisations   int // number of organisations in each document
+	stopHosts       context.CancelFunc
+	running         sync.WaitGroup
 }
 
 // host is the control plane of one entry host.
@@ -69,13 +69,13 @@
 
 // startFleet starts the simulated platform with documents, and all hosts.
 func startFleet(ctx context.Context, hosts, workers, organisations int) (*fleet, error) {
-	f := &fleet{memory: store.NewMemory(), cutter: newCutter(), workers: workers, organisations: organisations}
+	f := &fleet{memory: store.NewMemory(), partition: newPartition(), workers: workers, organisations: organisations}
 	f.network = &countingNetwork{bytes: &f.platformBytes}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "stand-in platform")
 	}
-	f.platformAt = listener.Addr().String()
+	f.platformAddress = listener.Addr().String()
 	f.server = &http.Server{Handler: standin.NewStore(f.memory)}
 	f.running.Go(func() { _ = f.server.Serve(listener) })
 	ctx, f.stopHosts = context.WithCancel(ctx)
@@ -84,7 +84,7 @@
 		return nil, err
 	}
 	for i, address := range addresses {
-		f.cutter.domainOf[address] = domainOf(i, hosts)
+		f.partition.domainOf[address] = domainOf(i, hosts)
 		f.hosts = append(f.hosts, f.newHost(i, address, addresses))
 	}
 	if err := f.putDocuments(ctx); err != nil {
@@ -135,7 +135,7 @@
 
 func (f *fleet) newHost(i int, address string, addresses []string) *host {
 	h := &host{domain: domainOf(i, len(addresses)), table: configuration.NewTable(contract.ParseDocument), registry: prometheus.NewRegistry()}
-	h.client = platform.NewObjectStore(f.network, f.platformAt)
+	h.client = platform.NewObjectStore(f.network, f.platformAddress)
 	h.store = store.NewLimited(h.client, store.Budget{})
 	h.acceptor = configuration.NewAcceptor(h.store, contract.ParseDocument)
 	h.acceptor.Seen = func(object store.Object) { h.table.Adopt([]store.Object{object}) }
@@ -144,7 +144,7 @@
 			Host: fmt.Sprintf("host-%d", i), FailureDomain: h.domain,
 			PeerAddress: address, CallerAddress: "http://" + address,
 		},
-		Network:       cutNetwork{cutter: f.cutter, domain: h.domain},
+		Network:       partitionedNetwork{partition: f.partition, domain: h.domain},
 		Seeds:         addresses[:min(seedHosts, len(addresses))],
 		Configuration: peerTable{h.table},
 		Handler:       noRequests{},
--- a/bench/control/slope_test.go
+++ b/bench/control/slope_test.go
@@ -10,7 +10,7 @@
 )
 
 var slopes = flag.String("slopes", "", "measure slopes: quick or full; writes JSON to the file named by -slopes.json")
-var slopesCuts = flag.String("slopes.cuts", "", "fleet sizes to partition, comma separated; apart from that only 7 hosts are measured")
+var slopesPartitions = flag.String("slopes.cuts", "", "fleet sizes to partition, comma separated; apart from that only 7 hosts are measured")
 var slopesHosts = flag.String("slopes.hosts", "", "fleet sizes, comma separated; no fleet is partitioned")
 var slopesOrganisations = flag.Int("slopes.organisations", 0, "number of organisations in each document; only 25 hosts are measured")
 var slopesJSON = flag.String("slopes.json", "", "file for the JSON report")
@@ -22,7 +22,7 @@
 	}
 	options := Options{Quick: *slopes == "quick", Progress: os.Stderr}
 	options.Hosts = numbers(*slopesHosts)
-	if options.Disruptions = numbers(*slopesCuts); options.Disruptions != nil {
+	if options.Disruptions = numbers(*slopesPartitions); options.Disruptions != nil {
 		options.Hosts, options.Workers = []int{7}, []int{12}
 		options.Settle, options.Steady, options.Changes = 20*time.Second, 5*time.Second, 2
 	}
--- a/bench/deployment.go
+++ b/bench/deployment.go
@@ -22,11 +22,11 @@
 )
 
 const (
-	model        = "basin@3"
-	probePeriod  = 500 * time.Millisecond
-	keepAddress  = 10 * time.Second
-	startBound   = 30 * time.Second
-	callersOfOne = 7 // client library instances per organisation
+	model                  = "basin@3"
+	probePeriod            = 500 * time.Millisecond
+	keepAddress            = 10 * time.Second
+	startTimeout           = 30 * time.Second
+	callersPerOrganisation = 7 // client library instances per organisation
 )
 
 // deployment is one site in this process: the production code of the entry hosts
@@ -70,7 +70,7 @@
 			return err
 		}
 	}
-	if err := d.accept(ctx); err != nil {
+	if err := d.acceptDocument(ctx); err != nil {
 		return err
 	}
 	if err := d.startHosts(ctx); err != nil {
@@ -79,7 +79,7 @@
 	if err := d.makeCallers(attempts); err != nil {
 		return err
 	}
-	return d.ready(ctx)
+	return d.waitReady(ctx)
 }
 
 func (d *deployment) startEngine(i int, seed uint64) error {
@@ -91,15 +91,15 @@
 	config.Name = fmt.Sprintf("engine-%d", i+1)
 	config.Seed = seed*100 + uint64(i)
 	config.Models = []string{model}
-	config.MaxTokens = d.site.outputs.most
+	config.MaxTokens = d.site.outputs.limit
 	e := &engineServer{Engine: engine.New(config), name: config.Name, address: listener.Addr().String()}
 	d.engines = append(d.engines, e)
-	d.topology.place(e.address, d.site.domain(i))
+	d.topology.setDomain(e.address, d.site.domain(i))
 	d.running.Go(func() { _ = e.Serve(listener) })
 	return nil
 }
 
-func (d *deployment) accept(ctx context.Context) error {
+func (d *deployment) acceptDocument(ctx context.Context) error {
 	acceptor := configuration.NewAcceptor(d.store, contract.ParseDocument)
 	result, err := acceptor.Put(ctx, configuration.Change{Service: d.site.service, Document: []byte(d.document()), ChangeID: "bench", Who: "bench"})
 	if err != nil {
@@ -132,8 +132,8 @@
 %sorganisations:
 %sdeadlines: {queue: %s, first_token: %s, gap: 10s}
 placement: {risk: %g, target_gap: %s}
-`, d.site.service, name, version, d.site.outputs.most, d.site.idempotent, &servers, &organisations,
-		d.site.queue, d.site.firstToken, d.site.placingRisk, d.site.targetGap)
+`, d.site.service, name, version, d.site.outputs.limit, d.site.idempotent, &servers, &organisations,
+		d.site.queueDeadline, d.site.firstTokenDeadline, d.site.placementRisk, d.site.targetGap)
 }
 
 func organisationName(i int) string { return fmt.Sprintf("org-%d", i) }
@@ -167,7 +167,7 @@
 			return nil, err
 		}
 		*address = free
-		d.topology.place(free, s.FailureDomain)
+		d.topology.setDomain(free, s.FailureDomain)
 	}
 	s.Platform = "127.0.0.1:1" // unused, because the store is in memory
 	s.EventKey = []byte("a key that only benches use, of 32 bytes")
@@ -176,7 +176,7 @@
 	}
 	for j, from := range d.site.domains {
 		for _, to := range d.site.domains[j+1:] {
-			s.Distances = append(s.Distances, settings.Distance{From: from, To: to, Latency: d.site.between})
+			s.Distances = append(s.Distances, settings.Distance{From: from, To: to, Latency: d.site.domainLatency})
 		}
 	}
 	s.Limits = settings.DefaultLimits()
@@ -230,14 +230,14 @@
 func (d *deployment) makeCallers(attempts int) error {
 	for org := range d.site.shares {
 		var clients []*caller.Client
-		for i := range callersOfOne {
+		for i := range callersPerOrganisation {
 			var seeds []string
 			for j := range d.hosts {
 				seeds = append(seeds, d.hosts[(i+j)%len(d.hosts)].settings.CallerAddress)
 			}
 			client, err := caller.New(caller.Config{
 				Seeds: seeds, Token: organisationToken(org), FailureDomain: d.site.domain(i), MaxAttempts: attempts,
-				Network: &network{topology: d.topology, domain: callers}, Attempt: d.site.queue + d.site.firstToken,
+				Network: &network{topology: d.topology, domain: callers}, Attempt: d.site.queueDeadline + d.site.firstTokenDeadline,
 			})
 			if err != nil {
 				return errors.Wrap(err, "bench: caller")
@@ -249,13 +249,13 @@
 	return nil
 }
 
-// ready waits until every caller has the addresses of all entry hosts and a
+// waitReady waits until every caller has the addresses of all entry hosts and a
 // request has succeeded.
-func (d *deployment) ready(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startBound)
+func (d *deployment) waitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
-		err := d.probe(ctx)
+		err := d.checkReady(ctx)
 		if err == nil {
 			return nil
 		}
@@ -267,7 +267,7 @@
 	}
 }
 
-func (d *deployment) probe(ctx context.Context) error {
+func (d *deployment) checkReady(ctx context.Context) error {
 	for _, clients := range d.callers {
 		for _, client := range clients {
 			answer, err := client.Addresses(ctx)
--- a/bench/fault.go
+++ b/bench/fault.go
@@ -36,13 +36,13 @@
 	arguments []string
 }
 
-// none is the name of the script without faults.
-const none = "none"
+// noFaultsName is the name of the script without faults.
+const noFaultsName = "none"
 
-// all is the name of the script with one fault of each kind.
-const all = "all"
+// allFaultsName is the name of the script with one fault of each kind.
+const allFaultsName = "all"
 
-var allFaults = `
+var allFaultsScript = `
 2s store_outage 10s
 4s engine_kill 0
 6s link_stall @ 2s
@@ -55,10 +55,10 @@
 // of a script joined by ";" if the name contains a space, or else a file.
 func parseScript(s site, name string) (script, error) {
 	switch {
-	case name == "" || name == none:
+	case name == "" || name == noFaultsName:
 		return script{}, nil
-	case name == all:
-		return parseLines(s, allFaults)
+	case name == allFaultsName:
+		return parseLines(s, allFaultsScript)
 	case strings.Contains(name, " "):
 		return parseLines(s, strings.ReplaceAll(name, ";", "\n"))
 	}
@@ -84,25 +84,25 @@
 		if err != nil {
 			return script{}, errors.Wrapf(err, "bench: fault script: %q", lines.Text())
 		}
-		one := step{at: at, fault: fields[1], arguments: fields[2:]}
-		if err := one.check(s); err != nil {
+		next := step{at: at, fault: fields[1], arguments: fields[2:]}
+		if err := next.check(s); err != nil {
 			return script{}, errors.Wrapf(err, "bench: fault script: %q", lines.Text())
 		}
-		result.steps = append(result.steps, one)
+		result.steps = append(result.steps, next)
 	}
 	return result, nil
 }
 
 // check validates the step before the run starts.
 func (s step) check(site site) error {
-	inject := injections[s.fault]
-	if inject.do == nil {
+	injected := injections[s.fault]
+	if injected.apply == nil {
 		return errors.Newf("unknown fault %q", s.fault)
 	}
-	if len(s.arguments) != len(inject.arguments) {
-		return errors.Newf("%s takes %s", s.fault, strings.Join(inject.arguments, " "))
+	if len(s.arguments) != len(injected.arguments) {
+		return errors.Newf("%s takes %s", s.fault, strings.Join(injected.arguments, " "))
 	}
-	for i, kind := range inject.arguments {
+	for i, kind := range injected.arguments {
 		if err := checkArgument(site, kind, s.arguments[i]); err != nil {
 			return err
 		}
@@ -130,9 +130,9 @@
 		}
 		return errors.Newf("no failure domain %q", value)
 	}
-	most := map[string]int{argEngine: s.workers, argHost: s.entryHosts}[kind]
-	if n, err := strconv.Atoi(value); err != nil || n < 0 || n >= most {
-		return errors.Newf("%s is 0 to %d, not %q", kind, most-1, value)
+	count := map[string]int{argEngine: s.workers, argHost: s.entryHosts}[kind]
+	if n, err := strconv.Atoi(value); err != nil || n < 0 || n >= count {
+		return errors.Newf("%s is 0 to %d, not %q", kind, count-1, value)
 	}
 	return nil
 }
@@ -140,7 +140,7 @@
 // injection is one kind of fault.
 type injection struct {
 	arguments []string
-	do        func(*deployment, []string)
+	apply     func(*deployment, []string)
 }
 
 var injections = map[string]injection{
@@ -167,11 +167,11 @@
 // run.
 func (s script) start(ctx context.Context, c *cellRun) (wait func()) {
 	var running sync.WaitGroup
-	for _, one := range s.steps {
+	for _, next := range s.steps {
 		running.Go(func() {
 			select {
-			case <-time.After(time.Until(c.meter.start.Add(c.warm + one.at))):
-				injections[one.fault].do(c.deployment, one.arguments)
+			case <-time.After(time.Until(c.meter.start.Add(c.warm + next.at))):
+				injections[next.fault].apply(c.deployment, next.arguments)
 			case <-ctx.Done():
 			}
 		})
--- a/bench/meter.go
+++ b/bench/meter.go
@@ -26,7 +26,7 @@
 	mu        sync.Mutex // guards all below
 	gaps      *hdrhistogram.Histogram
 	first     *hdrhistogram.Histogram
-	refusal   *hdrhistogram.Histogram
+	refusals  *hdrhistogram.Histogram
 	stall     time.Duration
 	tokens    int // output tokens of complete answers
 	delivered int // output tokens that callers received, including those of incomplete answers
@@ -41,13 +41,13 @@
 func newMeter(start time.Time, from, to time.Duration) *meter {
 	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, longestValue, precision) }
 	return &meter{
-		start: start, from: from, to: to, gaps: histogram(), first: histogram(), refusal: histogram(),
+		start: start, from: from, to: to, gaps: histogram(), first: histogram(), refusals: histogram(),
 		outcomes: map[string]int{}, served: map[int]float64{}, offered: map[int]float64{},
 		perSecond: make([]float64, int(to/time.Second)+1),
 	}
 }
 
-func (m *meter) measured(at time.Time) bool {
+func (m *meter) inWindow(at time.Time) bool {
 	after := at.Sub(m.start)
 	return after >= m.from && after < m.to
 }
@@ -56,9 +56,10 @@
 	_ = h.RecordValue(min(longestValue, max(1, d.Microseconds()))) // cannot fail: within the bounds of the histogram
 }
 
-// send counts a sent request. Latency is measured from its intended send time.
-func (m *meter) send(a arrival) {
-	if !m.measured(m.start.Add(a.at)) {
+// addRequest counts a sent request. Latency is measured from its intended send
+// time.
+func (m *meter) addRequest(a arrival) {
+	if !m.inWindow(m.start.Add(a.at)) {
 		return
 	}
 	m.mu.Lock()
@@ -67,10 +68,10 @@
 	m.offered[a.organisation] += float64(a.tokens + a.promptTokens)
 }
 
-// token records one token of a stream. last is the time of the previous token,
-// zero for the first one.
-func (m *meter) token(a arrival, now, last time.Time) {
-	if !m.measured(now) {
+// addToken records one token of a stream. last is the time of the previous
+// token, zero for the first one.
+func (m *meter) addToken(a arrival, now, last time.Time) {
+	if !m.inWindow(now) {
 		return
 	}
 	m.mu.Lock()
@@ -85,14 +86,14 @@
 	m.stall += max(0, gap-stallAfter)
 }
 
-// whole counts a complete answer.
-func (m *meter) whole(a arrival, tokens int, now time.Time) {
+// addAnswer counts a complete answer.
+func (m *meter) addAnswer(a arrival, tokens int, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if second := int(now.Sub(m.start) / time.Second); second < len(m.perSecond) {
 		m.perSecond[second] += float64(tokens)
 	}
-	if !m.measured(now) {
+	if !m.inWindow(now) {
 		return
 	}
 	m.answers++
@@ -100,15 +101,15 @@
 	m.served[a.organisation] += float64(tokens + a.promptTokens)
 }
 
-// ended counts a request that ended without a complete answer.
-func (m *meter) ended(a arrival, refusal *contract.Refusal, now time.Time) {
-	if !m.measured(m.start.Add(a.at)) {
+// addRefusal counts a request that ended without a complete answer.
+func (m *meter) addRefusal(a arrival, refusal *contract.Refusal, now time.Time) {
+	if !m.inWindow(m.start.Add(a.at)) {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.outcomes[string(refusal.Outcome)+"/"+string(refusal.Reason)]++
 	if refusal.Outcome == contract.OutcomeNotRun {
-		record(m.refusal, now.Sub(m.start.Add(a.at)))
+		record(m.refusals, now.Sub(m.start.Add(a.at)))
 	}
 }
--- a/bench/network.go
+++ b/bench/network.go
@@ -17,17 +17,17 @@
 type topology struct {
 	site site
 
-	mu      sync.Mutex           // guards all below
-	domains map[string]string    // failure domains by address
-	stalled map[string]time.Time // by failure domain; no data passes before this time
-	silent  map[string]time.Time // by address; connections opened before this time lose all data
+	mu           sync.Mutex           // guards all below
+	domains      map[string]string    // failure domains by address
+	stalledUntil map[string]time.Time // by failure domain; no data passes before this time
+	silencedAt   map[string]time.Time // by address; connections opened before this time lose all data
 }
 
 func newTopology(s site) *topology {
-	return &topology{site: s, domains: map[string]string{}, stalled: map[string]time.Time{}, silent: map[string]time.Time{}}
+	return &topology{site: s, domains: map[string]string{}, stalledUntil: map[string]time.Time{}, silencedAt: map[string]time.Time{}}
 }
 
-func (t *topology) place(address, domain string) {
+func (t *topology) setDomain(address, domain string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.domains[address] = domain
@@ -43,7 +43,7 @@
 func (t *topology) stall(domain string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.stalled[domain] = time.Now().Add(d)
+	t.stalledUntil[domain] = time.Now().Add(d)
 }
 
 // silence drops all further data on the currently open connections to an
@@ -51,19 +51,19 @@
 func (t *topology) silence(address string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.silent[address] = time.Now()
+	t.silencedAt[address] = time.Now()
 }
 
-// passes returns the time at which data that is due at a given time is
+// deliveryTime returns the time at which data that is due at a given time is
 // delivered on a connection, and false if the data is lost.
-func (t *topology) passes(c *delayedConn, at time.Time) (time.Time, bool) {
+func (t *topology) deliveryTime(c *delayedConn, at time.Time) (time.Time, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.silent[c.address].After(c.opened) {
+	if t.silencedAt[c.address].After(c.opened) {
 		return at, false
 	}
 	for _, domain := range []string{c.from, c.to} {
-		if until := t.stalled[domain]; until.After(at) && c.from != c.to {
+		if until := t.stalledUntil[domain]; until.After(at) && c.from != c.to {
 			at = until
 		}
 	}
@@ -89,7 +89,7 @@
 		Conn: conn, topology: n.topology, from: n.domain, to: to, address: address, opened: time.Now(),
 		delay: n.topology.site.latency(n.domain, to), chunks: make(chan chunk, chunkQueue), closed: make(chan struct{}),
 	}
-	go c.pump()
+	go c.readAhead()
 	return c, nil
 }
 
@@ -115,17 +115,17 @@
 	chunks   chan chunk
 	closed   chan struct{}
 	once     sync.Once
-	rest     []byte // unread part of the current chunk; used by Read only
-	failed   error  // error that ended the stream; used by Read only
+	unread   []byte // unread part of the current chunk; used by Read only
+	readErr  error  // error that ended the stream; used by Read only
 
-	mu       sync.Mutex    // guards all below
-	deadline time.Time     // of Read
-	wake     chan struct{} // closed when deadline changes
+	mu              sync.Mutex    // guards all below
+	deadline        time.Time     // of Read
+	deadlineChanged chan struct{} // closed when deadline changes
 }
 
-// pump reads ahead from the connection and adds to each chunk the time at which
-// it is due.
-func (c *delayedConn) pump() {
+// readAhead reads ahead from the connection and adds to each chunk the time at
+// which it is due.
+func (c *delayedConn) readAhead() {
 	defer close(c.chunks)
 	buffer := make([]byte, chunkBytes)
 	for {
@@ -146,16 +146,16 @@
 
 // Read implements net.Conn.
 func (c *delayedConn) Read(p []byte) (int, error) {
-	if len(c.rest) == 0 && c.failed == nil {
+	if len(c.unread) == 0 && c.readErr == nil {
 		if err := c.receive(); err != nil {
 			return 0, err
 		}
 	}
-	if len(c.rest) == 0 {
-		return 0, c.failed
+	if len(c.unread) == 0 {
+		return 0, c.readErr
 	}
-	n := copy(p, c.rest)
-	c.rest = c.rest[n:]
+	n := copy(p, c.unread)
+	c.unread = c.unread[n:]
 	return n, nil
 }
 
@@ -163,7 +163,7 @@
 // deadline ends the wait for a chunk, which then remains for the next call.
 func (c *delayedConn) receive() error {
 	for {
-		deadline, wake := c.readDeadline()
+		deadline, changed := c.readDeadline()
 		var expired <-chan time.Time
 		if !deadline.IsZero() {
 			timer := time.NewTimer(time.Until(deadline))
@@ -173,45 +173,45 @@
 		select {
 		case next, open := <-c.chunks:
 			if !open {
-				c.failed = net.ErrClosed
+				c.readErr = net.ErrClosed
 				return nil
 			}
-			if c.take(next) {
+			if c.deliver(next) {
 				return nil
 			}
 		case <-expired:
 			return timeoutError{}
-		case <-wake:
+		case <-changed:
 		case <-c.closed:
 			return net.ErrClosed
 		}
 	}
 }
 
-// take waits until a chunk is due and makes it the current one. It returns false
-// if the connection is silenced and the chunk is lost.
-func (c *delayedConn) take(next chunk) bool {
-	due, ok := c.topology.passes(c, next.due)
+// deliver waits until a chunk is due and makes it the current one. It returns
+// false if the connection is silenced and the chunk is lost.
+func (c *delayedConn) deliver(next chunk) bool {
+	due, ok := c.topology.deliveryTime(c, next.due)
 	if !ok {
 		return false
 	}
 	time.Sleep(time.Until(due))
-	c.rest, c.failed = next.data, next.err
+	c.unread, c.readErr = next.data, next.err
 	return true
 }
 
 func (c *delayedConn) readDeadline() (time.Time, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.wake == nil {
-		c.wake = make(chan struct{})
+	if c.deadlineChanged == nil {
+		c.deadlineChanged = make(chan struct{})
 	}
-	return c.deadline, c.wake
+	return c.deadline, c.deadlineChanged
 }
 
 // Write implements net.Conn.
 func (c *delayedConn) Write(p []byte) (int, error) {
-	due, ok := c.topology.passes(c, time.Now().Add(c.delay))
+	due, ok := c.topology.deliveryTime(c, time.Now().Add(c.delay))
 	if !ok {
 		return len(p), nil // dropped, as by a middlebox that has lost the state of the connection
 	}
@@ -226,9 +226,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = t
-	if c.wake != nil {
-		close(c.wake)
-		c.wake = nil
+	if c.deadlineChanged != nil {
+		close(c.deadlineChanged)
+		c.deadlineChanged = nil
 	}
 	return nil
 }
--- a/bench/plot.go
+++ b/bench/plot.go
@@ -23,7 +23,7 @@
 // figures by policy and load, and goodput over time. It writes them as PNG files
 // next to the result file and returns their names.
 func Plot(file string) ([]string, error) {
-	report, err := Load(file)
+	report, err := ReadReport(file)
 	if err != nil {
 		return nil, err
 	}
--- a/bench/result.go
+++ b/bench/result.go
@@ -43,16 +43,16 @@
 	// fair share of all tokens served, for the smallest organisation and for
 	// the one with the lowest ratio. The fair share is the weighted max-min
 	// division over the tokens requested.
-	SmallestShare float64        `json:"smallest_share"`
-	LeastShare    float64        `json:"least_share"`
-	Broken        int            `json:"broken_promises"`
-	BrokenBy      map[string]int `json:"broken_by,omitempty"`
-	Samples       []string       `json:"broken_samples,omitempty"`
-	PerSecond     []float64      `json:"goodput_per_second"`
+	SmallestShare    float64        `json:"smallest_share"`
+	LeastShare       float64        `json:"least_share"`
+	Violations       int            `json:"broken_promises"`
+	ViolationsByKind map[string]int `json:"broken_by,omitempty"`
+	ViolationSamples []string       `json:"broken_samples,omitempty"`
+	PerSecond        []float64      `json:"goodput_per_second"`
 }
 
-// cell returns the figures of the run.
-func (c *cellRun) cell(preemptions int) Cell {
+// result returns the figures of the run.
+func (c *cellRun) result(preemptions int) Cell {
 	m := c.meter
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -62,9 +62,9 @@
 		Policy: c.policy, Load: c.load, Seed: c.seed, MeasuredS: seconds, Sent: m.sent, Answers: m.answers,
 		Goodput: float64(m.tokens) / seconds, Delivered: float64(m.delivered) / seconds,
 		StallS: m.stall.Seconds(), Preemptions: preemptions,
-		Gap: quantiles(m.gaps), First: quantiles(m.first), RefusedAfter: quantiles(m.refusal),
+		Gap: quantiles(m.gaps), First: quantiles(m.first), RefusedAfter: quantiles(m.refusals),
 		Outcomes: m.outcomes, SmallestShare: smallest, LeastShare: least,
-		Broken: c.oracle.total(), BrokenBy: c.oracle.broken, Samples: c.oracle.sample, PerSecond: m.perSecond,
+		Violations: c.oracle.violationCount(), ViolationsByKind: c.oracle.violations, ViolationSamples: c.oracle.samples, PerSecond: m.perSecond,
 	}
 }
 
@@ -130,11 +130,11 @@
 	for _, c := range r.Cells {
 		fmt.Fprintf(table, "%.2f\t%d\t%s\t%d\t%.1f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%d/%d\t%.0f\t%.2f\t%.2f\t%d\t%s\t\n",
 			c.Load, c.Seed, c.Policy, c.Preemptions, c.StallS, c.Gap.P50, c.Gap.P95, c.Gap.P99, c.Gap.P999, c.Gap.Max,
-			c.First.P50, c.First.P95, c.First.P99, c.Goodput, c.Answers, c.Sent, c.RefusedAfter.P95, c.SmallestShare, c.LeastShare, c.Broken, outcomes(c.Outcomes))
+			c.First.P50, c.First.P95, c.First.P99, c.Goodput, c.Answers, c.Sent, c.RefusedAfter.P95, c.SmallestShare, c.LeastShare, c.Violations, outcomes(c.Outcomes))
 	}
 	_ = table.Flush()
 	for _, c := range r.Cells {
-		for _, sample := range c.Samples {
+		for _, sample := range c.ViolationSamples {
 			fmt.Fprintf(w, "BROKEN %s load %.2f seed %d: %s\n", c.Policy, c.Load, c.Seed, sample)
 		}
 	}
--- a/bench/site.go
+++ b/bench/site.go
@@ -16,24 +16,24 @@
 
 // site describes the layout of a deployment and its load.
 type site struct {
-	name        string
-	service     string
-	domains     []string
-	between     time.Duration // one-way latency between failure domains
-	toCallers   time.Duration // one-way latency between callers and hosts
-	entryHosts  int
-	workers     int
-	idempotent  bool // whether generations may run more than once
-	engine      engine.Config
-	prompts     lengths
-	outputs     lengths
-	prefixes    int       // distinct prompt prefixes of one organisation
-	shares      []float64 // fractions of the requests, by organisation
-	peakTokens  float64   // output tokens/s of the whole site at load 1
-	firstToken  time.Duration
-	queue       time.Duration
-	targetGap   time.Duration
-	placingRisk float64
+	name               string
+	service            string
+	domains            []string
+	domainLatency      time.Duration // one-way latency between failure domains
+	callerLatency      time.Duration // one-way latency between callers and hosts
+	entryHosts         int
+	workers            int
+	idempotent         bool // whether generations may run more than once
+	engine             engine.Config
+	prompts            lengths
+	outputs            lengths
+	prefixes           int       // distinct prompt prefixes of one organisation
+	shares             []float64 // fractions of the requests, by organisation
+	peakTokens         float64   // output tokens/s of the whole site at load 1
+	firstTokenDeadline time.Duration
+	queueDeadline      time.Duration
+	targetGap          time.Duration
+	placementRisk      float64
 	// pollsPerSecond is the rate at which a host polls engines for their load;
 	// 0 means the default.
 	pollsPerSecond float64
@@ -43,7 +43,7 @@
 type lengths struct {
 	median float64
 	sigma  float64
-	most   int
+	limit  int // largest length
 }
 
 // tenOrganisations are the request fractions of ten organisations, a few of them
@@ -53,21 +53,21 @@
 var sites = map[string]site{
 	SiteAkarsu: {
 		name: SiteAkarsu, service: "outlook",
-		domains: []string{"ankara", "kirikkale", "konya"}, between: 1500 * time.Microsecond, toCallers: time.Millisecond,
+		domains: []string{"ankara", "kirikkale", "konya"}, domainLatency: 1500 * time.Microsecond, callerLatency: time.Millisecond,
 		entryHosts: 7, workers: 12, idempotent: true,
 		engine:  engine.Config{TokenCapacity: 6000, MaxBatch: 48, StepBase: 20 * time.Millisecond, StepPerRunning: 400 * time.Microsecond},
-		prompts: lengths{median: 120, sigma: 0.7, most: 2000}, outputs: lengths{median: 100, sigma: 1.0, most: 1200},
+		prompts: lengths{median: 120, sigma: 0.7, limit: 2000}, outputs: lengths{median: 100, sigma: 1.0, limit: 1200},
 		prefixes: 8, shares: tenOrganisations, peakTokens: 7000,
-		firstToken: 20 * time.Second, queue: 5 * time.Second, targetGap: 150 * time.Millisecond, placingRisk: 0.02,
+		firstTokenDeadline: 20 * time.Second, queueDeadline: 5 * time.Second, targetGap: 150 * time.Millisecond, placementRisk: 0.02,
 	},
 	SiteTaoyuan: {
 		name: SiteTaoyuan, service: "letters",
-		domains: []string{"north", "south", "east"}, between: time.Millisecond, toCallers: 3 * time.Millisecond,
+		domains: []string{"north", "south", "east"}, domainLatency: time.Millisecond, callerLatency: 3 * time.Millisecond,
 		entryHosts: 7, workers: 14, idempotent: false,
 		engine:  engine.Config{TokenCapacity: 9000, MaxBatch: 48, StepBase: 20 * time.Millisecond, StepPerRunning: 400 * time.Microsecond},
-		prompts: lengths{median: 350, sigma: 0.7, most: 3000}, outputs: lengths{median: 90, sigma: 0.8, most: 800},
+		prompts: lengths{median: 350, sigma: 0.7, limit: 3000}, outputs: lengths{median: 90, sigma: 0.8, limit: 800},
 		prefixes: 8, shares: tenOrganisations, peakTokens: 7400,
-		firstToken: 20 * time.Second, queue: 5 * time.Second, targetGap: 150 * time.Millisecond, placingRisk: 0.02,
+		firstTokenDeadline: 20 * time.Second, queueDeadline: 5 * time.Second, targetGap: 150 * time.Millisecond, placementRisk: 0.02,
 	},
 }
 
@@ -90,11 +90,11 @@
 func (s site) latency(from, to string) time.Duration {
 	switch {
 	case from == callers || to == callers:
-		return s.toCallers
+		return s.callerLatency
 	case from == to:
 		return 0
 	}
-	return s.between
+	return s.domainLatency
 }
 
 // callers is the pseudo failure domain of callers.
