--- a/bench/deployment.go
+++ b/bench/deployment.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	model        = "basin@3"
-	probePeriod  = 500 * time.Millisecond
-	keepAddress  = 10 * time.Second
-	startBound   = 30 * time.Second
-	callersOfOne = 7 // callers of one organisation
+	model                  = "basin@3"
+	probePeriod            = 500 * time.Millisecond
+	keepAddress            = 10 * time.Second
+	startTimeout           = 30 * time.Second
+	callersPerOrganisation = 7 // client library instances per organisation
 )
 
-// deployment is one site in this process: the entry hosts' real code over
-// loopback TCP, and stand-ins of the engines and the store.
+// deployment is one site in this process: the production code of the entry hosts
+// over loopback TCP, simulated engines and an in-memory store.
 type deployment struct {
 	site     site
 	policy   string
@@ -53,7 +53,8 @@
 	done     chan struct{}
 }
 
-// deploy starts a site under a policy and returns when all hosts serve.
+// deploy starts a site under a policy and returns when the site is ready.
+// attempts is the maximum number of attempts per request of the callers.
 func deploy(ctx context.Context, s site, policy string, seed uint64, attempts int) (*deployment, error) {
 	d := &deployment{site: s, policy: policy, store: store.NewMemory(), topology: newTopology(s)}
 	if err := d.start(ctx, seed, attempts); err != nil {
@@ -69,7 +70,7 @@
 			return err
 		}
 	}
-	if err := d.accept(ctx); err != nil {
+	if err := d.acceptDocument(ctx); err != nil {
 		return err
 	}
 	if err := d.startHosts(ctx); err != nil {
@@ -78,7 +79,7 @@
 	if err := d.makeCallers(attempts); err != nil {
 		return err
 	}
-	return d.ready(ctx)
+	return d.waitReady(ctx)
 }
 
 func (d *deployment) startEngine(i int, seed uint64) error {
@@ -90,15 +91,15 @@
 	config.Name = fmt.Sprintf("engine-%d", i+1)
 	config.Seed = seed*100 + uint64(i)
 	config.Models = []string{model}
-	config.MaxTokens = d.site.outputs.most
+	config.MaxTokens = d.site.outputs.limit
 	e := &engineServer{Engine: engine.New(config), name: config.Name, address: listener.Addr().String()}
 	d.engines = append(d.engines, e)
-	d.topology.place(e.address, d.site.domain(i))
+	d.topology.setDomain(e.address, d.site.domain(i))
 	d.running.Go(func() { _ = e.Serve(listener) })
 	return nil
 }
 
-func (d *deployment) accept(ctx context.Context) error {
+func (d *deployment) acceptDocument(ctx context.Context) error {
 	acceptor := configuration.NewAcceptor(d.store, contract.ParseDocument)
 	result, err := acceptor.Put(ctx, configuration.Change{Service: d.site.service, Document: []byte(d.document()), ChangeID: "bench", Who: "bench"})
 	if err != nil {
@@ -110,7 +111,8 @@
 	return nil
 }
 
-// weights of the organisations: the large ones weigh more.
+// weights are the fair-share weights of the organisations, by index; the largest
+// three have higher ones.
 var weights = []int{4, 3, 2, 1, 1, 1, 1, 1, 1, 1}
 
 func (d *deployment) document() string {
@@ -130,8 +132,8 @@
 %sorganisations:
 %sdeadlines: {queue: %s, first_token: %s, gap: 10s}
 placement: {risk: %g, target_gap: %s}
-`, d.site.service, name, version, d.site.outputs.most, d.site.idempotent, &servers, &organisations,
-		d.site.queue, d.site.firstToken, d.site.placingRisk, d.site.targetGap)
+`, d.site.service, name, version, d.site.outputs.limit, d.site.idempotent, &servers, &organisations,
+		d.site.queueDeadline, d.site.firstTokenDeadline, d.site.placementRisk, d.site.targetGap)
 }
 
 func organisationName(i int) string { return fmt.Sprintf("org-%d", i) }
@@ -165,16 +167,16 @@
 			return nil, err
 		}
 		*address = free
-		d.topology.place(free, s.FailureDomain)
+		d.topology.setDomain(free, s.FailureDomain)
 	}
-	s.Platform = "127.0.0.1:1" // unused: the store is in memory
+	s.Platform = "127.0.0.1:1" // unused, because the store is in memory
 	s.EventKey = []byte("a key that only benches use, of 32 bytes")
 	for org := range d.site.shares {
 		s.Organisations = append(s.Organisations, settings.Organisation{Name: organisationName(org), TokenSHA256: settings.HashToken(organisationToken(org))})
 	}
 	for j, from := range d.site.domains {
 		for _, to := range d.site.domains[j+1:] {
-			s.Distances = append(s.Distances, settings.Distance{From: from, To: to, Latency: d.site.between})
+			s.Distances = append(s.Distances, settings.Distance{From: from, To: to, Latency: d.site.domainLatency})
 		}
 	}
 	s.Limits = settings.DefaultLimits()
@@ -184,9 +186,9 @@
 	return s, nil
 }
 
-// Ports that entry hosts listen at, below those that the system gives to
-// outgoing connections: one of these could otherwise take a port between its
-// choice and the host's start.
+// Range of the ports on which entry hosts listen. It is below the ephemeral
+// ports of the operating system, so that no outgoing connection can take a port
+// between its selection and the start of the host.
 const (
 	firstPort = 12_000
 	ports     = 18_000
@@ -194,10 +196,10 @@
 
 var nextPort atomic.Uint32
 
-// freeAddress returns a loopback address that was free a moment ago and is
-// given out once.
+// freeAddress returns a loopback address whose port was free when checked. It
+// returns each address at most once per cycle through the port range.
 func freeAddress() (string, error) {
-	start := uint32(os.Getpid()) * 61 // processes side by side begin elsewhere
+	start := uint32(os.Getpid()) * 61 // concurrent processes start at different ports
 	for range ports {
 		address := fmt.Sprintf("127.0.0.1:%d", firstPort+(start+nextPort.Add(1))%ports)
 		if listener, err := net.Listen("tcp", address); err == nil {
@@ -228,14 +230,14 @@
 func (d *deployment) makeCallers(attempts int) error {
 	for org := range d.site.shares {
 		var clients []*caller.Client
-		for i := range callersOfOne {
+		for i := range callersPerOrganisation {
 			var seeds []string
 			for j := range d.hosts {
 				seeds = append(seeds, d.hosts[(i+j)%len(d.hosts)].settings.CallerAddress)
 			}
 			client, err := caller.New(caller.Config{
 				Seeds: seeds, Token: organisationToken(org), FailureDomain: d.site.domain(i), MaxAttempts: attempts,
-				Network: &network{topology: d.topology, domain: callers}, Attempt: d.site.queue + d.site.firstToken,
+				Network: &network{topology: d.topology, domain: callers}, Attempt: d.site.queueDeadline + d.site.firstTokenDeadline,
 			})
 			if err != nil {
 				return errors.Wrap(err, "bench: caller")
@@ -247,24 +249,25 @@
 	return nil
 }
 
-// ready waits until every caller has addresses and a request has gone through.
-func (d *deployment) ready(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startBound)
+// waitReady waits until every caller has the addresses of all entry hosts and a
+// request has succeeded.
+func (d *deployment) waitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
-		err := d.probe(ctx)
+		err := d.checkReady(ctx)
 		if err == nil {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrap(err, "bench: the site does not come up")
+			return errors.Wrap(err, "bench: site not ready before the timeout")
 		case <-time.After(probePeriod / 2):
 		}
 	}
 }
 
-func (d *deployment) probe(ctx context.Context) error {
+func (d *deployment) checkReady(ctx context.Context) error {
 	for _, clients := range d.callers {
 		for _, client := range clients {
 			answer, err := client.Addresses(ctx)
@@ -272,7 +275,7 @@
 				return err
 			}
 			if len(answer.Addresses) < len(d.hosts) {
-				return errors.Newf("%d of %d entry hosts known", len(answer.Addresses), len(d.hosts))
+				return errors.Newf("caller has addresses of %d of %d entry hosts", len(answer.Addresses), len(d.hosts))
 			}
 		}
 	}
@@ -285,13 +288,13 @@
 	return err
 }
 
-// kill ends a host at once.
+// kill ends a host without a graceful stop and waits for its end.
 func (p *hostProcess) kill() {
 	p.stop()
 	<-p.done
 }
 
-// close ends everything.
+// close stops all callers, hosts and engines and waits for their end.
 func (d *deployment) close() {
 	for _, clients := range d.callers {
 		for _, client := range clients {
--- a/bench/fault.go
+++ b/bench/fault.go
@@ -14,11 +14,13 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// attemptsWithFaults is how often callers try in runs with faults.
+// attemptsWithFaults is the maximum number of attempts per request in runs with
+// faults; without faults it is 1.
 const attemptsWithFaults = 5
 
-// script is a list of faults. Each line reads "AFTER FAULT [ARGUMENT...]",
-// where AFTER counts from the start of the measured window:
+// script is a list of faults. Each line has the form
+// "AFTER FAULT ARGUMENT [ARGUMENT...]", where AFTER counts from the start of the
+// measured window:
 //
 //	5s engine_kill 0
 //	5s engine_reclaim 1 3s
@@ -34,13 +36,13 @@
 	arguments []string
 }
 
-// none is the script without faults.
-const none = "none"
+// noFaultsName is the name of the script without faults.
+const noFaultsName = "none"
 
-// all is the script with one fault of each kind.
-const all = "all"
+// allFaultsName is the name of the script with one fault of each kind.
+const allFaultsName = "all"
 
-var allFaults = `
+var allFaultsScript = `
 2s store_outage 10s
 4s engine_kill 0
 6s link_stall @ 2s
@@ -49,14 +51,14 @@
 12s engine_reclaim 1 3s
 `
 
-// parseScript reads a script from a file, or the names "none" and "all", or
-// one line.
+// parseScript returns the script with the given name: "none" or "all", the lines
+// of a script joined by ";" if the name contains a space, or else a file.
 func parseScript(s site, name string) (script, error) {
 	switch {
-	case name == "" || name == none:
+	case name == "" || name == noFaultsName:
 		return script{}, nil
-	case name == all:
-		return parseLines(s, allFaults)
+	case name == allFaultsName:
+		return parseLines(s, allFaultsScript)
 	case strings.Contains(name, " "):
 		return parseLines(s, strings.ReplaceAll(name, ";", "\n"))
 	}
@@ -82,25 +84,25 @@
 		if err != nil {
 			return script{}, errors.Wrapf(err, "bench: fault script: %q", lines.Text())
 		}
-		one := step{at: at, fault: fields[1], arguments: fields[2:]}
-		if err := one.check(s); err != nil {
+		next := step{at: at, fault: fields[1], arguments: fields[2:]}
+		if err := next.check(s); err != nil {
 			return script{}, errors.Wrapf(err, "bench: fault script: %q", lines.Text())
 		}
-		result.steps = append(result.steps, one)
+		result.steps = append(result.steps, next)
 	}
 	return result, nil
 }
 
-// check finds mistakes before the run starts.
+// check validates the step before the run starts.
 func (s step) check(site site) error {
-	inject := injections[s.fault]
-	if inject.do == nil {
+	injected := injections[s.fault]
+	if injected.apply == nil {
 		return errors.Newf("unknown fault %q", s.fault)
 	}
-	if len(s.arguments) != len(inject.arguments) {
-		return errors.Newf("%s takes %s", s.fault, strings.Join(inject.arguments, " "))
+	if len(s.arguments) != len(injected.arguments) {
+		return errors.Newf("%s takes %s", s.fault, strings.Join(injected.arguments, " "))
 	}
-	for i, kind := range inject.arguments {
+	for i, kind := range injected.arguments {
 		if err := checkArgument(site, kind, s.arguments[i]); err != nil {
 			return err
 		}
@@ -128,9 +130,9 @@
 		}
 		return errors.Newf("no failure domain %q", value)
 	}
-	most := map[string]int{argEngine: s.workers, argHost: s.entryHosts}[kind]
-	if n, err := strconv.Atoi(value); err != nil || n < 0 || n >= most {
-		return errors.Newf("%s is 0 to %d, not %q", kind, most-1, value)
+	count := map[string]int{argEngine: s.workers, argHost: s.entryHosts}[kind]
+	if n, err := strconv.Atoi(value); err != nil || n < 0 || n >= count {
+		return errors.Newf("%s is 0 to %d, not %q", kind, count-1, value)
 	}
 	return nil
 }
@@ -138,7 +140,7 @@
 // injection is one kind of fault.
 type injection struct {
 	arguments []string
-	do        func(*deployment, []string)
+	apply     func(*deployment, []string)
 }
 
 var injections = map[string]injection{
@@ -156,19 +158,20 @@
 	d.store.SetFaults(store.Faults{})
 }
 
-// number and duration read arguments that check has passed.
+// number and duration parse arguments that check has validated.
 func number(s string) int { n, _ := strconv.Atoi(s); return n }
 
 func duration(s string) time.Duration { d, _ := time.ParseDuration(s); return d }
 
-// start runs the steps at their times; the returned function waits for them.
+// start schedules the steps and returns a function that waits until all have
+// run.
 func (s script) start(ctx context.Context, c *cellRun) (wait func()) {
 	var running sync.WaitGroup
-	for _, one := range s.steps {
+	for _, next := range s.steps {
 		running.Go(func() {
 			select {
-			case <-time.After(time.Until(c.meter.start.Add(c.warm + one.at))):
-				injections[one.fault].do(c.deployment, one.arguments)
+			case <-time.After(time.Until(c.meter.start.Add(c.warm + next.at))):
+				injections[next.fault].apply(c.deployment, next.arguments)
 			case <-ctx.Done():
 			}
 		})
--- a/bench/network.go
+++ b/bench/network.go
@@ -12,22 +12,22 @@
 	"github.com/papayasail/papayasail/link"
 )
 
-// topology knows where each address is, how far places are apart, and which
-// links are cut off for now.
+// topology stores the failure domain of each address and the faults of links
+// and connections. Latencies are those of the site.
 type topology struct {
 	site site
 
-	mu      sync.Mutex // guards all below
-	domains map[string]string
-	stalled map[string]time.Time // by failure domain: no data passes until then
-	silent  map[string]time.Time // by address: connections opened before are dead
+	mu           sync.Mutex           // guards all below
+	domains      map[string]string    // failure domains by address
+	stalledUntil map[string]time.Time // by failure domain; no data passes before this time
+	silencedAt   map[string]time.Time // by address; connections opened before this time lose all data
 }
 
 func newTopology(s site) *topology {
-	return &topology{site: s, domains: map[string]string{}, stalled: map[string]time.Time{}, silent: map[string]time.Time{}}
+	return &topology{site: s, domains: map[string]string{}, stalledUntil: map[string]time.Time{}, silencedAt: map[string]time.Time{}}
 }
 
-func (t *topology) place(address, domain string) {
+func (t *topology) setDomain(address, domain string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.domains[address] = domain
@@ -39,38 +39,39 @@
 	return t.domains[address]
 }
 
-// stall holds up all data from and to a failure domain for a while.
+// stall delays all data from and to a failure domain until d has passed.
 func (t *topology) stall(domain string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.stalled[domain] = time.Now().Add(d)
+	t.stalledUntil[domain] = time.Now().Add(d)
 }
 
-// silence makes every connection to an address that is open now go silent for
-// good; new ones work.
+// silence drops all further data on the currently open connections to an
+// address. New connections work.
 func (t *topology) silence(address string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.silent[address] = time.Now()
+	t.silencedAt[address] = time.Now()
 }
 
-// passes returns when data on a connection may pass; false: never.
-func (t *topology) passes(c *delayedConn, at time.Time) (time.Time, bool) {
+// deliveryTime returns the time at which data that is due at a given time is
+// delivered on a connection, and false if the data is lost.
+func (t *topology) deliveryTime(c *delayedConn, at time.Time) (time.Time, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.silent[c.address].After(c.opened) {
+	if t.silencedAt[c.address].After(c.opened) {
 		return at, false
 	}
 	for _, domain := range []string{c.from, c.to} {
-		if until := t.stalled[domain]; until.After(at) && c.from != c.to {
+		if until := t.stalledUntil[domain]; until.After(at) && c.from != c.to {
 			at = until
 		}
 	}
 	return at, true
 }
 
-// network is the loopback network as one machine sees it: TCP, with the
-// latency of its place added by the side that dials.
+// network is the loopback network of one machine. The dialling side adds the
+// latency between the failure domains to both directions of a connection.
 type network struct {
 	link.TCP
 	topology *topology
@@ -88,7 +89,7 @@
 		Conn: conn, topology: n.topology, from: n.domain, to: to, address: address, opened: time.Now(),
 		delay: n.topology.site.latency(n.domain, to), chunks: make(chan chunk, chunkQueue), closed: make(chan struct{}),
 	}
-	go c.pump()
+	go c.readAhead()
 	return c, nil
 }
 
@@ -103,7 +104,7 @@
 	err  error
 }
 
-// delayedConn delays what is read and written by the latency of the link.
+// delayedConn delays reads and writes by the latency of the link.
 type delayedConn struct {
 	net.Conn
 	topology *topology
@@ -114,16 +115,17 @@
 	chunks   chan chunk
 	closed   chan struct{}
 	once     sync.Once
-	rest     []byte // of the chunk being read; used by Read only
-	failed   error  // used by Read only
+	unread   []byte // unread part of the current chunk; used by Read only
+	readErr  error  // error that ended the stream; used by Read only
 
-	mu       sync.Mutex // guards deadline
-	deadline time.Time  // of Read
-	wake     chan struct{}
+	mu              sync.Mutex    // guards all below
+	deadline        time.Time     // of Read
+	deadlineChanged chan struct{} // closed when deadline changes
 }
 
-// pump reads ahead and stamps what it reads with the time it is due.
-func (c *delayedConn) pump() {
+// readAhead reads ahead from the connection and adds to each chunk the time at
+// which it is due.
+func (c *delayedConn) readAhead() {
 	defer close(c.chunks)
 	buffer := make([]byte, chunkBytes)
 	for {
@@ -144,24 +146,24 @@
 
 // Read implements net.Conn.
 func (c *delayedConn) Read(p []byte) (int, error) {
-	if len(c.rest) == 0 && c.failed == nil {
+	if len(c.unread) == 0 && c.readErr == nil {
 		if err := c.receive(); err != nil {
 			return 0, err
 		}
 	}
-	if len(c.rest) == 0 {
-		return 0, c.failed
+	if len(c.unread) == 0 {
+		return 0, c.readErr
 	}
-	n := copy(p, c.rest)
-	c.rest = c.rest[n:]
+	n := copy(p, c.unread)
+	c.unread = c.unread[n:]
 	return n, nil
 }
 
-// receive waits for the next chunk and until it is due. A deadline that passes
-// ends the wait and leaves the chunk for the next call.
+// receive waits for the next chunk and then until the chunk is due. The read
+// deadline ends the wait for a chunk, which then remains for the next call.
 func (c *delayedConn) receive() error {
 	for {
-		deadline, wake := c.readDeadline()
+		deadline, changed := c.readDeadline()
 		var expired <-chan time.Time
 		if !deadline.IsZero() {
 			timer := time.NewTimer(time.Until(deadline))
@@ -171,47 +173,47 @@
 		select {
 		case next, open := <-c.chunks:
 			if !open {
-				c.failed = net.ErrClosed
+				c.readErr = net.ErrClosed
 				return nil
 			}
-			if c.take(next) {
+			if c.deliver(next) {
 				return nil
 			}
 		case <-expired:
 			return timeoutError{}
-		case <-wake:
+		case <-changed:
 		case <-c.closed:
 			return net.ErrClosed
 		}
 	}
 }
 
-// take waits until a chunk is due; false: the connection is silent and the
-// chunk is lost.
-func (c *delayedConn) take(next chunk) bool {
-	due, ok := c.topology.passes(c, next.due)
+// deliver waits until a chunk is due and makes it the current one. It returns
+// false if the connection is silenced and the chunk is lost.
+func (c *delayedConn) deliver(next chunk) bool {
+	due, ok := c.topology.deliveryTime(c, next.due)
 	if !ok {
 		return false
 	}
 	time.Sleep(time.Until(due))
-	c.rest, c.failed = next.data, next.err
+	c.unread, c.readErr = next.data, next.err
 	return true
 }
 
 func (c *delayedConn) readDeadline() (time.Time, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.wake == nil {
-		c.wake = make(chan struct{})
+	if c.deadlineChanged == nil {
+		c.deadlineChanged = make(chan struct{})
 	}
-	return c.deadline, c.wake
+	return c.deadline, c.deadlineChanged
 }
 
 // Write implements net.Conn.
 func (c *delayedConn) Write(p []byte) (int, error) {
-	due, ok := c.topology.passes(c, time.Now().Add(c.delay))
+	due, ok := c.topology.deliveryTime(c, time.Now().Add(c.delay))
 	if !ok {
-		return len(p), nil // swallowed, as by a middlebox that forgot the connection
+		return len(p), nil // dropped, as by a middlebox that has lost the state of the connection
 	}
 	if wait := time.Until(due); wait > 0 {
 		time.Sleep(wait)
@@ -224,9 +226,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = t
-	if c.wake != nil {
-		close(c.wake)
-		c.wake = nil
+	if c.deadlineChanged != nil {
+		close(c.deadlineChanged)
+		c.deadlineChanged = nil
 	}
 	return nil
 }
@@ -242,7 +244,7 @@
 	return c.Conn.Close()
 }
 
-// timeoutError is what net.Conn returns after a deadline.
+// timeoutError is the net.Error that Read returns after its deadline.
 type timeoutError struct{}
 
 func (timeoutError) Error() string   { return "bench: i/o timeout" }
--- a/bench/result.go
+++ b/bench/result.go
@@ -13,7 +13,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Quantiles of a latency, ms.
+// Quantiles are quantiles of a latency, in ms.
 type Quantiles struct {
 	P50  float64 `json:"p50"`
 	P95  float64 `json:"p95"`
@@ -22,36 +22,37 @@
 	Max  float64 `json:"max"`
 }
 
-// Cell holds the figures of one policy at one load with one seed. Times count
-// from the intended send; figures cover the measured window.
+// Cell contains the figures of one policy at one load with one seed. Latencies
+// are measured from the intended send time; figures cover the measured window.
 type Cell struct {
 	Policy       string         `json:"policy"`
 	Load         float64        `json:"load"`
 	Seed         uint64         `json:"seed"`
 	MeasuredS    float64        `json:"measured_s"`
 	Sent         int            `json:"sent"`
-	Answers      int            `json:"answers"`     // whole ones
-	Goodput      float64        `json:"goodput"`     // tokens/s of whole answers
-	Delivered    float64        `json:"delivered"`   // tokens/s that reached callers
-	StallS       float64        `json:"stall_s"`     // beyond 250 ms a gap, all streams
-	Preemptions  int            `json:"preemptions"` // as the engines count them
+	Answers      int            `json:"answers"`     // complete answers
+	Goodput      float64        `json:"goodput"`     // tokens/s of complete answers
+	Delivered    float64        `json:"delivered"`   // tokens/s that callers received
+	StallS       float64        `json:"stall_s"`     // sum of the parts of gaps above 250 ms, all streams
+	Preemptions  int            `json:"preemptions"` // as counted by the engines
 	Gap          Quantiles      `json:"gap_ms"`
 	First        Quantiles      `json:"first_token_ms"`
 	RefusedAfter Quantiles      `json:"refused_after_ms"`
-	Outcomes     map[string]int `json:"outcomes"` // of requests without their whole answer
-	// SmallestShare and LeastShare are the tokens served over the fair part
-	// of what was served in all (weighted max-min over what was asked for), of
-	// the smallest organisation and of the worst served one.
-	SmallestShare float64        `json:"smallest_share"`
-	LeastShare    float64        `json:"least_share"`
-	Broken        int            `json:"broken_promises"`
-	BrokenBy      map[string]int `json:"broken_by,omitempty"`
-	Samples       []string       `json:"broken_samples,omitempty"`
-	PerSecond     []float64      `json:"goodput_per_second"`
+	Outcomes     map[string]int `json:"outcomes"` // requests without a complete answer, by outcome/reason
+	// SmallestShare and LeastShare are the ratio of the tokens served to the
+	// fair share of all tokens served, for the smallest organisation and for
+	// the one with the lowest ratio. The fair share is the weighted max-min
+	// division over the tokens requested.
+	SmallestShare    float64        `json:"smallest_share"`
+	LeastShare       float64        `json:"least_share"`
+	Violations       int            `json:"broken_promises"`
+	ViolationsByKind map[string]int `json:"broken_by,omitempty"`
+	ViolationSamples []string       `json:"broken_samples,omitempty"`
+	PerSecond        []float64      `json:"goodput_per_second"`
 }
 
-// cell sums up what was measured.
-func (c *cellRun) cell(preemptions int) Cell {
+// result returns the figures of the run.
+func (c *cellRun) result(preemptions int) Cell {
 	m := c.meter
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -61,9 +62,9 @@
 		Policy: c.policy, Load: c.load, Seed: c.seed, MeasuredS: seconds, Sent: m.sent, Answers: m.answers,
 		Goodput: float64(m.tokens) / seconds, Delivered: float64(m.delivered) / seconds,
 		StallS: m.stall.Seconds(), Preemptions: preemptions,
-		Gap: quantiles(m.gaps), First: quantiles(m.first), RefusedAfter: quantiles(m.refusal),
+		Gap: quantiles(m.gaps), First: quantiles(m.first), RefusedAfter: quantiles(m.refusals),
 		Outcomes: m.outcomes, SmallestShare: smallest, LeastShare: least,
-		Broken: c.oracle.total(), BrokenBy: c.oracle.broken, Samples: c.oracle.sample, PerSecond: m.perSecond,
+		Violations: c.oracle.violationCount(), ViolationsByKind: c.oracle.violations, ViolationSamples: c.oracle.samples, PerSecond: m.perSecond,
 	}
 }
 
@@ -74,8 +75,9 @@
 	return Quantiles{P50: at(50), P95: at(95), P99: at(99), P999: at(99.9), Max: at(100)}
 }
 
-// fairness compares what organisations were served with the weighted max-min
-// fair division of the same total over what they asked for.
+// fairness compares the tokens served to organisations with the weighted max-min
+// fair division of the same total over the tokens requested. It returns the
+// ratio for the smallest organisation and the lowest ratio.
 func fairness(offered, served map[int]float64) (smallest, least float64) {
 	total := 0.0
 	for _, tokens := range served {
@@ -96,8 +98,9 @@
 	return smallest, least
 }
 
-// fairDivision gives each organisation what it asks for, or its weighted part
-// of what is left when that is less.
+// fairDivision returns the weighted max-min fair division of total: each
+// organisation receives the tokens it requested, or its weighted part of the
+// remaining tokens if that is less.
 func fairDivision(offered map[int]float64, total float64) map[int]float64 {
 	fair := map[int]float64{}
 	open := make([]int, 0, len(offered))
@@ -118,7 +121,8 @@
 	return fair
 }
 
-// writeTable prints the cells for people: one row for each, by load.
+// writeTable prints the cells as a table, one row per cell, and the sampled
+// violations.
 func (r *Report) writeTable(w io.Writer) {
 	fmt.Fprintf(w, "\n%s, faults %s, reports %d ms old, %.0f%% of them lost; %d policies at once on %d cores\n", r.Site, r.Faults, r.LagMs, 100*r.Loss, r.Parallel, r.Cores)
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -126,11 +130,11 @@
 	for _, c := range r.Cells {
 		fmt.Fprintf(table, "%.2f\t%d\t%s\t%d\t%.1f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%d/%d\t%.0f\t%.2f\t%.2f\t%d\t%s\t\n",
 			c.Load, c.Seed, c.Policy, c.Preemptions, c.StallS, c.Gap.P50, c.Gap.P95, c.Gap.P99, c.Gap.P999, c.Gap.Max,
-			c.First.P50, c.First.P95, c.First.P99, c.Goodput, c.Answers, c.Sent, c.RefusedAfter.P95, c.SmallestShare, c.LeastShare, c.Broken, outcomes(c.Outcomes))
+			c.First.P50, c.First.P95, c.First.P99, c.Goodput, c.Answers, c.Sent, c.RefusedAfter.P95, c.SmallestShare, c.LeastShare, c.Violations, outcomes(c.Outcomes))
 	}
 	_ = table.Flush()
 	for _, c := range r.Cells {
-		for _, sample := range c.Samples {
+		for _, sample := range c.ViolationSamples {
 			fmt.Fprintf(w, "BROKEN %s load %.2f seed %d: %s\n", c.Policy, c.Load, c.Seed, sample)
 		}
 	}
--- a/proof/rolling_test.go
+++ b/proof/rolling_test.go
@@ -10,9 +10,8 @@
 	"github.com/papayasail/papayasail/entryhost"
 )
 
-// All seven hosts of a site are restarted one after the other, the next as
-// soon as the one before serves again, while letters, narratives and verdicts
-// go on. No caller may notice: every request is done and ran once.
+// Guards against requests lost or run twice while seven hosts restart one after the other,
+// each as soon as the previous one serves again, under continuous load.
 func TestRollingRestartOfSeven(t *testing.T) {
 	const site = 7
 	synctest.Test(t, func(t *testing.T) {
@@ -22,20 +21,20 @@
 		counts := NewCounts()
 		for i, host := range w.Hosts {
 			for _, kind := range []string{"narrative", "letter", "verdict", "reading", "letter"} {
-				is.True(w.gentle(Action{Verb: kind, N: 7}))
+				is.True(w.doGentle(Action{Verb: kind, N: 7}))
 				time.Sleep(100 * time.Millisecond)
 			}
 			host.Restart()
-			is.True(w.gentle(Action{Verb: "letter", N: i}))
+			is.True(w.doGentle(Action{Verb: "letter", N: i}))
 			host.awaitStop()
 			time.Sleep(time.Second)
 		}
-		w.Await()
+		w.AwaitCallers()
 		is.Equal(len(w.Oracle.Check()), 0)
-		counts.sequence(w.Oracle)
+		counts.addSequence(w.Oracle)
 		w.Close()
 		for _, host := range w.Hosts {
-			is.Equal(host.lives, 2)
+			is.Equal(host.started, 2)
 		}
 		t.Log(counts)
 	})
--- a/proof/script.go
+++ b/proof/script.go
@@ -14,73 +14,74 @@
 
 const pollEvery = 10 * time.Millisecond // virtual
 
-// Script plays a scenario, one step a line, in a world of its own. The steps:
+// Script executes a scenario in its own world, one step per line. The steps:
 //
 //	narrative NAME tokens=N at HOST            send a request; letter, verdict and
 //	letter NAME tokens=N at HOST home HOST     reading likewise. The key of a
-//	verdict NAME at HOST home HOST             letter or verdict is made for the
-//	reading NAME at HOST                       home that is named
-//	prepare KIND NAME ... at HOST home HOST    make a request and its key, and send nothing
-//	repeat NAME at HOST                        send it, with the same key each time
-//	reuse NAME as OTHER at HOST                send another request with its key
-//	resume NAME at HOST                        take the stream up by Last-Event-ID
-//	abandon NAME                               its caller closes the connections
-//	wait 2s | await                            for a time, or until all has ended
+//	verdict NAME at HOST home HOST             letter or verdict is created for
+//	reading NAME at HOST                       the named home
+//	prepare KIND NAME ... at HOST home HOST    create a request and its key without sending it
+//	repeat NAME at HOST                        send the request with the same key
+//	reuse NAME as OTHER at HOST                send a different request with the same key
+//	resume NAME at HOST                        resume the stream with Last-Event-ID
+//	abandon NAME                               close the caller's connections
+//	wait 2s | await                            wait for a duration, or until all attempts have ended
 //	until NAME has N tokens | until NAME runs  wait for progress
-//	kill M | start M | freeze M | thaw M       a machine's process
-//	stop HOST | restart HOST                   gracefully
-//	cut M M | silence M M | stall M M | heal   links
-//	silence-open M M                           only connections that are open
-//	cross M N | cross-chunks M | skip M        spoil an engine's next answers
-//	spoil M MODE                               spoil a plain service's next call
-//	pause M | unpause M                        an engine's steps
-//	drain M at HOST | leave M | reclaim M 5s   a backend server that leaves
-//	store out | store in                       the platform's store
-//	mark | new work on M                       count what starts on M after mark
-//	quick NAME 2s                              its last attempt ended within
+//	kill M | start M | freeze M | thaw M       act on the process of a machine
+//	stop HOST | restart HOST                   stop or restart gracefully
+//	cut M M | silence M M | stall M M | heal   inject link faults, or end them
+//	silence-open M M                           silence the open connections only
+//	cross M N | cross-chunks M | skip M        corrupt an engine's next responses
+//	spoil M MODE                               make a plain service's next call fail
+//	pause M | unpause M                        pause or continue an engine's steps
+//	drain M at HOST | leave M | reclaim M 5s   make a backend server drain or leave
+//	store out | store in                       start or end an outage of the platform's store
+//	mark | new work on M                       count the work that starts on M after mark
+//	quick NAME 2s                              check that the last attempt ended within 2s
 //
 // A machine M is named host-1, engine-1, plain-1, caller, or "server-of NAME"
 // for the backend server that runs a request.
 type Script struct {
-	world    *World
-	requests map[string]*Request
-	names    []string
-	marked   map[string]int // what was sent to each server by then
-	account  strings.Builder
+	world      *World
+	requests   map[string]*Request
+	names      []string
+	sentAtMark map[string]int // requests sent to each server before the mark
+	output     strings.Builder
 }
 
-// NewScript returns a script that plays in a world.
+// NewScript returns a script that runs in world w.
 func NewScript(w *World) *Script { return &Script{world: w, requests: map[string]*Request{}} }
 
-// Play plays the steps and returns what became of each request.
+// Play executes the steps and returns the results of all requests.
 func (s *Script) Play(steps string) string {
 	for _, line := range strings.Split(strings.TrimSpace(steps), "\n") {
 		if err := s.step(strings.Fields(line)); err != nil {
-			fmt.Fprintf(&s.account, "%s: %v\n", line, err)
+			fmt.Fprintf(&s.output, "%s: %v\n", line, err)
 		}
 	}
-	s.world.Await()
+	s.world.AwaitCallers()
 	s.report()
-	return s.account.String()
+	return s.output.String()
 }
 
-// report tells of each request how its attempts ended and how often it ran.
+// report writes, for each request, how its attempts ended and how often it ran,
+// followed by the violations that the oracle found.
 func (s *Script) report() {
-	broken := s.world.Oracle.Check()
+	violations := s.world.Oracle.Check()
 	for _, name := range s.names {
 		r := s.requests[name]
 		var ends []string
 		for _, a := range r.attempts {
-			ends = append(ends, s.hostName(a.Host)+": "+a.end())
+			ends = append(ends, s.hostName(a.Host)+": "+a.result())
 		}
-		fmt.Fprintf(&s.account, "%s: %s; ran %s\n", name, strings.Join(ends, ", "), times(s.world.runs(r.Body)))
+		fmt.Fprintf(&s.output, "%s: %s; ran %s\n", name, strings.Join(ends, ", "), formatTimes(s.world.runCount(r.Body)))
 	}
-	for _, fault := range broken {
-		fmt.Fprintf(&s.account, "BROKEN PROMISE: %s\n", fault)
+	for _, violation := range violations {
+		fmt.Fprintf(&s.output, "INVARIANT VIOLATED: %s\n", violation)
 	}
 }
 
-func times(n int) string {
+func formatTimes(n int) string {
 	switch n {
 	case 0:
 		return "never"
@@ -90,8 +91,9 @@
 	return strconv.Itoa(n) + " times"
 }
 
-// end says how an attempt ended. Call it when it has.
-func (a *Attempt) end() string {
+// result returns a description of how the attempt ended. Call it after the end
+// of the attempt.
+func (a *Attempt) result() string {
 	switch {
 	case a.Outcome == contract.OutcomeDone && a.from > 0:
 		return "rest done"
@@ -112,7 +114,7 @@
 	return address
 }
 
-// step plays one line.
+// step executes one line.
 func (s *Script) step(words []string) error {
 	words, err := s.resolve(words)
 	if err != nil {
@@ -123,10 +125,10 @@
 			return err
 		}
 	}
-	return fmt.Errorf("no such step")
+	return fmt.Errorf("unknown step")
 }
 
-// resolve replaces "server-of NAME" by the machine that runs the request.
+// resolve replaces "server-of NAME" with the machine that runs the request.
 func (s *Script) resolve(words []string) ([]string, error) {
 	at := slices.Index(words, "server-of")
 	if at < 0 {
@@ -134,13 +136,13 @@
 	}
 	server := s.serverOf(s.requests[words[at+1]])
 	if server == "" {
-		return nil, fmt.Errorf("it runs nowhere")
+		return nil, fmt.Errorf("no backend server runs the request")
 	}
 	return slices.Replace(slices.Clone(words), at, at+2, server), nil
 }
 
 func (s *Script) serverOf(r *Request) string {
-	for _, slot := range s.world.Models {
+	for _, slot := range s.world.Engines {
 		if slot.Engine().RunsOf(r.Body) > 0 {
 			return slot.Name
 		}
@@ -153,8 +155,8 @@
 	return ""
 }
 
-// after returns the word behind a keyword, or "".
-func after(words []string, keyword string) string {
+// wordAfter returns the word that follows a keyword, or "" if there is none.
+func wordAfter(words []string, keyword string) string {
 	if at := slices.Index(words, keyword); at >= 0 && at+1 < len(words) {
 		return words[at+1]
 	}
@@ -171,7 +173,7 @@
 }
 
 func (s *Script) engine(name string) *EngineSlot {
-	for _, slot := range s.world.Models {
+	for _, slot := range s.world.Engines {
 		if slot.Name == name {
 			return slot
 		}
@@ -204,7 +206,7 @@
 var kinds = map[string]Kind{"narrative": Narrative, "letter": Letter, "verdict": Verdict, "reading": Reading}
 
 func (s *Script) requestStep(words []string) (bool, error) {
-	at := s.host(after(words, "at"))
+	at := s.host(wordAfter(words, "at"))
 	if kind, ok := kinds[words[0]]; ok {
 		err := s.newRequest(kind, words, at)
 		if err == nil {
@@ -219,10 +221,10 @@
 		s.world.Send(s.requests[words[1]], at)
 	case "reuse":
 		a := s.world.SendChanged(s.requests[words[1]], at)
-		s.add(after(words, "as"), a.Request)
+		s.add(wordAfter(words, "as"), a.Request)
 	case "resume":
 		if s.world.Resume(s.requests[words[1]], at) == nil {
-			return true, fmt.Errorf("no token came yet")
+			return true, fmt.Errorf("no token received yet")
 		}
 	case "abandon":
 		for _, a := range s.requests[words[1]].attempts {
@@ -242,7 +244,7 @@
 		}
 	}
 	home := at
-	if name := after(words, "home"); name != "" {
+	if name := wordAfter(words, "home"); name != "" {
 		home = s.host(name)
 	}
 	r, err := s.world.NewRequest(kind, tokens, at, home)
@@ -263,13 +265,13 @@
 	case "wait":
 		return true, s.wait(words[1])
 	case "await":
-		s.world.Await()
+		s.world.AwaitCallers()
 	case "until":
 		return true, s.until(words)
 	case "quick":
 		limit, err := time.ParseDuration(words[2])
 		attempts := s.requests[words[1]].attempts
-		if took := attempts[len(attempts)-1].Took; err == nil && took > limit {
+		if took := attempts[len(attempts)-1].Elapsed; err == nil && took > limit {
 			err = fmt.Errorf("took %s", took)
 		}
 		return true, err
@@ -289,7 +291,7 @@
 	return err
 }
 
-// until waits for a request's progress, for a minute at most.
+// until waits for the progress of a request, for at most one minute.
 func (s *Script) until(words []string) error {
 	r := s.requests[words[1]]
 	want := 0
@@ -297,22 +299,22 @@
 		want, _ = strconv.Atoi(words[3])
 	}
 	for range time.Minute / pollEvery {
-		if want > 0 && s.world.Oracle.received(r) >= want || want == 0 && s.world.runs(r.Body) > 0 {
+		if want > 0 && s.world.Oracle.receivedTokens(r) >= want || want == 0 && s.world.runCount(r.Body) > 0 {
 			return nil
 		}
 		time.Sleep(pollEvery)
 	}
-	return fmt.Errorf("it never came to that")
+	return fmt.Errorf("condition not reached within a minute")
 }
 
-// newWork tells how much was sent to a server since the mark, whether it took
-// it or not.
+// newWork writes the number of requests sent to a server since the mark,
+// accepted or not.
 func (s *Script) newWork(name string) {
-	fmt.Fprintf(&s.account, "new work there: %d\n", s.workOn(name)-s.marked[name])
+	fmt.Fprintf(&s.output, "new work there: %d\n", s.sentTo(name)-s.sentAtMark[name])
 }
 
-// workOn counts what was sent to a server so far.
-func (s *Script) workOn(name string) int {
+// sentTo returns the number of requests sent to a server so far.
+func (s *Script) sentTo(name string) int {
 	if e := s.engine(name); e != nil {
 		counters := e.Engine().Counters()
 		return int(counters.Started + counters.RefusedStarts)
@@ -323,14 +325,14 @@
 	return 0
 }
 
-// mark remembers what was sent to each server so far.
+// mark records the number of requests sent to each server so far.
 func (s *Script) mark() {
-	s.marked = map[string]int{}
-	for _, slot := range s.world.Models {
-		s.marked[slot.Name] = s.workOn(slot.Name)
+	s.sentAtMark = map[string]int{}
+	for _, slot := range s.world.Engines {
+		s.sentAtMark[slot.Name] = s.sentTo(slot.Name)
 	}
 	for _, slot := range s.world.Plains {
-		s.marked[slot.Name] = s.workOn(slot.Name)
+		s.sentAtMark[slot.Name] = s.sentTo(slot.Name)
 	}
 }
 
@@ -392,7 +394,7 @@
 	return true, nil
 }
 
-var modes = map[string]plain.Mode{
+var callFaultModes = map[string]plain.Mode{
 	"refuse": plain.Refuse, "fail": plain.Fail, "cross": plain.Cross, "drop-before": plain.DropBefore,
 	"drop-after": plain.DropAfter, "late": plain.Late, "truncate": plain.Truncate,
 }
@@ -436,7 +438,7 @@
 	switch words[0] {
 	case "spoil":
 		p.Service().LateBy(15 * time.Second)
-		p.Service().Next(modes[words[2]])
+		p.Service().Next(callFaultModes[words[2]])
 	case "leave":
 		p.Service().Leave(true)
 	default:
@@ -448,7 +450,7 @@
 func (s *Script) drain(words []string) error {
 	addresses := s.world.backendAddresses()
 	at := slices.IndexFunc(addresses, func(address string) bool { return strings.HasPrefix(address, s.ip(words[1])+":") })
-	if !s.world.drain(s.host(after(words, "at")), at, false) {
+	if !s.world.drain(s.host(wordAfter(words, "at")), at, false) {
 		return fmt.Errorf("refused")
 	}
 	return nil
