--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -94,7 +94,7 @@
 // in the retry budget.
 func (r *Relay) newAttempts(document *contract.Document, request *peerpb.ForwardRequest, idempotent bool) *attempts {
 	evaluator := r.evaluators.forService(document)
-	evaluator.Request(request.GetOrganisation())
+	evaluator.CountRequest(request.GetOrganisation())
 	return &attempts{
 		evaluator: evaluator, servers: len(document.BackendServers), crashes: r.newCrashTracker(request),
 		subject: retry.Subject{Organisation: request.GetOrganisation(), Idempotent: idempotent},
--- a/retry/evaluator.go
+++ b/retry/evaluator.go
@@ -80,9 +80,9 @@
 	e.policy = policy
 }
 
-// Request counts a first attempt, which adds a share of a token to the retry
+// CountRequest counts a first attempt, which adds a share of a token to the retry
 // budgets of the service and of the organisation.
-func (e *Evaluator) Request(organisation string) {
+func (e *Evaluator) CountRequest(organisation string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	share := float64(e.policy.BudgetPercent) / 100
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -101,7 +101,7 @@
 	const requests = 1000
 	retries := 0
 	for range requests {
-		evaluator.Request("a")
+		evaluator.CountRequest("a")
 		attempts := &Attempts{}
 		for evaluator.Decide(Evidence{Stage: StageDial}, idempotent, attempts).Retry {
 			retries++
@@ -110,10 +110,10 @@
 	is.True(retries <= requests*policy.BudgetPercent/100+budgetBurst)
 	is.True(retries >= requests*policy.BudgetPercent/100)
 	other := Subject{Organisation: "b"}
-	evaluator.Request("b")
-	evaluator.Request("b")
-	evaluator.Request("b")
-	evaluator.Request("b")
-	evaluator.Request("b")
+	evaluator.CountRequest("b")
+	evaluator.CountRequest("b")
+	evaluator.CountRequest("b")
+	evaluator.CountRequest("b")
+	evaluator.CountRequest("b")
 	is.True(evaluator.Decide(Evidence{Stage: StageDial}, other, &Attempts{}).Retry) // retries of "a" leave the budget of "b" untouched
 }
