--- a/allocation/allocation_test.go
+++ b/allocation/allocation_test.go
@@ -319,7 +319,7 @@
 		time.Sleep(checkInterval + time.Millisecond)
 		synctest.Wait()
 		is.Equal(table.Leaving(llm), []fleet.Life{{ID: "e2"}})
-		is.True(table.Candidates(llm, "d")[0].Slow) // e1 reports itself as cold
+		is.True(table.Candidates(llm, "d")[0].SlowStart) // e1 reports itself as cold
 		away.Store(false)
 		before := asked.Load()
 		time.Sleep(time.Second)
--- a/fleet/candidates.go
+++ b/fleet/candidates.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		c := e.candidate(s, q.Domain, now)
-		c.ColdFull = s.coldRate > 0 && c.Slow && e.coldFull(t.host, s.coldRate*q.ColdShare, now)
+		c.AtColdLimit = s.coldRate > 0 && c.SlowStart && e.coldFull(t.host, s.coldRate*q.ColdShare, now)
 		candidates = append(candidates, c)
 	}
 	return candidates
@@ -54,7 +54,7 @@
 func (e *entry) candidate(s *service, domain string, now time.Time) placement.Candidate {
 	c := placement.Candidate{
 		ID: e.server.ID, SameDomain: e.server.Domain == domain, Slots: e.server.Slots, MemoryTokens: s.memoryTokens,
-		Doubtful: e.health.doubtful || now.Before(e.shunnedUntil), Slow: e.cold(now), Pace: e.pace.estimate,
+		Doubtful: e.health.doubtful || now.Before(e.shunnedUntil), SlowStart: e.cold(now), Pace: e.pace.estimate,
 	}
 	load := e.ownLoad()
 	load.add(e.othersLoad(now))
--- a/fleet/cold_test.go
+++ b/fleet/cold_test.go
@@ -24,7 +24,7 @@
 			table.SetColdRate("llm", rate)
 			table.Put(Server{ID: "a", Service: "llm", Address: "10.0.0.1:1", Domain: "d1", Slots: 24, SlowFor: time.Second})
 			for range 3 {
-				if !candidate(table, "a", 1.0/hosts).ColdFull {
+				if !candidate(table, "a", 1.0/hosts).AtColdLimit {
 					table.Begin("a", Work{}, false)
 					sent++
 				}
@@ -43,15 +43,15 @@
 		table := newTable()
 		table.MarkCold(Life{ID: "a"}, 2*time.Second)
 		table.MarkCold(Life{ID: "nobody"}, time.Second)
-		is.True(candidate(table, "a", 1).Slow)
+		is.True(candidate(table, "a", 1).SlowStart)
 		table.MarkCold(Life{ID: "a"}, time.Second) // a shorter time does not replace a longer one
 		time.Sleep(1500 * time.Millisecond)
-		is.True(candidate(table, "a", 1).Slow)
+		is.True(candidate(table, "a", 1).SlowStart)
 		time.Sleep(time.Second)
-		is.True(!candidate(table, "a", 1).Slow)
+		is.True(!candidate(table, "a", 1).SlowStart)
 		table.MarkCold(Life{ID: "a"}, 1<<62)
 		time.Sleep(maxColdTime + time.Millisecond)
-		is.True(!candidate(table, "a", 1).Slow)
+		is.True(!candidate(table, "a", 1).SlowStart)
 	})
 }
 
--- a/fleet/evacuation_test.go
+++ b/fleet/evacuation_test.go
@@ -57,19 +57,19 @@
 		table.SetEvacuated("d1", true)
 		table.SetEvacuated("d1", false)
 		for i := range 5 {
-			is.True(!candidate(table, "a", 1).ColdFull)
+			is.True(!candidate(table, "a", 1).AtColdLimit)
 			table.Begin("a", Work{ID: fmt.Sprint(i)}, false).End()
 		}
-		is.True(candidate(table, "a", 1).ColdFull)
-		is.True(!candidate(table, "b", 1).ColdFull)
+		is.True(candidate(table, "a", 1).AtColdLimit)
+		is.True(!candidate(table, "b", 1).AtColdLimit)
 		time.Sleep(coldWindow + time.Millisecond)
-		is.True(!candidate(table, "a", 1).ColdFull)
+		is.True(!candidate(table, "a", 1).AtColdLimit)
 		table.Put(Server{ID: "a", Service: "llm", Address: "10.0.0.1:1", Domain: "d1", Slots: 24}) // a stale entry
-		is.True(candidate(table, "a", 1).Slow)
+		is.True(candidate(table, "a", 1).SlowStart)
 		time.Sleep(returnedCold)
 		for i := range 20 {
 			table.Begin("a", Work{ID: fmt.Sprint(i)}, false)
 		}
-		is.True(!candidate(table, "a", 1).ColdFull)
+		is.True(!candidate(table, "a", 1).AtColdLimit)
 	})
 }
--- a/gatewayhost/broken_test.go
+++ b/gatewayhost/broken_test.go
@@ -32,7 +32,7 @@
 		h := newHostWith(backend, "a", network.New(network.Options{}).Host("10.0.0.1"), "10.0.0.1", store.NewMemory())
 		h.fleet.Put(fleet.Server{ID: "i-1", Service: "s", Address: "10.9.9.9:1", Domain: "d", Slots: 2})
 		full := func() bool {
-			return h.fleet.CandidatesFor(fleet.Query{Service: "s", Domain: "d", ColdShare: 0.001})[0].ColdFull
+			return h.fleet.CandidatesFor(fleet.Query{Service: "s", Domain: "d", ColdShare: 0.001})[0].AtColdLimit
 		}
 		onBroken("10.9.9.9:1")
 		time.Sleep(time.Second)
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -31,11 +31,11 @@
 	// Doubtful reports whether recent requests failed on the server. It gets
 	// requests only if no other server has a free place.
 	Doubtful bool
-	// Slow reports whether the server is in its slow start.
-	Slow bool
-	// ColdFull reports whether the server is cold and already has the maximum
+	// SlowStart reports whether the server is in its slow start.
+	SlowStart bool
+	// AtColdLimit reports whether the server is cold and already has the maximum
 	// number of requests for a cold server.
-	ColdFull bool
+	AtColdLimit bool
 	// Pace is the engine's lowest recent time per output token of one
 	// generation; zero: not known.
 	Pace time.Duration
@@ -225,7 +225,7 @@
 // lacks returns the first resource that is insufficient for the request, or
 // lacksNothing.
 func (c *Candidate) lacks(need Need, limits Limits) lack {
-	if c.ColdFull {
+	if c.AtColdLimit {
 		return lacksWarmth
 	}
 	if c.Running == 0 {
@@ -326,7 +326,7 @@
 	if !c.SameDomain {
 		cost += OtherDomainCost(need)
 	}
-	if c.Slow {
+	if c.SlowStart {
 		cost += slowStartCost
 	}
 	return cost
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -95,7 +95,7 @@
 // and crashes.
 func TestColdServerLimitIsEnforced(t *testing.T) {
 	is := is.New(t)
-	cold := Candidate{ID: "cold", Slots: 6, SameDomain: true, ColdFull: true}
+	cold := Candidate{ID: "cold", Slots: 6, SameDomain: true, AtColdLimit: true}
 	warm := Candidate{ID: "warm", Slots: 6, SameDomain: true, Running: 9}
 	is.Equal(Pick(Need{}, []Candidate{cold, warm}, DefaultLimits, noDraw), 1)
 	is.Equal(Pick(Need{}, []Candidate{cold}, DefaultLimits, noDraw), -1)
