--- a/allocation/allocation_test.go
+++ b/allocation/allocation_test.go
@@ -219,7 +219,7 @@
 	_, _, client := pair(t, at, from)
 	at.MarkLeaving(fleet.Life{ID: "e1"}, fleet.SourceList)
 	move := func(run string) migration.Move {
-		return migration.Move{Source: "e1", Run: run, Size: 9000, Need: placement.Need{PromptTokens: 3000, OutputTokens: 500}}
+		return migration.Move{Source: "e1", Run: run, LostWork: 9000, Need: placement.Need{PromptTokens: 3000, OutputTokens: 500}}
 	}
 	destination, end, err := client.TakeTurn(context.Background(), llm, move("r1"))
 	is.NoErr(err)
--- a/allocation/allocator.go
+++ b/allocation/allocator.go
@@ -169,7 +169,7 @@
 func (a *Allocator) TakeTurn(ctx context.Context, host string, part Part, move migration.Move) (to Placement, err error) {
 	m := a.moveQueue(part)
 	entered := time.Now()
-	granted, cancel := m.queue.Enter(move)
+	granted, cancel := m.queue.Enqueue(move)
 	m.signal()
 	select {
 	case grant := <-granted:
@@ -226,7 +226,7 @@
 // run steps the queue until the process ends. There are few parts, so queues are never stopped.
 func (m *moveQueue) run() {
 	for range m.wake {
-		for next := m.queue.Step(); next > 0; next = m.queue.Step() {
+		for next := m.queue.GrantReady(); next > 0; next = m.queue.GrantReady() {
 			select {
 			case <-m.wake:
 			case <-time.After(next):
--- a/allocation/client.go
+++ b/allocation/client.go
@@ -197,7 +197,7 @@
 	err := c.callWaiting(ctx, allocator, func(client allocationpb.AllocationClient) (err error) {
 		response, err = client.TakeTurn(ctx, &allocationpb.TakeTurnRequest{
 			Host: c.host, Part: part.toProto(), Source: move.Source, Run: move.Run,
-			HeldTokens: uint32(move.Need.PromptTokens), RemainingTokens: uint32(move.Need.OutputTokens), Size: uint32(move.Size),
+			HeldTokens: uint32(move.Need.PromptTokens), RemainingTokens: uint32(move.Need.OutputTokens), Size: uint32(move.LostWork),
 		})
 		return err
 	})
--- a/allocation/part_test.go
+++ b/allocation/part_test.go
@@ -191,7 +191,7 @@
 	}
 	other := Part{Service: llm, Domain: "d0", Count: 1}
 	allocator.offerTable.update(other, nil, []float64{0.1})
-	move := migration.Move{Source: "e1", Run: "r1", Size: 9000, Need: placement.Need{PromptTokens: 3000, OutputTokens: 500}}
+	move := migration.Move{Source: "e1", Run: "r1", LostWork: 9000, Need: placement.Need{PromptTokens: 3000, OutputTokens: 500}}
 	destination, end, err := client.TakeTurn(context.Background(), llm, move)
 	is.NoErr(err)
 	defer end()
--- a/allocation/server.go
+++ b/allocation/server.go
@@ -114,7 +114,7 @@
 // TakeTurn implements allocationpb.AllocationServer.
 func (s *server) TakeTurn(ctx context.Context, r *allocationpb.TakeTurnRequest) (*allocationpb.TakeTurnResponse, error) {
 	to, err := s.allocator.TakeTurn(ctx, r.GetHost(), partFromProto(r.GetPart()), migration.Move{
-		Source: r.GetSource(), Run: r.GetRun(), Size: int(r.GetSize()),
+		Source: r.GetSource(), Run: r.GetRun(), LostWork: int(r.GetSize()),
 		Need: placement.Need{PromptTokens: int(r.GetHeldTokens()), OutputTokens: int(r.GetRemainingTokens())},
 	})
 	return &allocationpb.TakeTurnResponse{Destination: to.Server, Elsewhere: to.Elsewhere.toProto()}, err
--- a/migration/queue.go
+++ b/migration/queue.go
@@ -37,9 +37,9 @@
 type Move struct {
 	Source string // leaving server
 	Run    string // id of the run
-	// Size is the work that is lost if the run is lost, in tokens prefilled and
+	// LostWork is the work that is lost if the run is lost, in tokens prefilled and
 	// produced.
-	Size int
+	LostWork int
 	// Need describes the memory to copy (PromptTokens) and the expected
 	// remaining output (OutputTokens).
 	Need placement.Need
@@ -55,7 +55,7 @@
 	if m.Need.OutputTokens < shortRunTokens {
 		return 0
 	}
-	return float64(m.Size) / float64(max(1, m.Need.PromptTokens))
+	return float64(m.LostWork) / float64(max(1, m.Need.PromptTokens))
 }
 
 // Grant contains the destination of a run; empty: there is none, and the run is
@@ -96,10 +96,10 @@
 	return &Queue{candidates: candidates, now: now, turns: map[string]turn{}, firstQueued: map[string]time.Time{}}
 }
 
-// Enter queues a move. The channel receives its grant. cancel removes the move
+// Enqueue queues a move. The channel receives its grant. cancel removes the move
 // from the queue; if it was granted in the meantime, the turn has to be ended
 // with End.
-func (q *Queue) Enter(move Move) (granted <-chan Grant, cancel func()) {
+func (q *Queue) Enqueue(move Move) (granted <-chan Grant, cancel func()) {
 	w := &waitingMove{move: move, granted: make(chan Grant, 1)}
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -125,9 +125,9 @@
 	}
 }
 
-// Step grants all moves that can start now. It returns the maximum time until the
+// GrantReady grants all moves that can start now. It returns the maximum time until the
 // next call, or zero if no move is queued.
-func (q *Queue) Step() time.Duration {
+func (q *Queue) GrantReady() time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.now()
--- a/migration/queue_test.go
+++ b/migration/queue_test.go
@@ -20,7 +20,7 @@
 }
 
 func move(source, run string, held, output int) Move {
-	return Move{Source: source, Run: run, Size: held + 10*output, Need: placement.Need{PromptTokens: held, OutputTokens: output}}
+	return Move{Source: source, Run: run, LostWork: held + 10*output, Need: placement.Need{PromptTokens: held, OutputTokens: output}}
 }
 
 func granted(c <-chan Grant) string {
@@ -40,18 +40,18 @@
 		q := NewQueue(func(string) []placement.Candidate {
 			return []placement.Candidate{engine("x", true, 9000), engine("y", true, 8000)}
 		}, time.Now)
-		a1, _ := q.Enter(move("a", "1", 3000, 500))
-		a2, _ := q.Enter(move("a", "2", 3000, 800))
-		b1, _ := q.Enter(move("b", "3", 3000, 500))
-		q.Step()
+		a1, _ := q.Enqueue(move("a", "1", 3000, 500))
+		a2, _ := q.Enqueue(move("a", "2", 3000, 800))
+		b1, _ := q.Enqueue(move("b", "3", 3000, 500))
+		q.GrantReady()
 		is.Equal(granted(a2), "") // waits for other moves first
 		time.Sleep(gatherDelay)
-		q.Step()
+		q.GrantReady()
 		is.Equal(granted(a2), "y") // saves more work for the same copy
 		is.Equal(granted(a1), "")  // its engine is sending already
 		is.Equal(granted(b1), "x") // the other engine has another destination
 		q.End("a", "2")
-		q.Step()
+		q.GrantReady()
 		is.Equal(granted(a1), "y")
 	})
 }
@@ -62,10 +62,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		q := NewQueue(func(string) []placement.Candidate { return []placement.Candidate{engine("x", true, 0)} }, time.Now)
-		short, _ := q.Enter(move("a", "short", 1000, 40))
-		long, _ := q.Enter(move("a", "long", 3500, 800))
+		short, _ := q.Enqueue(move("a", "short", 1000, 40))
+		long, _ := q.Enqueue(move("a", "long", 3500, 800))
 		time.Sleep(gatherDelay)
-		q.Step()
+		q.GrantReady()
 		is.Equal(granted(long), "x")
 		is.Equal(granted(short), "")
 	})
@@ -77,13 +77,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		q := NewQueue(func(string) []placement.Candidate { return []placement.Candidate{engine("x", true, 0)} }, time.Now)
-		first, _ := q.Enter(move("a", "1", 3000, 900))
-		second, _ := q.Enter(move("a", "2", 3000, 500))
+		first, _ := q.Enqueue(move("a", "1", 3000, 900))
+		second, _ := q.Enqueue(move("a", "2", 3000, 500))
 		time.Sleep(gatherDelay)
-		q.Step()
+		q.GrantReady()
 		is.Equal(granted(first), "x")
 		time.Sleep(turnLease + time.Millisecond)
-		q.Step()
+		q.GrantReady()
 		is.Equal(granted(second), "x")
 	})
 }
@@ -96,14 +96,14 @@
 		q := NewQueue(func(string) []placement.Candidate {
 			return []placement.Candidate{engine("near", true, 9000), engine("far", false, 0)}
 		}, time.Now)
-		a, _ := q.Enter(move("a", "1", 3000, 500))
-		b, _ := q.Enter(move("b", "2", 3000, 500))
+		a, _ := q.Enqueue(move("a", "1", 3000, 500))
+		b, _ := q.Enqueue(move("b", "2", 3000, 500))
 		time.Sleep(gatherDelay)
-		q.Step()
+		q.GrantReady()
 		is.Equal(granted(a), "near")
 		is.Equal(granted(b), "")
 		q.End("a", "1")
-		q.Step()
+		q.GrantReady()
 		is.Equal(granted(b), "near")
 	})
 }
@@ -129,7 +129,7 @@
 			switch rapid.IntRange(0, 2).Draw(t, "action") {
 			case 0:
 				m := move(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "source"), fmt.Sprint(step), 3000, 500)
-				c, cancel := q.Enter(m)
+				c, cancel := q.Enqueue(m)
 				if rapid.IntRange(0, 5).Draw(t, "cancel") == 0 {
 					cancel()
 					continue
@@ -144,7 +144,7 @@
 			case 2:
 				now = now.Add(20 * time.Millisecond)
 			}
-			q.Step()
+			q.GrantReady()
 			var still []open
 			for _, w := range waiting {
 				destination := granted(w.c)
