--- a/gateway/backend.go
+++ b/gateway/backend.go
@@ -17,8 +17,8 @@
 	Request      *Request
 	Organisation string // "": none
 	Priority     int
-	// Until is the deadline, after which the server may stop working on the request.
-	Until time.Time
+	// Deadline is the deadline, after which the server may stop working on the request.
+	Deadline time.Time
 	// Resume is set for a run that is resumed on another server.
 	Resume *Resume
 	// Stream is set if the answer is relayed while it is generated.
@@ -46,18 +46,18 @@
 	WrongServer bool
 	// Leaving is set if the server reports that it accepts no new work.
 	Leaving bool
-	// RestFor is how long the server asks this host to send it no requests; zero:
+	// BackoffFor is how long the server asks this host to send it no requests; zero:
 	// not reported.
-	RestFor time.Duration
-	// Whole is set if the answer carries the server's marker of a complete answer.
-	Whole bool
+	BackoffFor time.Duration
+	// Complete is set if the answer carries the server's marker of a complete answer.
+	Complete bool
 	// Load is the number of requests that the server reports as running or queued;
 	// nil: not reported.
 	Load *int
 }
 
-// Copied is the result of copying a run's memory.
-type Copied struct {
+// CopyResult is the result of copying a run's memory.
+type CopyResult struct {
 	// Handle identifies the copy, or the memory that a stopped source retains.
 	Handle string
 	// Done is set if the copy has arrived at the destination.
@@ -87,7 +87,7 @@
 	Ended(ctx context.Context, server fleet.Server) bool
 	// Copy copies a run's memory from source to destination. If last is set, the
 	// source stops the run first, and its stream ends there without an end event.
-	Copy(ctx context.Context, source, destination fleet.Server, run string, last bool) (Copied, error)
+	Copy(ctx context.Context, source, destination fleet.Server, run string, last bool) (CopyResult, error)
 	// Discard frees a copy that will not be used.
 	Discard(ctx context.Context, source fleet.Server, handle string) error
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -125,7 +125,7 @@
 		work.Outcome(false)
 	}
 	answer := Outcome{Status: reply.Status, Header: reply.Header, Body: body, Complete: true}
-	if reply.Status < http.StatusMultipleChoices && !reply.Whole {
+	if reply.Status < http.StatusMultipleChoices && !reply.Complete {
 		return t.mayHaveRun(ctx, ReasonBroken)
 	}
 	t.gateway.options.Quarantine.Completed(t.fingerprint)
@@ -153,8 +153,8 @@
 		t.gateway.options.Fleet.MarkLeaving(server.Life(), fleet.SourceReplaced)
 	case reply.Leaving:
 		t.gateway.options.Fleet.MarkLeaving(server.Life(), fleet.SourceAnswer)
-	case reply.RestFor > 0:
-		t.gateway.options.Fleet.Rest(server.ID, reply.RestFor)
+	case reply.BackoffFor > 0:
+		t.gateway.options.Fleet.Rest(server.ID, reply.BackoffFor)
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -47,9 +47,9 @@
 	// Confirm reports whether the configuration in force on this host is
 	// certainly the newest accepted one. It may query the store.
 	Confirm func(ctx context.Context) bool
-	// Others reports whether another entry host accepts requests.
-	Others  func() bool
-	Metrics *Metrics
+	// OtherHostsAvailable reports whether another entry host accepts requests.
+	OtherHostsAvailable func() bool
+	Metrics             *Metrics
 }
 
 // Gateway serves requests. All methods may be called from any goroutine.
@@ -86,8 +86,8 @@
 // for a while, long generations are refused.
 func (g *Gateway) Stop(by time.Time) { g.stopDeadline.Store(&by) }
 
-// Generations returns the number of generations in flight.
-func (g *Gateway) Generations() int { return int(g.generations.Load()) }
+// InFlightGenerations returns the number of generations in flight.
+func (g *Gateway) InFlightGenerations() int { return int(g.generations.Load()) }
 
 // stopsBefore reports whether this host may stop before the given time.
 func (g *Gateway) stopsBefore(moment time.Time) bool {
@@ -105,7 +105,7 @@
 // stoppingOutcome returns the outcome of a request that this host cannot finish
 // before it stops.
 func (g *Gateway) stoppingOutcome() Outcome {
-	if g.options.Others() {
+	if g.options.OtherHostsAvailable() {
 		return refused(ReasonStopping, retryStopping)
 	}
 	return refused(ReasonStopping, retryAllStopping)
@@ -226,6 +226,6 @@
 func (t *task) callTo(server fleet.Server) Call {
 	return Call{
 		Server: server, Request: t.request, Organisation: t.organisation, Priority: t.priority,
-		Until: t.deadline, Stream: t.route.Kind == Generation,
+		Deadline: t.deadline, Stream: t.route.Kind == Generation,
 	}
 }
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -32,7 +32,7 @@
 	endedServers map[string]bool // servers whose process has ended
 	calls        []Call
 	send         func(ctx context.Context, call Call) (*Reply, error)
-	copy         func(source, destination fleet.Server, last bool) (Copied, error)
+	copy         func(source, destination fleet.Server, last bool) (CopyResult, error)
 	turns        int // turns that have not ended
 }
 
@@ -42,7 +42,7 @@
 		Domain: "d1", Fleet: w.fleet, Backend: w, Allocator: w, Logger: zap.NewNop(), Limits: placement.DefaultLimits,
 		Quarantine: quarantine.NewTable(zap.NewNop(), prometheus.NewRegistry()),
 		Budget:     &Budget{Ratio: 0.2, Allowance: 54, Window: 10 * time.Second, Hosts: func() int { return 7 }},
-		Confirm:    func(context.Context) bool { return w.configurationConfirmed }, Others: func() bool { return !w.noOtherHosts }, Metrics: NewMetrics(prometheus.NewRegistry()),
+		Confirm:    func(context.Context) bool { return w.configurationConfirmed }, OtherHostsAvailable: func() bool { return !w.noOtherHosts }, Metrics: NewMetrics(prometheus.NewRegistry()),
 	})
 	w.put("e1", "llm")
 	w.put("e2", "llm")
@@ -82,7 +82,7 @@
 	return w.send(ctx, call)
 }
 
-func (w *harness) Copy(_ context.Context, source, destination fleet.Server, _ string, last bool) (Copied, error) {
+func (w *harness) Copy(_ context.Context, source, destination fleet.Server, _ string, last bool) (CopyResult, error) {
 	return w.copy(source, destination, last)
 }
 
@@ -126,7 +126,7 @@
 }
 
 func answer(status int, body string) *Reply {
-	return &Reply{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body)), Whole: true}
+	return &Reply{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body)), Complete: true}
 }
 
 func notRunReply() *Reply {
@@ -201,7 +201,7 @@
 func eventText(id int) string { return fmt.Sprintf("id: %d\ndata: t%d\n\n", id, id) }
 
 func (g *generation) reply() *Reply {
-	return &Reply{Status: http.StatusOK, Header: http.Header{}, Body: g.reader, Whole: true}
+	return &Reply{Status: http.StatusOK, Header: http.Header{}, Body: g.reader, Complete: true}
 }
 
 // wholeStream returns the bytes of events 1 to last.
--- a/gateway/life_test.go
+++ b/gateway/life_test.go
@@ -43,9 +43,9 @@
 			context.AfterFunc(ctx, func() { g.reader.CloseWithError(ctx.Err()) })
 			return g.reply(), nil
 		}
-		w.copy = func(_, _ fleet.Server, _ bool) (Copied, error) {
+		w.copy = func(_, _ fleet.Server, _ bool) (CopyResult, error) {
 			t.Error("a restarted engine was asked to copy a run of its earlier incarnation")
-			return Copied{}, nil
+			return CopyResult{}, nil
 		}
 		time.AfterFunc(time.Second, func() { w.restart(200) })
 		began := time.Now()
@@ -104,13 +104,13 @@
 			}
 			return first.reply(), nil
 		}
-		w.copy = func(_, destination fleet.Server, last bool) (Copied, error) {
+		w.copy = func(_, destination fleet.Server, last bool) (CopyResult, error) {
 			if last {
 				destination.Born = 200
 				w.fleet.Put(destination)
 				close(first.interrupt)
 			}
-			return Copied{Handle: "1", Done: true}, nil
+			return CopyResult{Handle: "1", Done: true}, nil
 		}
 		time.AfterFunc(time.Second, func() { w.fleet.MarkLeaving(w.calls[0].Server.Life(), fleet.SourceList) })
 		o := w.gateway.Serve(context.Background(), w.request("/letter/1"), &recorder{})
--- a/gateway/migrate.go
+++ b/gateway/migrate.go
@@ -136,7 +136,7 @@
 	_ = g.options.Backend.Discard(ctx, source, handle)
 }
 
-func moveResult(last Copied, err error) string {
+func moveResult(last CopyResult, err error) string {
 	switch {
 	case err != nil:
 		return "stop_unanswered"
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -80,7 +80,7 @@
 		}
 		half := func(context.Context, Call) (*Reply, error) {
 			r := answer(http.StatusOK, "ha")
-			r.Whole = false
+			r.Complete = false
 			return r, nil
 		}
 		for _, w.send = range []func(context.Context, Call) (*Reply, error){crash, half, crash} {
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -63,7 +63,7 @@
 	if reply.Status != http.StatusOK {
 		return t.bufferedOutcome(ctx, work, reply)
 	}
-	if !reply.Whole {
+	if !reply.Complete {
 		reply.Body.Close()
 		work.End()
 		work.Outcome(true)
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -33,12 +33,12 @@
 			is.True(from > 0)
 			return newGeneration(atoi(call.Resume.LastEventID)+1, 100, gap).reply(), nil
 		}
-		w.copy = func(_, _ fleet.Server, last bool) (Copied, error) {
+		w.copy = func(_, _ fleet.Server, last bool) (CopyResult, error) {
 			time.Sleep(190 * time.Millisecond)
 			if last {
 				close(first.interrupt)
 			}
-			return Copied{Handle: "h", Done: true}, nil
+			return CopyResult{Handle: "h", Done: true}, nil
 		}
 		time.AfterFunc(time.Second, func() { w.fleet.MarkLeaving(w.calls[0].Server.Life(), fleet.SourceList) })
 		caller := &recorder{}
@@ -60,13 +60,13 @@
 		first := newGeneration(1, 100, gap)
 		w.send = func(context.Context, Call) (*Reply, error) { return first.reply(), nil }
 		ctx, leave := context.WithCancel(context.Background())
-		w.copy = func(_, _ fleet.Server, last bool) (Copied, error) {
+		w.copy = func(_, _ fleet.Server, last bool) (CopyResult, error) {
 			if last {
 				leave()
 				close(first.interrupt)
 			}
 			time.Sleep(200 * time.Millisecond)
-			return Copied{Handle: "h", Done: true}, nil
+			return CopyResult{Handle: "h", Done: true}, nil
 		}
 		time.AfterFunc(time.Second, func() { w.fleet.MarkLeaving(w.calls[0].Server.Life(), fleet.SourceList) })
 		o := w.gateway.Serve(ctx, w.request("/letter/1"), &recorder{})
@@ -83,10 +83,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return newGeneration(1, 100, gap).reply(), nil }
-		w.copy = func(_, destination fleet.Server, last bool) (Copied, error) {
+		w.copy = func(_, destination fleet.Server, last bool) (CopyResult, error) {
 			time.Sleep(3 * time.Second)
 			is.Equal(len(w.fleet.Release(destination.Life(), fleet.Held{})), 0)
-			return Copied{}, nil
+			return CopyResult{}, nil
 		}
 		time.AfterFunc(time.Second, func() { w.fleet.MarkLeaving(w.calls[0].Server.Life(), fleet.SourceList) })
 		w.serve("/letter/1")
@@ -123,13 +123,13 @@
 			}
 			return newGeneration(atoi(call.Resume.LastEventID)+1, 60, gap).reply(), nil
 		}
-		w.copy = func(_, _ fleet.Server, last bool) (Copied, error) {
+		w.copy = func(_, _ fleet.Server, last bool) (CopyResult, error) {
 			moves++
 			if !last {
-				return Copied{Handle: "h", Done: moves == 1}, nil
+				return CopyResult{Handle: "h", Done: moves == 1}, nil
 			}
 			close(first.interrupt)
-			return Copied{Handle: "kept"}, nil
+			return CopyResult{Handle: "kept"}, nil
 		}
 		time.AfterFunc(time.Second, func() { w.fleet.MarkLeaving(w.calls[0].Server.Life(), fleet.SourceList) })
 		caller := &recorder{}
@@ -249,7 +249,7 @@
 		request := w.request("/letter/1")
 		request.Deadline = time.Now().Add(5 * time.Second)
 		is.True(w.gateway.Serve(context.Background(), request, &recorder{}).Complete)
-		is.Equal(w.gateway.Generations(), 0)
+		is.Equal(w.gateway.InFlightGenerations(), 0)
 		time.Sleep(3 * time.Second)
 		request = w.request("/letter/1")
 		request.Deadline = time.Now().Add(5 * time.Second)
@@ -315,7 +315,7 @@
 			r.Leaving = call.Server.ID == leaving
 			return r, nil
 		}
-		w.copy = func(_, _ fleet.Server, _ bool) (Copied, error) { return Copied{}, errors.New("refused") }
+		w.copy = func(_, _ fleet.Server, _ bool) (CopyResult, error) { return CopyResult{}, errors.New("refused") }
 		for range 4 {
 			is.True(w.serve("/letter/1").Complete)
 		}
--- a/gatewayhost/host.go
+++ b/gatewayhost/host.go
@@ -185,7 +185,7 @@
 		Domain: o.Domain, Fleet: h.fleet, Backend: o.Backend, Allocator: h.allocation, Quarantine: h.quarantine, Logger: o.Logger,
 		Limits:  placement.DefaultLimits,
 		Budget:  &gateway.Budget{Ratio: o.RepeatRatio, Allowance: o.RepeatAllowance, Window: o.RepeatWindow, Hosts: h.liveHosts},
-		Confirm: h.confirm, Others: h.hasLivePeers, Metrics: gateway.NewMetrics(o.Registerer),
+		Confirm: h.confirm, OtherHostsAvailable: h.hasLivePeers, Metrics: gateway.NewMetrics(o.Registerer),
 	})
 	return h
 }
--- a/gatewayhost/quarantine_test.go
+++ b/gatewayhost/quarantine_test.go
@@ -126,7 +126,7 @@
 	case <-ctx.Done():
 		return nil, &backend.CallError{Evidence: backend.Broken, Err: ctx.Err()}
 	}
-	return &gateway.Reply{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("ok")), Whole: true}, nil
+	return &gateway.Reply{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("ok")), Complete: true}, nil
 }
 
 // retriesAfterThird returns how often crashingBody was sent later than
--- a/gatewayhost/stop.go
+++ b/gatewayhost/stop.go
@@ -49,7 +49,7 @@
 	h.gateway.Stop(deadline)
 	h.node.Load().Leave("")
 	_ = sleep.For(context.Background(), addressRefreshTime) // the context never ends
-	for h.gateway.Generations() > 0 && time.Until(deadline) > stopAcceptingBefore {
+	for h.gateway.InFlightGenerations() > 0 && time.Until(deadline) > stopAcceptingBefore {
 		_ = sleep.For(context.Background(), stopCheckInterval) // the context never ends
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
--- a/gatewayhost/stop_test.go
+++ b/gatewayhost/stop_test.go
@@ -31,7 +31,7 @@
 		time.Sleep(s.duration)
 		_ = writer.Close()
 	}()
-	return &gateway.Reply{Status: http.StatusOK, Header: http.Header{}, Body: reader, Whole: true}, nil
+	return &gateway.Reply{Status: http.StatusOK, Header: http.Header{}, Body: reader, Complete: true}, nil
 }
 
 // discardStream discards a stream.
@@ -49,7 +49,7 @@
 		h := newHost("a", fabric.Host("10.0.0.1"), "10.0.0.1", store.NewMemory(), notLeaving)
 		h.gateway = gateway.New(gateway.Options{
 			Fleet: h.fleet, Backend: streaming{duration: 5 * time.Second}, Allocator: h.allocation, Quarantine: h.quarantine, Logger: zap.NewNop(), Budget: &gateway.Budget{Window: time.Second, Hosts: h.liveHosts},
-			Confirm: h.confirm, Others: h.hasLivePeers, Metrics: gateway.NewMetrics(prometheus.NewRegistry()),
+			Confirm: h.confirm, OtherHostsAvailable: h.hasLivePeers, Metrics: gateway.NewMetrics(prometheus.NewRegistry()),
 		})
 		route := &gateway.Route{Host: "h", PathPrefix: "/", Kind: gateway.Generation, Timeout: 39 * time.Second, Goal: time.Second, Attempts: 1, Targets: []gateway.Target{{Service: "s", Weight: 1}}}
 		h.gateway.SetConfiguration(gateway.NewConfiguration(1, []*gateway.Route{route}, []*gateway.Service{{Name: "s"}}, nil, gateway.ClientLimits{}))
@@ -61,7 +61,7 @@
 		go func() { _ = server.Serve(listener) }()
 		go h.gateway.Serve(t.Context(), &gateway.Request{ID: "r1", Host: "h", Path: "/", Arrived: time.Now(), Deadline: time.Now().Add(39 * time.Second)}, discardStream{})
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(h.gateway.Generations(), 1)
+		is.Equal(h.gateway.InFlightGenerations(), 1)
 
 		began, stopped := time.Now(), make(chan time.Duration, 1)
 		go func() {
