--- a/gateway/call.go
+++ b/gateway/call.go
@@ -128,7 +128,7 @@
 	if reply.Status < http.StatusMultipleChoices && !reply.Complete {
 		return t.mayHaveRun(ctx, ReasonBroken)
 	}
-	t.gateway.options.Quarantine.Completed(t.fingerprint)
+	t.gateway.options.Quarantine.ReportCompleted(t.fingerprint)
 	return attempt{outcome: answer, retryable: failing && t.route.Kind == Idempotent, sent: true}
 }
 
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -54,7 +54,7 @@
 		Fingerprint: t.fingerprint, Sent: t.sentMark, Request: t.request.ID, Server: server.ID,
 		Early: t.firstEvent == 0 || time.Since(t.request.Arrived) < t.firstEvent+earlyRunWindow,
 	}
-	t.gateway.options.Quarantine.Broken(run, func(ctx context.Context) bool {
+	t.gateway.options.Quarantine.ReportBroken(run, func(ctx context.Context) bool {
 		return life.Err() != nil || backend.Ended(ctx, server)
 	})
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -138,7 +138,7 @@
 			}
 			time.AfterFunc(100*time.Millisecond, func() {
 				request := w.request(path)
-				w.gateway.options.Quarantine.Merge([]quarantine.Record{{Fingerprint: request.fingerprint("o"), Crashes: 2, Left: time.Minute}}, "peer")
+				w.gateway.options.Quarantine.Merge([]quarantine.Record{{Fingerprint: request.fingerprint("o"), Crashes: 2, Remaining: time.Minute}}, "peer")
 			})
 			began := time.Now()
 			o := w.serve(path)
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -103,7 +103,7 @@
 		}
 		return t.mayHaveRun(ctx, ReasonBroken).outcome
 	}
-	t.gateway.options.Quarantine.Completed(t.fingerprint)
+	t.gateway.options.Quarantine.ReportCompleted(t.fingerprint)
 	work.Outcome(reply.Status >= http.StatusInternalServerError)
 	return Outcome{Status: reply.Status, Header: reply.Header, Body: body, Complete: true}
 }
@@ -126,7 +126,7 @@
 		}
 		if complete {
 			run.recordOutcome(false)
-			t.gateway.options.Quarantine.Completed(t.fingerprint)
+			t.gateway.options.Quarantine.ReportCompleted(t.fingerprint)
 			return Outcome{Status: http.StatusOK, Streamed: true, Complete: true}, true
 		}
 		run.recordEvent(next.id)
--- a/gatewayhost/host.go
+++ b/gatewayhost/host.go
@@ -170,7 +170,7 @@
 	h.allocator.Revision, h.allocator.Verified, h.allocator.Relayed = h.verifiedRevision, h.verificationAge, h.recordRelayedVerification
 	h.quarantine = quarantine.NewTable(o.Logger, o.Registerer)
 	h.quarantine.Changed = func() { h.node.Load().Announce() }
-	h.quarantine.Kept = h.scheduleQuarantineWrite
+	h.quarantine.QuarantineChanged = h.scheduleQuarantineWrite
 	h.node.Store(h.newNode(0, o.Registerer))
 	h.table.Subscribe(func() { h.node.Load().Announce() })
 	o.Backend.OnBroken(h.handleBrokenConnection)
--- a/gatewayhost/quarantine.go
+++ b/gatewayhost/quarantine.go
@@ -48,12 +48,12 @@
 }
 
 func encodeQuarantine(records []quarantine.Record, now time.Time) ([]byte, error) {
-	slices.SortFunc(records, func(a, b quarantine.Record) int { return cmp.Compare(b.Left, a.Left) })
+	slices.SortFunc(records, func(a, b quarantine.Record) int { return cmp.Compare(b.Remaining, a.Remaining) })
 	records = records[:min(len(records), maxStoredRequests)]
 	content := storedQuarantine{Requests: make([]storedRequest, 0, len(records))}
 	for _, r := range records {
 		content.Requests = append(content.Requests, storedRequest{
-			Fingerprint: strconv.FormatUint(r.Fingerprint, 16), Epoch: r.Epoch, Crashes: r.Crashes, UntilMs: now.Add(r.Left).UnixMilli(),
+			Fingerprint: strconv.FormatUint(r.Fingerprint, 16), Epoch: r.Epoch, Crashes: r.Crashes, UntilMs: now.Add(r.Remaining).UnixMilli(),
 		})
 	}
 	return json.Marshal(content)
@@ -71,7 +71,7 @@
 			return nil, errors.Wrap(err, "gatewayhost: fingerprint of a quarantined request")
 		}
 		records = append(records, quarantine.Record{
-			Fingerprint: fingerprint, Epoch: r.Epoch, Crashes: r.Crashes, Left: time.UnixMilli(r.UntilMs).Sub(now),
+			Fingerprint: fingerprint, Epoch: r.Epoch, Crashes: r.Crashes, Remaining: time.UnixMilli(r.UntilMs).Sub(now),
 		})
 	}
 	return records, nil
--- a/gatewayhost/quarantine_test.go
+++ b/gatewayhost/quarantine_test.go
@@ -278,13 +278,13 @@
 		is.True(err != nil)
 	}
 	now := time.Now()
-	records := []quarantine.Record{{Fingerprint: 1 << 63, Epoch: 3, Crashes: 2, Left: time.Minute}}
+	records := []quarantine.Record{{Fingerprint: 1 << 63, Epoch: 3, Crashes: 2, Remaining: time.Minute}}
 	data, err := encodeQuarantine(records, now)
 	is.NoErr(err)
 	read, err := decodeQuarantine(data, now)
 	is.NoErr(err)
-	is.True(read[0].Left > time.Minute-time.Second && read[0].Left <= time.Minute)
-	read[0].Left = records[0].Left
+	is.True(read[0].Remaining > time.Minute-time.Second && read[0].Remaining <= time.Minute)
+	read[0].Remaining = records[0].Remaining
 	is.Equal(read, records)
 }
 
@@ -302,10 +302,10 @@
 	}
 	const request = 7
 	for range 2 {
-		h.quarantine.Crashed(quarantine.Run{Fingerprint: request, Sent: h.quarantine.Mark(request), Early: true, Request: "r", Server: "i"})
+		h.quarantine.ReportCrash(quarantine.Run{Fingerprint: request, Sent: h.quarantine.Mark(request), Early: true, Request: "r", Server: "i"})
 	}
 	is.Equal(len(stored()), 1)
-	h.quarantine.Completed(request)
+	h.quarantine.ReportCompleted(request)
 	is.Equal(len(stored()), 0)
 	is.Equal(h.quarantine.Quarantined(request), time.Duration(0))
 }
--- a/peer/suspects_test.go
+++ b/peer/suspects_test.go
@@ -18,11 +18,11 @@
 func TestJoiningHostReceivesQuarantinedRequests(t *testing.T) {
 	is := is.New(t)
 	known := quarantine.NewTable(zap.NewNop(), prometheus.NewRegistry())
-	known.Merge([]quarantine.Record{{Fingerprint: 7, Crashes: 2, Left: time.Minute}}, "test")
+	known.Merge([]quarantine.Record{{Fingerprint: 7, Crashes: 2, Remaining: time.Minute}}, "test")
 	n := New(Options{
 		Self: Member{Host: "a"}, Network: network.New(network.Options{}).Host("10.0.0.1"), Configuration: newTableFake(), Handler: &handlerFake{}, Suspects: known,
 	})
-	sent := quarantineToProto([]quarantine.Record{{Fingerprint: 8, Crashes: 3, Left: time.Hour}})
+	sent := quarantineToProto([]quarantine.Record{{Fingerprint: 8, Crashes: 3, Remaining: time.Hour}})
 	response, err := (&service{node: n}).Sync(t.Context(), &peerpb.SyncRequest{From: Member{Host: "b"}.toProto(), Suspects: sent})
 	is.NoErr(err)
 	received := quarantineFromProto(response.GetSuspects())
--- a/quarantine/broken.go
+++ b/quarantine/broken.go
@@ -29,13 +29,13 @@
 	Server      string
 }
 
-// Broken records that the connection to the server of a run broke before the end
+// ReportBroken records that the connection to the server of a run broke before the end
 // of the answer. It reports a crash if ended, which checks whether the server's
 // process has ended, returns true. A crashing server may close its connections
 // before its port, so the check is repeated for about one second.
-func (t *Table) Broken(run Run, ended func(context.Context) bool) {
+func (t *Table) ReportBroken(run Run, ended func(context.Context) bool) {
 	if checkEnded(ended) {
-		t.Crashed(run)
+		t.ReportCrash(run)
 		return
 	}
 	select {
@@ -56,7 +56,7 @@
 	time.AfterFunc(pauses[0], func() {
 		if checkEnded(ended) {
 			<-t.watched
-			t.Crashed(run)
+			t.ReportCrash(run)
 			return
 		}
 		t.watch(run, ended, pauses[1:])
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -97,6 +97,6 @@
 // snapshot returns the record with its remaining time.
 func (e *entry) snapshot(now time.Time) Record {
 	r := e.Record
-	r.Left = e.expires.Sub(now)
+	r.Remaining = e.expires.Sub(now)
 	return r
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -44,7 +44,7 @@
 	Fingerprint uint64
 	Epoch       uint32        // incremented when the request runs to its end after a crash
 	Crashes     uint32        // consecutive server crashes in this epoch
-	Left        time.Duration // remaining time until the record expires
+	Remaining   time.Duration // remaining time until the record expires
 }
 
 // Quarantined reports whether the request is quarantined.
@@ -66,10 +66,10 @@
 	// Changed is called when there are changed records to gossip to other hosts;
 	// nil: no call. It must not block.
 	Changed func()
-	// Kept is called when this host's own requests have started or ended a
+	// QuarantineChanged is called when this host's own requests have started or ended a
 	// quarantine, so that the stored quarantined requests must be rewritten; nil:
 	// no call. It must not block.
-	Kept func()
+	QuarantineChanged func()
 
 	logger  *zap.Logger
 	changes *prometheus.CounterVec
@@ -152,12 +152,12 @@
 	}, 0
 }
 
-// Crashed records that a server crashed under a run. If the run had not just
+// ReportCrash records that a server crashed under a run. If the run had not just
 // started, a first crash is not gossiped to other hosts.
 //
 // The crash is added to those that were known when the run was sent, so that
 // servers that crash at the same time count once.
-func (t *Table) Crashed(run Run) {
+func (t *Table) ReportCrash(run Run) {
 	t.mu.Lock()
 	updated := Record{Fingerprint: run.Fingerprint, Epoch: run.Sent.epoch, Crashes: run.Sent.crashes + 1}
 	known := t.get(run.Fingerprint)
@@ -175,9 +175,9 @@
 	t.notify(ends, changed, changed && updated.Quarantined())
 }
 
-// Completed records that a request ran to its end and clears it of earlier
+// ReportCompleted records that a request ran to its end and clears it of earlier
 // crashes.
-func (t *Table) Completed(fingerprint uint64) {
+func (t *Table) ReportCompleted(fingerprint uint64) {
 	t.mu.Lock()
 	known := t.get(fingerprint)
 	changed := known != nil && known.Crashes > 0
@@ -200,11 +200,11 @@
 	for _, r := range records {
 		known := t.get(r.Fingerprint)
 		switch {
-		case r.Left <= 0 || known == nil && r.Epoch == 0 && r.Crashes == 0:
+		case r.Remaining <= 0 || known == nil && r.Epoch == 0 && r.Crashes == 0:
 		case known != nil && known.newerThan(r):
 			known.retransmitsLeft = max(known.retransmitsLeft, 1)
 		case known == nil || r.newerThan(known.Record):
-			ends = append(ends, t.set(r, min(r.Left, lifetime(r)), true, source)...)
+			ends = append(ends, t.set(r, min(r.Remaining, lifetime(r)), true, source)...)
 			changed = true
 		}
 	}
@@ -225,7 +225,7 @@
 		t.requests[r.Fingerprint] = known
 	}
 	known.Record, known.expires = r, time.Now().Add(lasts)
-	known.Left = 0
+	known.Remaining = 0
 	known.retransmitsLeft = 0
 	if tell {
 		known.retransmitsLeft = suspectRetransmits
@@ -253,8 +253,8 @@
 	if changed && t.Changed != nil {
 		t.Changed()
 	}
-	if kept && t.Kept != nil {
-		t.Kept()
+	if kept && t.QuarantineChanged != nil {
+		t.QuarantineChanged()
 	}
 }
 
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -21,7 +21,7 @@
 }
 
 // crash records a run of the suspect request, sent now, whose server crashes.
-func (t *Table) crash() { t.Crashed(run(suspect, t.Mark(suspect), true)) }
+func (t *Table) crash() { t.ReportCrash(run(suspect, t.Mark(suspect), true)) }
 
 func inBubble(t *testing.T, test func(is *is.I)) {
 	t.Helper()
@@ -33,7 +33,7 @@
 	inBubble(t, func(is *is.I) {
 		table := newTable()
 		kept := 0
-		table.Kept = func() { kept++ }
+		table.QuarantineChanged = func() { kept++ }
 		table.crash()
 		is.Equal(table.Quarantined(suspect), time.Duration(0))
 		table.crash()
@@ -51,7 +51,7 @@
 		table := newTable()
 		sent := table.Mark(suspect)
 		for range 5 {
-			table.Crashed(run(suspect, sent, true))
+			table.ReportCrash(run(suspect, sent, true))
 		}
 		is.Equal(table.Quarantined(suspect), time.Duration(0))
 	})
@@ -64,12 +64,12 @@
 		table.crash()
 		other.Merge(table.News(), "peer")
 		sent := table.Mark(suspect)
-		table.Completed(suspect)
+		table.ReportCompleted(suspect)
 		is.True(other.Merge(table.News(), "peer"))
 		other.crash()
 		is.Equal(other.Quarantined(suspect), time.Duration(0))
 		// This run was sent before the other one completed.
-		table.Crashed(run(suspect, sent, true))
+		table.ReportCrash(run(suspect, sent, true))
 		is.Equal(table.Quarantined(suspect), time.Duration(0))
 	})
 }
@@ -79,11 +79,11 @@
 	inBubble(t, func(is *is.I) {
 		table, late := newTable(), newTable()
 		kept := 0
-		table.Kept = func() { kept++ }
+		table.QuarantineChanged = func() { kept++ }
 		table.crash()
 		table.crash()
 		late.Merge(table.News(), "peer")
-		table.Completed(suspect)
+		table.ReportCompleted(suspect)
 		is.Equal(kept, 2) // the stored requests must be rewritten, too
 		for len(table.News()) > 0 {
 		}
@@ -112,9 +112,9 @@
 		over, _ := table.Admit(suspect, func() { ended += 10 })
 		table.Admit(suspect+1, func() { ended += 100 })
 		over()
-		is.True(table.Merge([]Record{{Fingerprint: suspect, Crashes: crashThreshold, Left: time.Minute}}, "peer"))
+		is.True(table.Merge([]Record{{Fingerprint: suspect, Crashes: crashThreshold, Remaining: time.Minute}}, "peer"))
 		is.Equal(ended, 1)
-		is.True(!table.Merge([]Record{{Fingerprint: suspect, Crashes: crashThreshold, Left: time.Minute}}, "peer"))
+		is.True(!table.Merge([]Record{{Fingerprint: suspect, Crashes: crashThreshold, Remaining: time.Minute}}, "peer"))
 		is.Equal(ended, 1)
 	})
 }
@@ -138,9 +138,9 @@
 func TestFirstCrashOfOlderRunIsNotGossiped(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table := newTable()
-		table.Crashed(run(suspect, table.Mark(suspect), false))
+		table.ReportCrash(run(suspect, table.Mark(suspect), false))
 		is.Equal(len(table.News()), 0)
-		table.Crashed(run(suspect, table.Mark(suspect), false))
+		table.ReportCrash(run(suspect, table.Mark(suspect), false))
 		is.Equal(len(table.News()), 1)
 	})
 }
@@ -166,7 +166,7 @@
 	inBubble(t, func(is *is.I) {
 		table := newTable()
 		for i := range 100 {
-			table.Crashed(run(uint64(1000+i), Mark{}, true))
+			table.ReportCrash(run(uint64(1000+i), Mark{}, true))
 		}
 		table.crash()
 		table.crash()
@@ -181,7 +181,7 @@
 	inBubble(t, func(is *is.I) {
 		table := newTable()
 		for i := range 2 * maxRequests {
-			table.Crashed(run(uint64(i), Mark{}, true))
+			table.ReportCrash(run(uint64(i), Mark{}, true))
 		}
 		is.Equal(len(table.requests), maxRequests)
 		is.Equal(len(table.News()), maxChangedRecords)
@@ -195,7 +195,7 @@
 		records := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Record {
 			return Record{
 				Fingerprint: rapid.Uint64Range(1, 3).Draw(t, "fingerprint"), Epoch: rapid.Uint32Range(0, 2).Draw(t, "epoch"),
-				Crashes: rapid.Uint32Range(0, 3).Draw(t, "crashes"), Left: time.Hour,
+				Crashes: rapid.Uint32Range(0, 3).Draw(t, "crashes"), Remaining: time.Hour,
 			}
 		}), 1, 8).Draw(t, "records")
 		shuffled := rapid.Permutation(records).Draw(t, "order")
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -50,7 +50,7 @@
 		return
 	}
 	run := quarantine.Run{Fingerprint: c.fingerprint, Sent: c.sentMark, Early: early, Server: address}
-	c.table.Broken(run, func(ctx context.Context) bool { return c.backend.Ended(ctx, address) })
+	c.table.ReportBroken(run, func(ctx context.Context) bool { return c.backend.Ended(ctx, address) })
 }
 
 // sendFailed reports that a send ended without a response.
@@ -63,7 +63,7 @@
 // completed reports that the request ran to completion.
 func (c *crashTracker) completed() {
 	if c.table != nil {
-		c.table.Completed(c.fingerprint)
+		c.table.ReportCompleted(c.fingerprint)
 	}
 }
 
