--- a/contract/model.go
+++ b/contract/model.go
@@ -9,8 +9,8 @@
 // name@version.
 func (m *ModelSpec) Target() string { return m.Name + "@" + m.Version }
 
-// Names reports whether loaded, a name@version, is any version of the model.
-func (m *ModelSpec) Names(loaded string) bool { return strings.HasPrefix(loaded, m.Name+"@") }
+// Matches reports whether loaded, a name@version, is any version of the model.
+func (m *ModelSpec) Matches(loaded string) bool { return strings.HasPrefix(loaded, m.Name+"@") }
 
 // Served returns the name@version that a worker with the given loaded models
 // serves: the target if loaded, otherwise another version of the model, which the
@@ -20,7 +20,7 @@
 	if slices.Contains(loaded, m.Target()) {
 		return m.Target(), true
 	}
-	if at := slices.IndexFunc(loaded, m.Names); at >= 0 {
+	if at := slices.IndexFunc(loaded, m.Matches); at >= 0 {
 		return loaded[at], true
 	}
 	return "", false
--- a/order/fuzz_test.go
+++ b/order/fuzz_test.go
@@ -339,7 +339,7 @@
 		for _, model := range state.Models {
 			if model == source.Model.Target() {
 				have++
-			} else if source.Model.Names(model) {
+			} else if source.Model.Matches(model) {
 				f.recordViolation("%s has %s, the document requires %s", server.Address, model, source.Model.Target())
 			}
 		}
--- a/order/plan.go
+++ b/order/plan.go
@@ -77,7 +77,7 @@
 func (p *planner) compare(document *contract.Document, a, b contract.BackendServer) int {
 	rank := func(server contract.BackendServer) int {
 		models := p.workers[server.Address].State.Models
-		if slices.ContainsFunc(models, document.Model.Names) {
+		if slices.ContainsFunc(models, document.Model.Matches) {
 			return -1
 		}
 		return len(models)
@@ -96,7 +96,7 @@
 			continue
 		}
 		for _, model := range p.workers[server.Address].State.Models {
-			if document.Model.Names(model) && p.mayUnload(server, model) {
+			if document.Model.Matches(model) && p.mayUnload(server, model) {
 				p.add(Order{Document: document, Server: server, Kind: backend.OrderUnload, Model: model})
 				break
 			}
@@ -119,7 +119,7 @@
 // with that other version.
 func (p *planner) mayUnload(server contract.BackendServer, model string) bool {
 	for _, document := range p.documents {
-		if document.Model == nil || !document.Model.Names(model) || !listsServer(document, server.Address) {
+		if document.Model == nil || !document.Model.Matches(model) || !listsServer(document, server.Address) {
 			continue
 		}
 		if document.Model.Target() == model || p.loadedCount(document) < document.Model.MinWorkers {
