--- a/allocation/allocation_test.go
+++ b/allocation/allocation_test.go
@@ -156,7 +156,7 @@
 	is.Equal(revision, uint64(17))
 	is.True(age < time.Second)
 	is.True(client.Undisturbed() >= 4*time.Second)
-	is.Equal(at.Leaving(llm), []fleet.Life{{ID: "e1"}})
+	is.Equal(at.Leaving(llm), []fleet.Incarnation{{ID: "e1"}})
 }
 
 // Guards against calls that fail at one host after another while a plain server
@@ -181,7 +181,7 @@
 		}
 		return ids
 	}
-	at.Witness("other", "p1", fleet.Evidence{Failed: 1})
+	at.ApplyOutcomes("other", "p1", fleet.Evidence{Failed: 1})
 	report()
 	is.Equal(len(doubtful(from)), 0) // a single host may itself be partitioned
 	work := from.Begin("p1", fleet.Work{ID: "r1"}, false)
@@ -204,12 +204,12 @@
 	table := engines("a", "e1")
 	table.Put(fleet.Server{ID: "p1", Service: "plain", Address: "p1", Domain: "d", Slots: 6})
 	for range 3 {
-		table.Begin("p1", fleet.Work{}, false).AnsweredBadly()
+		table.Begin("p1", fleet.Work{}, false).AnsweredWithError()
 	}
 	calls, failed := table.TakeCallEvidence()
 	is.True(!failed)
 	is.Equal(calls, map[string]fleet.Evidence{"p1": {Answered: 3}})
-	table.Witness("other", "p1", fleet.Evidence{Failed: 1})
+	table.ApplyOutcomes("other", "p1", fleet.Evidence{Failed: 1})
 	is.Equal(len(table.Shunned()), 0)
 }
 
@@ -217,7 +217,7 @@
 	is := is.New(t)
 	at, from := engines("a", "e1", "e2"), engines("b", "e1", "e2")
 	_, _, client := pair(t, at, from)
-	at.MarkLeaving(fleet.Life{ID: "e1"}, fleet.SourceList)
+	at.MarkLeaving(fleet.Incarnation{ID: "e1"}, fleet.SourceList)
 	move := func(run string) migration.Move {
 		return migration.Move{Source: "e1", Run: run, LostWork: 9000, Need: placement.Need{PromptTokens: 3000, OutputTokens: 500}}
 	}
@@ -267,7 +267,7 @@
 	is.Equal(serversToQuery[0].ID, "e1")
 	sentinel.Host = "a"
 	is.Equal(len(sentinel.serversToQuery(WholeService(llm))), 2)
-	table.Rest("e1", time.Second) // it requested a backoff from this host
+	table.SetBackoff("e1", time.Second) // it requested a backoff from this host
 	is.Equal(len(sentinel.serversToQuery(WholeService(llm))), 1)
 }
 
@@ -277,8 +277,8 @@
 	is := is.New(t)
 	at, from := engines("a", "e1", "e2"), engines("b", "e1", "e2")
 	_, _, client := pair(t, at, from)
-	at.Rest("e1", time.Second)
-	from.Rest("e2", time.Second)
+	at.SetBackoff("e1", time.Second)
+	from.SetBackoff("e2", time.Second)
 	need := placement.Need{PromptTokens: 100}
 	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r1", Need: need}, nil), "e1")
 }
@@ -309,16 +309,16 @@
 				return nil
 			},
 			Verified: func() time.Duration { return verifyAfter },
-			Ask: func(_ context.Context, server fleet.Server) (fleet.OwnWord, error) {
+			Ask: func(_ context.Context, server fleet.Server) (fleet.SelfReport, error) {
 				asked.Add(1)
-				return fleet.OwnWord{Leaves: server.ID == "e2", ColdFor: time.Second}, nil
+				return fleet.SelfReport{Leaves: server.ID == "e2", ColdFor: time.Second}, nil
 			},
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		go func() { _ = sentinel.Run(ctx) }()
 		time.Sleep(checkInterval + time.Millisecond)
 		synctest.Wait()
-		is.Equal(table.Leaving(llm), []fleet.Life{{ID: "e2"}})
+		is.Equal(table.Leaving(llm), []fleet.Incarnation{{ID: "e2"}})
 		is.True(table.Candidates(llm, "d")[0].SlowStart) // e1 reports itself as cold
 		away.Store(false)
 		before := asked.Load()
@@ -350,7 +350,7 @@
 		work.End()
 		time.Sleep(2 * reportGap)
 		is.Equal(at.Candidates(llm, "d")[0].Running, 0)
-		at.Witness("other", "e1", fleet.Evidence{Failed: 1}) // with the host that reported its failure, two hosts
+		at.ApplyOutcomes("other", "e1", fleet.Evidence{Failed: 1}) // with the host that reported its failure, two hosts
 		is.Equal(len(at.Candidates(llm, "d")), 0)
 	})
 }
--- a/allocation/exchange_test.go
+++ b/allocation/exchange_test.go
@@ -64,7 +64,7 @@
 		sentinel := &Sentinel{
 			Host: "a", Fleet: table, Logger: zap.NewNop(), Client: NewClient("a", "d", &hosts{members: members}, nil, table, zap.NewNop()),
 			Check: answer(&checks), Verify: answer(&verifies), Verified: func() time.Duration { return time.Duration(heard.Load()) },
-			Ask: func(context.Context, fleet.Server) (fleet.OwnWord, error) { return fleet.OwnWord{}, nil },
+			Ask: func(context.Context, fleet.Server) (fleet.SelfReport, error) { return fleet.SelfReport{}, nil },
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		go func() { _ = sentinel.Run(ctx) }()
@@ -88,19 +88,19 @@
 		is := is.New(t)
 		at, from := engines("a", "e1", "e2"), engines("b", "e1", "e2")
 		_, _, client := pair(t, at, from)
-		leaves := func() []fleet.Life {
+		leaves := func() []fleet.Incarnation {
 			is.True(client.report(t.Context(), WholeService(llm), from.OwnGenerations()[llm], nil))
 			return from.Leaving(llm)
 		}
-		at.MarkLeaving(fleet.Life{ID: "e1"}, fleet.SourceList)
-		is.Equal(leaves(), []fleet.Life{{ID: "e1"}})
+		at.MarkLeaving(fleet.Incarnation{ID: "e1"}, fleet.SourceList)
+		is.Equal(leaves(), []fleet.Incarnation{{ID: "e1"}})
 		from.Put(fleet.Server{ID: "e1", Service: llm, Address: "e1", Slots: 24}) // a stale entry
 		is.Equal(len(leaves()), 0)
-		at.MarkLeaving(fleet.Life{ID: "e2"}, fleet.SourceList)
-		is.Equal(leaves(), []fleet.Life{{ID: "e1"}, {ID: "e2"}})
+		at.MarkLeaving(fleet.Incarnation{ID: "e2"}, fleet.SourceList)
+		is.Equal(leaves(), []fleet.Incarnation{{ID: "e1"}, {ID: "e2"}})
 		from.Put(fleet.Server{ID: "e1", Service: llm, Address: "e1", Slots: 24})
 		time.Sleep(leavingListTTL + time.Millisecond)
-		is.Equal(leaves(), []fleet.Life{{ID: "e1"}, {ID: "e2"}})
+		is.Equal(leaves(), []fleet.Incarnation{{ID: "e1"}, {ID: "e2"}})
 		synctest.Wait()
 	})
 }
--- a/allocation/part_test.go
+++ b/allocation/part_test.go
@@ -187,7 +187,7 @@
 	is := is.New(t)
 	allocator, client, table := largeFleet(t)
 	for _, id := range []string{"e1", "e4"} {
-		table.MarkLeaving(fleet.Life{ID: id}, fleet.SourceList)
+		table.MarkLeaving(fleet.Incarnation{ID: id}, fleet.SourceList)
 	}
 	other := Part{Service: llm, Domain: "d0", Count: 1}
 	allocator.offerTable.update(other, nil, []float64{0.1})
--- a/allocation/report.go
+++ b/allocation/report.go
@@ -204,7 +204,7 @@
 		c.ToldEvacuated(allocator, revision)
 	}
 	for _, rest := range response.GetShunned() {
-		c.fleet.Shun(fleet.Life{ID: rest.GetServer(), Born: rest.GetBorn()}, time.Duration(rest.GetLeftMs())*time.Millisecond)
+		c.fleet.Shun(fleet.Incarnation{ID: rest.GetServer(), Born: rest.GetBorn()}, time.Duration(rest.GetLeftMs())*time.Millisecond)
 	}
 	if ms := response.GetUndisturbedMs(); ms > 0 {
 		c.recordDisturbance(time.Duration(ms) * time.Millisecond)
@@ -213,7 +213,7 @@
 		c.recordLeavingList(allocator, response.GetLeavingDigest(), request.GetLeavingDigest())
 	}
 	for _, life := range response.GetLeaving() {
-		c.fleet.MarkLeaving(fleet.Life{ID: life.GetServer(), Born: life.GetBorn()}, fleet.SourcePeer)
+		c.fleet.MarkLeaving(fleet.Incarnation{ID: life.GetServer(), Born: life.GetBorn()}, fleet.SourcePeer)
 	}
 	return err == nil
 }
--- a/allocation/sentinel.go
+++ b/allocation/sentinel.go
@@ -48,7 +48,7 @@
 	// Verified returns the time since the store was last queried for the configuration.
 	Verified func() time.Duration
 	// Ask queries a server for its status.
-	Ask    func(ctx context.Context, server fleet.Server) (fleet.OwnWord, error)
+	Ask    func(ctx context.Context, server fleet.Server) (fleet.SelfReport, error)
 	Logger *zap.Logger
 }
 
@@ -115,7 +115,7 @@
 	if err != nil {
 		return
 	}
-	s.Fleet.Heed(server.Life(), status)
+	s.Fleet.ApplySelfReport(server.Incarnation(), status)
 }
 
 // queryServers queries the servers of the parts concurrently.
--- a/allocation/server.go
+++ b/allocation/server.go
@@ -73,7 +73,7 @@
 		}
 	}
 	for _, e := range r.GetEvidence() {
-		s.allocator.fleet.Witness(r.GetHost(), e.GetServer(), fleet.Evidence{Failed: int(e.GetFailed()), Answered: int(e.GetAnswered()), Born: e.GetBorn()})
+		s.allocator.fleet.ApplyOutcomes(r.GetHost(), e.GetServer(), fleet.Evidence{Failed: int(e.GetFailed()), Answered: int(e.GetAnswered()), Born: e.GetBorn()})
 	}
 	part := partFromProto(r.GetPart())
 	s.allocator.fleet.SetOthers(r.GetHost(), part.Service, loads, part.Contains)
@@ -102,7 +102,7 @@
 
 // digestOf identifies a list of incarnations. Zero, which stands for no list,
 // is not the digest of the empty list.
-func digestOf(lives []fleet.Life) uint64 {
+func digestOf(lives []fleet.Incarnation) uint64 {
 	digest := xxhash.New()
 	for _, life := range lives {
 		_, _ = digest.WriteString(life.ID)
--- a/fleet/cold.go
+++ b/fleet/cold.go
@@ -23,8 +23,8 @@
 	t.service(name).coldRate = perSecond
 }
 
-// Heed applies the status that a server reported about itself.
-func (t *Table) Heed(life Life, status OwnWord) {
+// ApplySelfReport applies the status that a server reported about itself.
+func (t *Table) ApplySelfReport(life Incarnation, status SelfReport) {
 	if status.Leaves {
 		t.MarkLeaving(life, SourceAnswer)
 	}
@@ -32,7 +32,7 @@
 }
 
 // MarkCold applies a server's own report that it remains cold for the given time.
-func (t *Table) MarkCold(life Life, left time.Duration) {
+func (t *Table) MarkCold(life Incarnation, left time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.entryOf(life); e != nil {
--- a/fleet/cold_test.go
+++ b/fleet/cold_test.go
@@ -41,15 +41,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := newTable()
-		table.MarkCold(Life{ID: "a"}, 2*time.Second)
-		table.MarkCold(Life{ID: "nobody"}, time.Second)
+		table.MarkCold(Incarnation{ID: "a"}, 2*time.Second)
+		table.MarkCold(Incarnation{ID: "nobody"}, time.Second)
 		is.True(candidate(table, "a", 1).SlowStart)
-		table.MarkCold(Life{ID: "a"}, time.Second) // a shorter time does not replace a longer one
+		table.MarkCold(Incarnation{ID: "a"}, time.Second) // a shorter time does not replace a longer one
 		time.Sleep(1500 * time.Millisecond)
 		is.True(candidate(table, "a", 1).SlowStart)
 		time.Sleep(time.Second)
 		is.True(!candidate(table, "a", 1).SlowStart)
-		table.MarkCold(Life{ID: "a"}, 1<<62)
+		table.MarkCold(Incarnation{ID: "a"}, 1<<62)
 		time.Sleep(maxColdTime + time.Millisecond)
 		is.True(!candidate(table, "a", 1).SlowStart)
 	})
--- a/fleet/evidence.go
+++ b/fleet/evidence.go
@@ -85,20 +85,20 @@
 // Shunned returns the plain servers at which calls of several hosts failed,
 // with the time for which they still get calls only if no other server has
 // capacity.
-func (t *Table) Shunned() map[Life]time.Duration {
+func (t *Table) Shunned() map[Incarnation]time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	shunned, now := map[Life]time.Duration{}, time.Now()
+	shunned, now := map[Incarnation]time.Duration{}, time.Now()
 	for _, e := range t.servers {
 		if left := e.shunnedUntil.Sub(now); left > 0 && !t.isEngine(e) {
-			shunned[e.server.Life()] = left
+			shunned[e.server.Incarnation()] = left
 		}
 	}
 	return shunned
 }
 
 // Shun applies another host's report that a plain server is to be avoided.
-func (t *Table) Shun(life Life, left time.Duration) {
+func (t *Table) Shun(life Incarnation, left time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.entryOf(life); e != nil && !t.isEngine(e) {
@@ -106,11 +106,11 @@
 	}
 }
 
-// Witness applies the outcomes of another entry host's requests to a server.
-func (t *Table) Witness(host, server string, evidence Evidence) {
+// ApplyOutcomes applies the outcomes of another entry host's requests to a server.
+func (t *Table) ApplyOutcomes(host, server string, evidence Evidence) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.entryOf(Life{server, evidence.Born})
+	e := t.entryOf(Incarnation{server, evidence.Born})
 	if e == nil {
 		return
 	}
@@ -172,7 +172,7 @@
 	var ids []string
 	now := time.Now()
 	for _, e := range t.service(service).members {
-		if now.Before(e.unavailableUntil) || t.inBackoff(e.server.ID, now) || t.reportedLeaving(e.server.Life()) {
+		if now.Before(e.unavailableUntil) || t.inBackoff(e.server.ID, now) || t.reportedLeaving(e.server.Incarnation()) {
 			ids = append(ids, e.server.ID)
 		}
 	}
--- a/fleet/evidence_test.go
+++ b/fleet/evidence_test.go
@@ -13,9 +13,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := newTable()
-		table.Witness("h1", "a", Evidence{Failed: 1})
+		table.ApplyOutcomes("h1", "a", Evidence{Failed: 1})
 		is.Equal(len(table.Candidates("llm", "d1")), 2) // h1 may itself be partitioned from it
-		table.Witness("h2", "a", Evidence{Failed: 1})
+		table.ApplyOutcomes("h2", "a", Evidence{Failed: 1})
 		is.Equal(len(table.Candidates("llm", "d1")), 1)
 		is.Equal(table.Avoided("llm"), []string{"a"})
 		time.Sleep(avoidedFor)
@@ -29,12 +29,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := newTable()
-		table.Witness("h1", "a", Evidence{Failed: 1})
-		table.Witness("h3", "a", Evidence{Failed: 1, Answered: 1})
-		table.Witness("h2", "a", Evidence{Failed: 1})
+		table.ApplyOutcomes("h1", "a", Evidence{Failed: 1})
+		table.ApplyOutcomes("h3", "a", Evidence{Failed: 1, Answered: 1})
+		table.ApplyOutcomes("h2", "a", Evidence{Failed: 1})
 		is.Equal(len(table.Candidates("llm", "d1")), 2)
 		time.Sleep(failureWindow + time.Millisecond)
-		table.Witness("h4", "a", Evidence{Failed: 1}) // the earlier failure has expired
+		table.ApplyOutcomes("h4", "a", Evidence{Failed: 1}) // the earlier failure has expired
 		is.Equal(len(table.Candidates("llm", "d1")), 2)
 	})
 }
@@ -47,10 +47,10 @@
 		table := newTable()
 		silent := table.Begin("a", Work{ID: "1"}, false)
 		time.Sleep(time.Second)
-		table.Witness("h2", "a", Evidence{Answered: 1})
+		table.ApplyOutcomes("h2", "a", Evidence{Answered: 1})
 		unanswered := table.Begin("a", Work{ID: "2"}, false)
 		time.Sleep(time.Second)
-		table.Witness("h2", "a", Evidence{Failed: 1})
+		table.ApplyOutcomes("h2", "a", Evidence{Failed: 1})
 		silent.TimedOut()
 		is.Equal(len(table.TakeEvidence("llm")), 0)
 		is.Equal(len(table.Avoided("llm")), 0)
@@ -72,7 +72,7 @@
 	}
 	is.Equal(table.TakeEvidence("llm"), map[string]Evidence{"a": {Failed: 1}})
 	is.Equal(len(table.TakeEvidence("llm")), 0)
-	table.Witness("h2", "a", Evidence{Failed: 1}) // with this host, two hosts have failed there
+	table.ApplyOutcomes("h2", "a", Evidence{Failed: 1}) // with this host, two hosts have failed there
 	is.Equal(table.Avoided("llm"), []string{"a"})
 }
 
@@ -81,7 +81,7 @@
 func TestServerThatToldThisHostOnlyIsAvoided(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
-	table.MarkLeaving(Life{ID: "a"}, SourceAnswer)
-	table.MarkLeaving(Life{ID: "b"}, SourceList)
+	table.MarkLeaving(Incarnation{ID: "a"}, SourceAnswer)
+	table.MarkLeaving(Incarnation{ID: "b"}, SourceList)
 	is.Equal(table.Avoided("llm"), []string{"a"})
 }
--- a/fleet/leaving.go
+++ b/fleet/leaving.go
@@ -9,14 +9,14 @@
 
 // leavingReport records that a server reported itself as leaving.
 type leavingReport struct {
-	life Life
+	life Incarnation
 	at   time.Time
 }
 
 // recordLeavingReport records that a server reported itself as leaving. The
 // report holds for the rest of the incarnation, whatever the host list
 // contains. Requires mu.
-func (t *Table) recordLeavingReport(life Life) {
+func (t *Table) recordLeavingReport(life Incarnation) {
 	for id, report := range t.leavingReports {
 		if time.Since(report.at) >= leavingReportTTL && t.servers[id] == nil {
 			delete(t.leavingReports, id)
@@ -27,7 +27,7 @@
 
 // reportedLeaving reports whether a server has reported itself as leaving in
 // this incarnation. Requires mu.
-func (t *Table) reportedLeaving(life Life) bool {
+func (t *Table) reportedLeaving(life Incarnation) bool {
 	report, known := t.leavingReports[life.ID]
 	return known && report.life.Is(life)
 }
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -15,7 +15,7 @@
 	for name, lapse := range map[string]func(*Table){
 		"not expired":               func(*Table) {},
 		"expired":                   func(table *Table) { table.Remove("a") },
-		"expired before its report": func(table *Table) { table.MarkLeaving(entry.Life(), SourcePeer) },
+		"expired before its report": func(table *Table) { table.MarkLeaving(entry.Incarnation(), SourcePeer) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -27,7 +27,7 @@
 					work.End()
 				}
 				lapse(table)
-				table.MarkLeaving(entry.Life(), SourceAnswer)
+				table.MarkLeaving(entry.Incarnation(), SourceAnswer)
 				lapse(table)
 				table.Put(entry)
 				is.Equal(len(table.Candidates("llm", "d1")), 1)
@@ -49,7 +49,7 @@
 		table := newTable()
 		for _, id := range []string{"x", "y", "z"} {
 			table.Put(Server{ID: id, Service: "llm", Address: "10.0.0.9:1"})
-			table.MarkLeaving(Life{ID: id}, SourceAnswer)
+			table.MarkLeaving(Incarnation{ID: id}, SourceAnswer)
 			table.Remove(id)
 			time.Sleep(leavingReportTTL)
 		}
--- a/fleet/life.go
+++ b/fleet/life.go
@@ -2,10 +2,10 @@
 
 import "go.uber.org/zap"
 
-// Life identifies one incarnation of a backend server. A restarted server has a
+// Incarnation identifies one incarnation of a backend server. A restarted server has a
 // new ID, or the same ID with another start time. Either way it has no state of
 // the earlier incarnation.
-type Life struct {
+type Incarnation struct {
 	ID string
 	// Born is the start time in Unix ms, as reported by the server; zero: not reported.
 	Born int64
@@ -13,7 +13,7 @@
 
 // Is reports whether both may identify the same incarnation. If either has no
 // start time, only the IDs are compared.
-func (l Life) Is(other Life) bool {
+func (l Incarnation) Is(other Incarnation) bool {
 	return l.ID == other.ID && (l.Born == other.Born || l.Born == 0 || other.Born == 0)
 }
 
@@ -34,10 +34,10 @@
 	t.drop(e)
 }
 
-// Disregard records that a server's host list entry is invalid, so that the
+// MarkInvalid records that a server's host list entry is invalid, so that the
 // server gets no new work. Requests that run there continue. A valid entry
 // makes the server usable again.
-func (t *Table) Disregard(id string) {
+func (t *Table) MarkInvalid(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.servers[id]; e != nil {
@@ -55,18 +55,18 @@
 }
 
 // entryOf returns the entry of an incarnation, or nil. Requires mu.
-func (t *Table) entryOf(life Life) *entry {
+func (t *Table) entryOf(life Incarnation) *entry {
 	e := t.servers[life.ID]
-	if e == nil || !e.server.Life().Is(life) {
+	if e == nil || !e.server.Incarnation().Is(life) {
 		return nil
 	}
 	return e
 }
 
 // Superseded reports whether a later incarnation of the server is known.
-func (t *Table) Superseded(life Life) bool {
+func (t *Table) Superseded(life Incarnation) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.servers[life.ID]
-	return e != nil && !e.server.Life().Is(life)
+	return e != nil && !e.server.Incarnation().Is(life)
 }
--- a/fleet/life_test.go
+++ b/fleet/life_test.go
@@ -22,17 +22,17 @@
 		lost.Outcome(true)
 	}
 	table.SetOthers("h2", "llm", map[string]Load{"a": {Requests: 9, HeldTokens: 30000, Born: 100}}, everywhere)
-	table.MarkLeaving(Life{"a", 100}, SourceAnswer)
+	table.MarkLeaving(Incarnation{"a", 100}, SourceAnswer)
 	table.Put(serverBorn(100))
-	is.NoErr(lost.Life().Err()) // the same incarnation again
+	is.NoErr(lost.Context().Err()) // the same incarnation again
 	table.Put(serverBorn(200))
-	is.True(lost.Life().Err() != nil)
+	is.True(lost.Context().Err() != nil)
 	select {
 	case <-lost.Gone():
 	default:
 		t.Fatal("the work on it was not notified")
 	}
-	is.True(table.Superseded(Life{"a", 100}))
+	is.True(table.Superseded(Incarnation{"a", 100}))
 	c := table.Candidates("llm", "d1")
 	is.Equal(len(c), 2)
 	for i := range c {
@@ -50,16 +50,16 @@
 	table := newTable()
 	table.Put(serverBorn(200))
 	table.SetOthers("h2", "llm", map[string]Load{"a": {Requests: 9, HeldTokens: 30000, Born: 100}}, everywhere)
-	table.Witness("h2", "a", Evidence{Failed: 1, Born: 100})
-	table.Witness("h3", "a", Evidence{Failed: 1, Born: 100})
-	table.MarkLeaving(Life{"a", 100}, SourcePeer)
+	table.ApplyOutcomes("h2", "a", Evidence{Failed: 1, Born: 100})
+	table.ApplyOutcomes("h3", "a", Evidence{Failed: 1, Born: 100})
+	table.MarkLeaving(Incarnation{"a", 100}, SourcePeer)
 	c := table.Candidates("llm", "d1")
 	is.Equal(len(c), 2)
 	is.Equal(c[0].HeldTokens+c[1].HeldTokens, 0)
 	table.SetOthers("h2", "llm", map[string]Load{"a": {Requests: 1, HeldTokens: 3000}}, everywhere) // a report without a start time counts
-	table.MarkLeaving(Life{"a", 200}, SourcePeer)
+	table.MarkLeaving(Incarnation{"a", 200}, SourcePeer)
 	is.Equal(len(table.Candidates("llm", "d1")), 1)
-	is.Equal(table.Leaving("llm"), []Life{{"a", 200}})
+	is.Equal(table.Leaving("llm"), []Incarnation{{"a", 200}})
 }
 
 func TestUnreadableEntryNamesNoServer(t *testing.T) {
@@ -68,8 +68,8 @@
 	is := is.New(t)
 	table := newTable()
 	work := table.Begin("a", Work{ID: "1"}, false)
-	table.Disregard("a")
-	table.Disregard("unknown")
+	table.MarkInvalid("a")
+	table.MarkInvalid("unknown")
 	is.Equal(len(table.Candidates("llm", "d1")), 1)
 	is.True(table.Begin("a", Work{ID: "2"}, false) == nil)
 	is.Equal(len(table.Usable("llm")), 1)
--- a/fleet/reportedload.go
+++ b/fleet/reportedload.go
@@ -20,13 +20,13 @@
 	return l.requests
 }
 
-// Says records the number of requests that the server reported with its answer.
+// SetReportedLoad records the number of requests that the server reported with its answer.
 //
 // Hosts with few calls in flight cannot see overload from their own calls. When
 // one of three plain servers is down and calls arrive faster than the other two
 // can answer, each of 72 hosts has one call in flight there and takes the
 // servers for empty, while their queues are full and every call is late.
-func (w *Work) Says(requests int) {
+func (w *Work) SetReportedLoad(requests int) {
 	w.table.mu.Lock()
 	defer w.table.mu.Unlock()
 	w.entry.reported = reportedLoad{requests, time.Now()}
--- a/fleet/reportedload_test.go
+++ b/fleet/reportedload_test.go
@@ -112,7 +112,7 @@
 	work := table.Begin(candidates[i].ID, Work{}, false)
 	time.AfterFunc(time.Until(ends), func() {
 		if r.useReports {
-			work.Says(server.load(time.Now()))
+			work.SetReportedLoad(server.load(time.Now()))
 		}
 		work.End()
 	})
--- a/fleet/rest.go
+++ b/fleet/rest.go
@@ -9,13 +9,13 @@
 
 const msgBackoff = "backend server wants nothing from this host for a while"
 
-// Rest records that a server accepts no requests from this host for the given
+// SetBackoff records that a server accepts no requests from this host for the given
 // time. The server notifies other hosts itself. The backoff is kept by server
 // ID, also while the server has no host list entry and after it has restarted.
 //
 // Without it, each host would keep sending requests that a full server has to
 // reject, although the server has reported when it will have capacity.
-func (t *Table) Rest(id string, left time.Duration) {
+func (t *Table) SetBackoff(id string, left time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
@@ -36,10 +36,10 @@
 // inBackoff requires mu.
 func (t *Table) inBackoff(id string, now time.Time) bool { return now.Before(t.backoffs[id]) }
 
-// RestLeft returns the shortest remaining backoff among the servers of a
+// BackoffLeft returns the shortest remaining backoff among the servers of a
 // service that otherwise accept requests. It returns zero if one of them has no
 // backoff, or if there are none.
-func (t *Table) RestLeft(name string) time.Duration {
+func (t *Table) BackoffLeft(name string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now, least := time.Now(), time.Duration(0)
--- a/fleet/rest_test.go
+++ b/fleet/rest_test.go
@@ -13,15 +13,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := newTable()
-		table.Rest("a", 2*time.Second)
-		table.Rest("a", time.Second) // a shorter time does not replace a longer one
+		table.SetBackoff("a", 2*time.Second)
+		table.SetBackoff("a", time.Second) // a shorter time does not replace a longer one
 		is.Equal(len(table.Candidates("llm", "d1")), 1)
 		is.Equal(len(table.CandidatesFor(Query{Service: "llm", ForOthers: true})), 2)
 		is.Equal(table.Avoided("llm"), []string{"a"})
 		is.True(table.Begin("a", Work{ID: "1"}, false) == nil)
-		is.Equal(table.RestLeft("llm"), time.Duration(0)) // b has no backoff
-		table.Rest("b", time.Second)
-		is.Equal(table.RestLeft("llm"), time.Second)
+		is.Equal(table.BackoffLeft("llm"), time.Duration(0)) // b has no backoff
+		table.SetBackoff("b", time.Second)
+		is.Equal(table.BackoffLeft("llm"), time.Second)
 		time.Sleep(2 * time.Second)
 		is.Equal(len(table.Candidates("llm", "d1")), 2)
 		is.True(table.Begin("a", Work{ID: "1"}, false) != nil)
@@ -37,7 +37,7 @@
 		for _, born := range []int64{100, 200, 300} {
 			table.Put(Server{ID: "a", Born: born, Service: "llm", Address: "10.0.0.1:1", Domain: "d1", Slots: 24})
 			if born == 100 {
-				table.Rest("a", 2*time.Second)
+				table.SetBackoff("a", 2*time.Second)
 			}
 			is.True(table.Begin("a", Work{ID: "1"}, false) == nil)
 			table.Remove("a") // its host list entry expires
--- a/fleet/server.go
+++ b/fleet/server.go
@@ -19,15 +19,15 @@
 	SlowFor time.Duration
 }
 
-// OwnWord is the status that a server reports about itself when queried.
-type OwnWord struct {
+// SelfReport is the status that a server reports about itself when queried.
+type SelfReport struct {
 	Leaves bool
 	// ColdFor is how much longer it is cold; zero: not cold, or not reported.
 	ColdFor time.Duration
 }
 
-// Life returns the identity of the server's incarnation.
-func (s Server) Life() Life { return Life{s.ID, s.Born} }
+// Incarnation returns the identity of the server's incarnation.
+func (s Server) Incarnation() Incarnation { return Incarnation{s.ID, s.Born} }
 
 // LeavingSource is how this host learned that a server is leaving.
 type LeavingSource string
--- a/fleet/silent.go
+++ b/fleet/silent.go
@@ -14,9 +14,9 @@
 	Unnamed int      // number of queued or starting generations, reported without IDs
 }
 
-// Silent returns the engines that may get work from this host and on which one
+// Stalled returns the engines that may get work from this host and on which one
 // of its generations is stalled.
-func (t *Table) Silent() []Server {
+func (t *Table) Stalled() []Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var servers []Server
@@ -48,7 +48,7 @@
 //
 // When connections to an engine go silent, its generations end there unnoticed.
 // Their reservations would otherwise block its capacity until their deadlines.
-func (t *Table) Release(life Life, held Held) []string {
+func (t *Table) Release(life Incarnation, held Held) []string {
 	t.mu.Lock()
 	e := t.entryOf(life)
 	var lost []*Work
--- a/fleet/silent_test.go
+++ b/fleet/silent_test.go
@@ -20,19 +20,19 @@
 		begin("copied", true)
 		progressing, moved := begin("flows", false), begin("moved", true)
 		time.Sleep(stallTimeout - time.Second)
-		is.Equal(len(table.Silent()), 0)
+		is.Equal(len(table.Stalled()), 0)
 		progressing.Produced(1)
 		time.Sleep(time.Second)
-		is.Equal(len(table.Silent()), 1)
+		is.Equal(len(table.Stalled()), 1)
 		held := Held{Running: []string{"runs"}, Unnamed: 1}
-		is.Equal(len(table.Release(Life{ID: "a"}, held)), 0) // it may be the one reported without an ID
+		is.Equal(len(table.Release(Incarnation{ID: "a"}, held)), 0) // it may be the one reported without an ID
 		held.Unnamed = 0
-		is.Equal(len(table.Release(Life{ID: "b"}, held)), 0)
-		is.Equal(table.Release(Life{ID: "a"}, held), []string{"lost"})
-		is.Equal(len(table.Release(Life{ID: "a"}, held)), 0)
+		is.Equal(len(table.Release(Incarnation{ID: "b"}, held)), 0)
+		is.Equal(table.Release(Incarnation{ID: "a"}, held), []string{"lost"})
+		is.Equal(len(table.Release(Incarnation{ID: "a"}, held)), 0)
 		moved.Produced(4) // it continues here
 		time.Sleep(stallTimeout)
-		is.Equal(len(table.Release(Life{ID: "a"}, held)), 2) // flows and moved
+		is.Equal(len(table.Release(Incarnation{ID: "a"}, held)), 2) // flows and moved
 		is.Equal(table.OwnGenerations()["llm"]["a"].Requests, 2)
 	})
 }
@@ -40,9 +40,9 @@
 // Guards against querying servers that get no work from this host.
 func TestServersThatGetNoWorkAreNotQueried(t *testing.T) {
 	for name, leaveAlone := range map[string]func(*Table){
-		"leaves":     func(table *Table) { table.MarkLeaving(Life{ID: "a"}, SourceList) },
+		"leaves":     func(table *Table) { table.MarkLeaving(Incarnation{ID: "a"}, SourceList) },
 		"evacuated":  func(table *Table) { table.SetEvacuated("d1", true) },
-		"in backoff": func(table *Table) { table.Rest("a", time.Minute) },
+		"in backoff": func(table *Table) { table.SetBackoff("a", time.Minute) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -50,9 +50,9 @@
 				table := newTable()
 				table.Begin("a", Work{ID: "lost"}, false)
 				time.Sleep(stallTimeout)
-				is.Equal(len(table.Silent()), 1)
+				is.Equal(len(table.Stalled()), 1)
 				leaveAlone(table)
-				is.Equal(len(table.Silent()), 0)
+				is.Equal(len(table.Stalled()), 0)
 			})
 		})
 	}
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -49,7 +49,7 @@
 	memoryTokens int
 	coldRate     float64 // requests per second that a cold server accepts; zero: unlimited
 	members      []*entry
-	departed     map[Life]time.Time // incarnations dropped from the table, and when
+	departed     map[Incarnation]time.Time // incarnations dropped from the table, and when
 }
 
 // departedTTL is how long a dropped server is still reported as leaving to
@@ -103,7 +103,7 @@
 func (t *Table) service(name string) *service {
 	s := t.services[name]
 	if s == nil {
-		s = &service{departed: map[Life]time.Time{}}
+		s = &service{departed: map[Incarnation]time.Time{}}
 		t.services[name] = s
 	}
 	return s
@@ -120,7 +120,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.servers[server.ID]
-	if e != nil && !e.server.Life().Is(server.Life()) {
+	if e != nil && !e.server.Incarnation().Is(server.Incarnation()) {
 		t.replace(e, server)
 		e = nil
 	}
@@ -136,9 +136,9 @@
 	}
 	e.server, e.invalid, e.evacuated = server, false, t.evacuated[server.Domain]
 	e.listedColdUntil = time.Now().Add(min(server.SlowFor, maxColdTime))
-	delete(t.service(server.Service).departed, server.Life())
+	delete(t.service(server.Service).departed, server.Incarnation())
 	switch {
-	case t.reportedLeaving(server.Life()):
+	case t.reportedLeaving(server.Incarnation()):
 		e.removed = false
 		t.setLeaving(e, SourceAnswer)
 	case server.Leaving:
@@ -182,7 +182,7 @@
 }
 
 // MarkLeaving records that an incarnation of a server accepts no new work.
-func (t *Table) MarkLeaving(life Life, because LeavingSource) {
+func (t *Table) MarkLeaving(life Incarnation, because LeavingSource) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if because == SourceAnswer {
@@ -217,7 +217,7 @@
 	delete(t.servers, e.server.ID)
 	s := t.service(e.server.Service)
 	s.members = slices.DeleteFunc(s.members, func(m *entry) bool { return m == e })
-	s.departed[e.server.Life()] = time.Now()
+	s.departed[e.server.Incarnation()] = time.Now()
 }
 
 // Get returns a server and whether requests may be sent to it. The ID is empty
@@ -238,14 +238,14 @@
 
 // Leaving returns, in order, the incarnations of a service's servers that are
 // leaving or were dropped within departedTTL.
-func (t *Table) Leaving(name string) []Life {
+func (t *Table) Leaving(name string) []Incarnation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var lives []Life
+	var lives []Incarnation
 	s := t.service(name)
 	for _, e := range s.members {
 		if e.leaving {
-			lives = append(lives, e.server.Life())
+			lives = append(lives, e.server.Incarnation())
 		}
 	}
 	for life, at := range s.departed {
@@ -255,7 +255,7 @@
 		}
 		lives = append(lives, life)
 	}
-	slices.SortFunc(lives, func(a, b Life) int { return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Born, b.Born)) })
+	slices.SortFunc(lives, func(a, b Incarnation) int { return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Born, b.Born)) })
 	return lives
 }
 
--- a/fleet/table_test.go
+++ b/fleet/table_test.go
@@ -44,12 +44,12 @@
 	table.Remove("a")
 	table.Remove("b")
 	is.Equal(len(table.Candidates("llm", "d1")), 0)
-	is.Equal(table.Leaving("llm"), []Life{{ID: "a"}, {ID: "b"}})
+	is.Equal(table.Leaving("llm"), []Incarnation{{ID: "a"}, {ID: "b"}})
 	table.Put(Server{ID: "a", Service: "llm", Address: "10.0.0.1:1"})
 	table.Put(Server{ID: "b", Service: "llm", Address: "10.0.0.2:1"})
 	is.Equal(len(table.Candidates("llm", "d1")), 2)
-	is.Equal(len(table.Leaving("llm")), 0)       // other hosts must not be told that they leave
-	table.MarkLeaving(Life{ID: "a"}, SourcePeer) // reported by a host with stale data
+	is.Equal(len(table.Leaving("llm")), 0)              // other hosts must not be told that they leave
+	table.MarkLeaving(Incarnation{ID: "a"}, SourcePeer) // reported by a host with stale data
 	table.Put(Server{ID: "a", Service: "llm", Address: "10.0.0.1:1"})
 	is.Equal(len(table.Candidates("llm", "d1")), 2)
 	work.End()
--- a/fleet/work.go
+++ b/fleet/work.go
@@ -148,9 +148,9 @@
 	return w.entry.server
 }
 
-// Life returns a context that is cancelled when the server's incarnation ends.
+// Context returns a context that is cancelled when the server's incarnation ends.
 // Work on that incarnation is lost then.
-func (w *Work) Life() context.Context { return w.entry.life }
+func (w *Work) Context() context.Context { return w.entry.life }
 
 // Unreachable records that the server did not accept a connection.
 func (w *Work) Unreachable() {
@@ -183,9 +183,9 @@
 	}
 }
 
-// AnsweredBadly records that the server answered a request with an error of its
+// AnsweredWithError records that the server answered a request with an error of its
 // own. This counts against its health, but shows that the server is reachable.
-func (w *Work) AnsweredBadly() {
+func (w *Work) AnsweredWithError() {
 	w.table.mu.Lock()
 	defer w.table.mu.Unlock()
 	w.table.recordOutcome(w.entry, true)
@@ -235,7 +235,7 @@
 			continue
 		}
 		load, has := loads[e.server.ID]
-		has = has && e.server.Life().Is(Life{e.server.ID, load.Born}) // a load of another incarnation does not count
+		has = has && e.server.Incarnation().Is(Incarnation{e.server.ID, load.Born}) // a load of another incarnation does not count
 		if _, had := e.others[host]; !has && !had {
 			continue
 		}
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -105,7 +105,7 @@
 	defer reply.Body.Close()
 	t.sends++
 	if reply.Load != nil {
-		work.Says(*reply.Load)
+		work.SetReportedLoad(*reply.Load)
 	}
 	if !accepted(reply) {
 		return t.refusedAttempt(reply)
@@ -120,7 +120,7 @@
 	}
 	failing := reply.Status >= http.StatusInternalServerError
 	if failing {
-		work.AnsweredBadly()
+		work.AnsweredWithError()
 	} else {
 		work.Outcome(false)
 	}
@@ -150,11 +150,11 @@
 func (t *task) recordServerState(server fleet.Server, reply *Reply) {
 	switch {
 	case reply.WrongServer:
-		t.gateway.options.Fleet.MarkLeaving(server.Life(), fleet.SourceReplaced)
+		t.gateway.options.Fleet.MarkLeaving(server.Incarnation(), fleet.SourceReplaced)
 	case reply.Leaving:
-		t.gateway.options.Fleet.MarkLeaving(server.Life(), fleet.SourceAnswer)
+		t.gateway.options.Fleet.MarkLeaving(server.Incarnation(), fleet.SourceAnswer)
 	case reply.BackoffFor > 0:
-		t.gateway.options.Fleet.Rest(server.ID, reply.BackoffFor)
+		t.gateway.options.Fleet.SetBackoff(server.ID, reply.BackoffFor)
 	}
 }
 
--- a/gateway/life.go
+++ b/gateway/life.go
@@ -20,7 +20,7 @@
 func (t *task) sendTo(ctx context.Context, work *fleet.Work, call Call) (*Reply, error) {
 	t.sentMark = t.gateway.options.Quarantine.Mark(t.fingerprint)
 	ctx, cancel := context.WithCancel(ctx)
-	unbind := context.AfterFunc(work.Life(), cancel)
+	unbind := context.AfterFunc(work.Context(), cancel)
 	end := func() {
 		unbind()
 		cancel()
@@ -41,7 +41,7 @@
 // resets the server's copy counter, so that the handle of this copy may now
 // identify a copy of another run, whose tokens the caller would receive.
 func (t *task) resumeAt(ctx context.Context, work *fleet.Work, call Call) (*Reply, error) {
-	if work.Life().Err() != nil || t.gateway.options.Fleet.Superseded(call.Resume.Source.Life()) {
+	if work.Context().Err() != nil || t.gateway.options.Fleet.Superseded(call.Resume.Source.Incarnation()) {
 		return nil, errServerRestarted
 	}
 	return t.sendTo(ctx, work, call)
--- a/gateway/life_test.go
+++ b/gateway/life_test.go
@@ -112,7 +112,7 @@
 			}
 			return CopyResult{Handle: "1", Done: true}, nil
 		}
-		time.AfterFunc(time.Second, func() { w.fleet.MarkLeaving(w.calls[0].Server.Life(), fleet.SourceList) })
+		time.AfterFunc(time.Second, func() { w.fleet.MarkLeaving(w.calls[0].Server.Incarnation(), fleet.SourceList) })
 		o := w.gateway.Serve(context.Background(), w.request("/letter/1"), &recorder{})
 		is.True(!o.Complete)
 		is.Equal(o.Reason, ReasonMoveFailed)
--- a/gateway/migrate.go
+++ b/gateway/migrate.go
@@ -85,7 +85,7 @@
 		g.recordMove(run, source, "copy_failed", err)
 		return
 	}
-	if current, usable := g.options.Fleet.Get(target.ID); !usable || !current.Life().Is(target.Life()) {
+	if current, usable := g.options.Fleet.Get(target.ID); !usable || !current.Incarnation().Is(target.Incarnation()) {
 		reservation.End()
 		g.discard(source, first.Handle)
 		g.recordMove(run, source, "destination_left", nil)
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -68,7 +68,7 @@
 	if table.EvacuatedOnly(t.service.Name) {
 		return ReasonEvacuated
 	}
-	switch rest := table.RestLeft(t.service.Name); {
+	switch rest := table.BackoffLeft(t.service.Name); {
 	case rest == 0:
 		return ReasonNoServer
 	case rest > wait:
--- a/gateway/rest_test.go
+++ b/gateway/rest_test.go
@@ -18,7 +18,7 @@
 		w.send = func(context.Context, Call) (*Reply, error) { return answer(http.StatusOK, "ok"), nil }
 		rest := func(d time.Duration) {
 			for _, id := range []string{"p1", "p2", "e1", "e2"} {
-				w.fleet.Rest(id, d)
+				w.fleet.SetBackoff(id, d)
 			}
 		}
 		rest(3 * time.Second)
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -144,7 +144,7 @@
 func (r *run) lost() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.work.Life().Err() != nil
+	return r.work.Context().Err() != nil
 }
 
 // started reports whether an event of the run was relayed to the caller.
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -40,7 +40,7 @@
 			}
 			return CopyResult{Handle: "h", Done: true}, nil
 		}
-		time.AfterFunc(time.Second, func() { w.fleet.MarkLeaving(w.calls[0].Server.Life(), fleet.SourceList) })
+		time.AfterFunc(time.Second, func() { w.fleet.MarkLeaving(w.calls[0].Server.Incarnation(), fleet.SourceList) })
 		caller := &recorder{}
 		o := w.gateway.Serve(context.Background(), w.request("/letter/1"), caller)
 		is.True(o.Complete)
@@ -68,7 +68,7 @@
 			time.Sleep(200 * time.Millisecond)
 			return CopyResult{Handle: "h", Done: true}, nil
 		}
-		time.AfterFunc(time.Second, func() { w.fleet.MarkLeaving(w.calls[0].Server.Life(), fleet.SourceList) })
+		time.AfterFunc(time.Second, func() { w.fleet.MarkLeaving(w.calls[0].Server.Incarnation(), fleet.SourceList) })
 		o := w.gateway.Serve(ctx, w.request("/letter/1"), &recorder{})
 		is.Equal(o.Reason, ReasonCallerGone)
 		time.Sleep(5 * time.Second)
@@ -85,10 +85,10 @@
 		w.send = func(context.Context, Call) (*Reply, error) { return newGeneration(1, 100, gap).reply(), nil }
 		w.copy = func(_, destination fleet.Server, last bool) (CopyResult, error) {
 			time.Sleep(3 * time.Second)
-			is.Equal(len(w.fleet.Release(destination.Life(), fleet.Held{})), 0)
+			is.Equal(len(w.fleet.Release(destination.Incarnation(), fleet.Held{})), 0)
 			return CopyResult{}, nil
 		}
-		time.AfterFunc(time.Second, func() { w.fleet.MarkLeaving(w.calls[0].Server.Life(), fleet.SourceList) })
+		time.AfterFunc(time.Second, func() { w.fleet.MarkLeaving(w.calls[0].Server.Incarnation(), fleet.SourceList) })
 		w.serve("/letter/1")
 		synctest.Wait()
 		is.Equal(w.turns, 0)
@@ -101,7 +101,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newHarness()
 		w.send = func(ctx context.Context, call Call) (*Reply, error) {
-			time.AfterFunc(time.Second, func() { w.fleet.Witness("other", call.Server.ID, fleet.Evidence{Answered: 1}) })
+			time.AfterFunc(time.Second, func() { w.fleet.ApplyOutcomes("other", call.Server.ID, fleet.Evidence{Answered: 1}) })
 			<-ctx.Done()
 			return nil, broken(backend.Broken)
 		}
@@ -131,7 +131,7 @@
 			close(first.interrupt)
 			return CopyResult{Handle: "kept"}, nil
 		}
-		time.AfterFunc(time.Second, func() { w.fleet.MarkLeaving(w.calls[0].Server.Life(), fleet.SourceList) })
+		time.AfterFunc(time.Second, func() { w.fleet.MarkLeaving(w.calls[0].Server.Incarnation(), fleet.SourceList) })
 		caller := &recorder{}
 		o := w.gateway.Serve(context.Background(), w.request("/letter/1"), caller)
 		is.True(o.Complete)
--- a/gatewayhost/apply.go
+++ b/gatewayhost/apply.go
@@ -44,7 +44,7 @@
 func (h *Host) applyServer(object store.Object) error {
 	server, err := h.options.Objects.ReadServer(object.Name, object.Value)
 	if err != nil {
-		h.fleet.Disregard(object.Name)
+		h.fleet.MarkInvalid(object.Name)
 		return err
 	}
 	h.fleet.Put(server)
@@ -135,7 +135,7 @@
 
 // queryStatus queries the status of a server, at its service's health path if one
 // is configured.
-func (h *Host) queryStatus(ctx context.Context, server fleet.Server) (fleet.OwnWord, error) {
+func (h *Host) queryStatus(ctx context.Context, server fleet.Server) (fleet.SelfReport, error) {
 	path := ""
 	if c := h.gateway.Configuration(); c != nil && c.Services[server.Service] != nil {
 		path = c.Services[server.Service].HealthPath
--- a/gatewayhost/broken.go
+++ b/gatewayhost/broken.go
@@ -46,20 +46,20 @@
 // queryCold queries a server until it answers, is replaced or removed, or
 // coldQueryAttempts is reached.
 func (h *Host) queryCold(server fleet.Server) {
-	var status fleet.OwnWord
+	var status fleet.SelfReport
 	var err error
 	for range coldQueryAttempts {
 		status, err = h.queryColdOnce(server)
-		h.fleet.Heed(server.Life(), status)
+		h.fleet.ApplySelfReport(server.Incarnation(), status)
 		_ = sleep.For(context.Background(), coldQueryInterval) // the context never ends
-		if known, _ := h.fleet.Get(server.ID); err == nil || !known.Life().Is(server.Life()) {
+		if known, _ := h.fleet.Get(server.ID); err == nil || !known.Incarnation().Is(server.Incarnation()) {
 			break
 		}
 	}
 	h.logger.Info(msgColdQueried, zap.String("server", server.ID), zap.Duration("cold_for", status.ColdFor), zap.Error(err))
 }
 
-func (h *Host) queryColdOnce(server fleet.Server) (fleet.OwnWord, error) {
+func (h *Host) queryColdOnce(server fleet.Server) (fleet.SelfReport, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), coldQueryTimeout)
 	defer cancel()
 	return h.queryStatus(ctx, server)
--- a/gatewayhost/host.go
+++ b/gatewayhost/host.go
@@ -84,7 +84,7 @@
 	// Ask queries the status that a server reports about itself. HealthPath is
 	// the path at which the servers of its service report health; empty if they
 	// do not.
-	Ask(ctx context.Context, server fleet.Server, healthPath string) (fleet.OwnWord, error)
+	Ask(ctx context.Context, server fleet.Server, healthPath string) (fleet.SelfReport, error)
 	// Held queries which generations an engine has. It returns an error if the
 	// engine does not report them, or if another incarnation of the server
 	// answers.
--- a/gatewayhost/host_test.go
+++ b/gatewayhost/host_test.go
@@ -64,9 +64,9 @@
 
 func (s servers) Held(context.Context, fleet.Server) (fleet.Held, error) { return s.held, nil }
 
-func (s servers) Ask(_ context.Context, server fleet.Server, _ string) (fleet.OwnWord, error) {
+func (s servers) Ask(_ context.Context, server fleet.Server, _ string) (fleet.SelfReport, error) {
 	leaving, err := s.queryLeaving(server.ID)
-	return fleet.OwnWord{Leaves: leaving, ColdFor: s.coldFor}, err
+	return fleet.SelfReport{Leaves: leaving, ColdFor: s.coldFor}, err
 }
 
 var errUnreadable = errors.New("unreadable")
--- a/gatewayhost/quarantine_test.go
+++ b/gatewayhost/quarantine_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-func (c *crashing) Ask(context.Context, fleet.Server, string) (fleet.OwnWord, error) {
-	return fleet.OwnWord{}, nil
+func (c *crashing) Ask(context.Context, fleet.Server, string) (fleet.SelfReport, error) {
+	return fleet.SelfReport{}, nil
 }
 
 func (c *crashing) OnBroken(func(string)) {}
--- a/gatewayhost/release.go
+++ b/gatewayhost/release.go
@@ -28,7 +28,7 @@
 func (h *Host) releaseLostGenerations(ctx context.Context) error {
 	for sleep.For(ctx, releaseInterval) == nil {
 		var group sync.WaitGroup
-		for _, server := range h.fleet.Silent() {
+		for _, server := range h.fleet.Stalled() {
 			group.Go(func() { h.releaseLostOn(ctx, server) })
 		}
 		group.Wait()
@@ -44,7 +44,7 @@
 		h.logger.Debug(msgHeldNotReported, zap.String("server", server.ID), zap.Error(err))
 		return
 	}
-	if released := h.fleet.Release(server.Life(), held); len(released) > 0 {
+	if released := h.fleet.Release(server.Incarnation(), held); len(released) > 0 {
 		h.logger.Warn(msgReleased, zap.String("server", server.ID), zap.Strings("requests", released))
 	}
 }
