--- a/allocation/allocation_test.go
+++ b/allocation/allocation_test.go
@@ -97,10 +97,10 @@
 	at, from := engines("a", "e1", "e2"), engines("b", "e1", "e2")
 	_, allocator, client := pair(t, at, from)
 	need := placement.Need{PromptTokens: 6000, OutputTokens: 400}
-	own := allocator.Place("other", "d", WholeService(llm), Asked{Request: "r1", Need: need}, nil)
-	other := client.Place(context.Background(), llm, Asked{Request: "r2", Need: need}, nil)
+	own := allocator.Place("other", "d", WholeService(llm), PlacementRequest{Request: "r1", Need: need}, nil)
+	other := client.Place(context.Background(), llm, PlacementRequest{Request: "r2", Need: need}, nil)
 	is.True(own.Server != other)
-	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r3", Need: need}, []string{"e1", "e2"}), "") // both already tried
+	is.Equal(client.Place(context.Background(), llm, PlacementRequest{Request: "r3", Need: need}, []string{"e1", "e2"}), "") // both already tried
 }
 
 // Guards against callers that retry when they were told to and are refused again.
@@ -112,7 +112,7 @@
 		at.SetOthers("h", llm, map[string]fleet.Load{"e1": {Requests: 9, HeldTokens: 31000}}, WholeService(llm).Contains)
 		need := placement.Need{PromptTokens: 3000, OutputTokens: 400}
 		ask := func(request string, fingerprint uint64) string {
-			return allocator.Place("h", "d", WholeService(llm), Asked{Request: request, Fingerprint: fingerprint, Need: need}, nil).Server
+			return allocator.Place("h", "d", WholeService(llm), PlacementRequest{Request: request, Fingerprint: fingerprint, Need: need}, nil).Server
 		}
 		is.Equal(ask("r1", 7), "")
 		time.Sleep(100 * time.Millisecond)
@@ -129,11 +129,11 @@
 	is := is.New(t)
 	h, _, client := pair(t, engines("a", "e1"), engines("b", "e2"))
 	need := placement.Need{PromptTokens: 100}
-	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r1", Need: need}, nil), "e1")
+	is.Equal(client.Place(context.Background(), llm, PlacementRequest{Request: "r1", Need: need}, nil), "e1")
 	h.setDown(true)
-	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r2", Need: need}, nil), "e2")
+	is.Equal(client.Place(context.Background(), llm, PlacementRequest{Request: "r2", Need: need}, nil), "e2")
 	h.setDown(false)
-	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r3", Need: need}, nil), "e2") // the allocator is in backoff
+	is.Equal(client.Place(context.Background(), llm, PlacementRequest{Request: "r3", Need: need}, nil), "e2") // the allocator is in backoff
 }
 
 func TestReportsTellWhatTheStoreWouldNot(t *testing.T) {
@@ -261,7 +261,7 @@
 	table := engines("b", "e1", "e2")
 	table.Begin("e1", fleet.Work{ID: "r1"}, false)
 	members := []peer.Member{{Host: "a", State: peer.StateAlive, FailureDomain: "d"}}
-	sentinel := &Sentinel{Host: "b", Fleet: table, Client: NewClient("b", "d", &hosts{members: members}, nil, table, zap.NewNop())}
+	sentinel := &OutageMonitor{Host: "b", Fleet: table, Client: NewClient("b", "d", &hosts{members: members}, nil, table, zap.NewNop())}
 	serversToQuery := sentinel.serversToQuery(WholeService(llm))
 	is.Equal(len(serversToQuery), 1)
 	is.Equal(serversToQuery[0].ID, "e1")
@@ -280,7 +280,7 @@
 	at.SetBackoff("e1", time.Second)
 	from.SetBackoff("e2", time.Second)
 	need := placement.Need{PromptTokens: 100}
-	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r1", Need: need}, nil), "e1")
+	is.Equal(client.Place(context.Background(), llm, PlacementRequest{Request: "r1", Need: need}, nil), "e1")
 }
 
 // Guards against engines that are reclaimed unnoticed during a store outage.
@@ -292,7 +292,7 @@
 		var away atomic.Bool
 		var asked, verified atomic.Int64
 		away.Store(true)
-		sentinel := &Sentinel{
+		sentinel := &OutageMonitor{
 			Host: "a", Fleet: table, Logger: zap.NewNop(),
 			Client: NewClient("a", "d", &hosts{members: members}, nil, table, zap.NewNop()),
 			Check: func(context.Context) error {
--- a/allocation/allocator.go
+++ b/allocation/allocator.go
@@ -52,10 +52,10 @@
 	// Verified returns the time since the store was queried for the value that
 	// Revision returns. Nil: not sent to other allocators.
 	Verified func() time.Duration
-	// Relayed is called with the Revision of another allocator and the time
+	// OnRelayedRevision is called with the Revision of another allocator and the time
 	// since that allocator queried the store for it. Nil: not used. It must not
 	// block.
-	Relayed func(allocator string, revision uint64, age time.Duration)
+	OnRelayedRevision func(allocator string, revision uint64, age time.Duration)
 	// Evacuated returns the newest revision of an evacuation known to this
 	// host. It is sent to other hosts. Nil: not sent.
 	Evacuated func() uint64
@@ -70,8 +70,8 @@
 	offerTable *offerTable
 }
 
-// Asked is a generation that needs a server.
-type Asked struct {
+// PlacementRequest is a generation that needs a server.
+type PlacementRequest struct {
 	Request string // request ID, for the log
 	// Fingerprint is the same if a request is retried with another ID; zero: unknown.
 	Fingerprint uint64
@@ -100,7 +100,7 @@
 // Place chooses a server for a host's generation and reserves it there until
 // the host's own report includes it. If another part is cheaper by more than
 // the cost of crossing failure domains, that part is returned instead.
-func (a *Allocator) Place(host, domain string, part Part, asked Asked, except []string) Placement {
+func (a *Allocator) Place(host, domain string, part Part, asked PlacementRequest, except []string) Placement {
 	need, request := asked.Need, asked.Request
 	need.Returning = a.refusals.returning(asked.Fingerprint, request)
 	candidates := a.candidates(part, domain, except...)
@@ -129,7 +129,7 @@
 
 // betterPart returns the part to be asked instead, if any. Costs are compared
 // for a typical generation, because other parts make their offers for one.
-func (a *Allocator) betterPart(part Part, asked Asked, candidates []placement.Candidate, placeHere bool) (Part, bool) {
+func (a *Allocator) betterPart(part Part, asked PlacementRequest, candidates []placement.Candidate, placeHere bool) (Part, bool) {
 	if part.Domain == "" || asked.Settled {
 		return Part{}, false
 	}
--- a/allocation/bench_test.go
+++ b/allocation/bench_test.go
@@ -36,7 +36,7 @@
 			allocator := NewAllocator(targetTable(6), placement.DefaultLimits, rand.IntN, zap.NewNop())
 			need := placement.Need{PromptTokens: 100, OutputTokens: 20}
 			for b.Loop() {
-				allocator.Place("h1", "d1", Part{Service: llm, Count: count}, Asked{Request: "r", Need: need}, nil)
+				allocator.Place("h1", "d1", Part{Service: llm, Count: count}, PlacementRequest{Request: "r", Need: need}, nil)
 			}
 		})
 	}
--- a/allocation/client.go
+++ b/allocation/client.go
@@ -45,13 +45,13 @@
 	local  *Allocator
 	fleet  *fleet.Table
 	logger *zap.Logger
-	// Told is called with each revision of the newest configuration received
+	// OnRevision is called with each revision of the newest configuration received
 	// from an allocator. Nil: not called. It must not block.
-	Told func(allocator string, revision uint64)
-	// ToldEvacuated is called with each revision of the newest evacuation of a
+	OnRevision func(allocator string, revision uint64)
+	// OnEvacuation is called with each revision of the newest evacuation of a
 	// failure domain received from an allocator. Nil: not called. It must not
 	// block.
-	ToldEvacuated func(allocator string, revision uint64)
+	OnEvacuation func(allocator string, revision uint64)
 
 	view atomic.Pointer[view]
 
@@ -121,7 +121,7 @@
 // Place chooses a server for a generation. It returns "" if none has capacity.
 // If this host's part of the service is full, or another part is much emptier,
 // that other part is asked.
-func (c *Client) Place(ctx context.Context, service string, asked Asked, except []string) string {
+func (c *Client) Place(ctx context.Context, service string, asked PlacementRequest, except []string) string {
 	placed := c.placeIn(ctx, c.partitioning(service).partOf(c.domain, c.host), asked, except)
 	if placed.Elsewhere.Service == "" {
 		return placed.Server
@@ -130,7 +130,7 @@
 	return c.placeIn(ctx, placed.Elsewhere, asked, except).Server
 }
 
-func (c *Client) placeIn(ctx context.Context, part Part, asked Asked, except []string) Placement {
+func (c *Client) placeIn(ctx context.Context, part Part, asked PlacementRequest, except []string) Placement {
 	allocator := c.allocator(part)
 	// Servers that this host cannot reach, or that requested a backoff from it,
 	// may accept other hosts.
@@ -157,7 +157,7 @@
 // placeHere places with this host's own table: on the part if other hosts may
 // consider this one its allocator, else on all servers, as no allocator
 // answers.
-func (c *Client) placeHere(part Part, asked Asked, except []string) Placement {
+func (c *Client) placeHere(part Part, asked PlacementRequest, except []string) Placement {
 	if !c.decidesFor(part) {
 		part = WholeService(part.Service)
 	}
--- a/allocation/exchange_test.go
+++ b/allocation/exchange_test.go
@@ -27,7 +27,7 @@
 		client.local.Revision = func() uint64 { return 17 }
 		client.local.Verified = func() time.Duration { return 300 * time.Millisecond }
 		var age atomic.Int64
-		allocator.Relayed = func(host string, revision uint64, ago time.Duration) {
+		allocator.OnRelayedRevision = func(host string, revision uint64, ago time.Duration) {
 			if host == client.host && revision == 17 {
 				age.Store(int64(ago))
 			}
@@ -61,7 +61,7 @@
 				return nil
 			}
 		}
-		sentinel := &Sentinel{
+		sentinel := &OutageMonitor{
 			Host: "a", Fleet: table, Logger: zap.NewNop(), Client: NewClient("a", "d", &hosts{members: members}, nil, table, zap.NewNop()),
 			Check: answer(&checks), Verify: answer(&verifies), Verified: func() time.Duration { return time.Duration(heard.Load()) },
 			Ask: func(context.Context, fleet.Server) (fleet.SelfReport, error) { return fleet.SelfReport{}, nil },
@@ -120,5 +120,5 @@
 		return err
 	}) != nil)
 	is.Equal(client.allocator(WholeService(llm)), allocator)
-	is.Equal(client.Place(t.Context(), llm, Asked{Request: "r1", Need: placement.Need{PromptTokens: 100}}, nil), "e1")
+	is.Equal(client.Place(t.Context(), llm, PlacementRequest{Request: "r1", Need: placement.Need{PromptTokens: 100}}, nil), "e1")
 }
--- a/allocation/part_test.go
+++ b/allocation/part_test.go
@@ -136,7 +136,7 @@
 	need := placement.Need{PromptTokens: 3000, OutputTokens: 400}
 	home, other := Part{Service: llm, Domain: "d1", Count: 1}, Part{Service: llm, Domain: "d2", Count: 1}
 	place := func(request string) string {
-		return client.Place(context.Background(), llm, Asked{Request: request, Need: need}, nil)
+		return client.Place(context.Background(), llm, PlacementRequest{Request: request, Need: need}, nil)
 	}
 	allocator.offerTable.update(other, nil, []float64{0.9, 1.2})
 	home.mustContain(t, table, place("r1"))
@@ -147,7 +147,7 @@
 	is.Equal(place("r4"), "") // all offers are used up
 	// A report on one part does not affect another.
 	table.SetOthers("h001", llm, nil, other.Contains)
-	is.Equal(allocator.Place("none", "d1", home, Asked{Request: "r5", Need: need}, nil), Placement{})
+	is.Equal(allocator.Place("none", "d1", home, PlacementRequest{Request: "r5", Need: need}, nil), Placement{})
 }
 
 func TestFarEmptierDomainIsPreferred(t *testing.T) {
@@ -157,7 +157,7 @@
 	home, other := Part{Service: llm, Domain: "d1", Count: 1}, Part{Service: llm, Domain: "d2", Count: 1}
 	busy := fleet.Load{Requests: 6, HeldTokens: 24000, UsedTokens: 20000, UnreadTokens: 2400}
 	table.SetOthers("h001", llm, map[string]fleet.Load{"e1": busy, "e4": busy}, home.Contains)
-	asked := Asked{Request: "r1", Need: placement.Need{PromptTokens: 3000, OutputTokens: 200}}
+	asked := PlacementRequest{Request: "r1", Need: placement.Need{PromptTokens: 3000, OutputTokens: 200}}
 	home.mustContain(t, table, client.Place(context.Background(), llm, asked, nil)) // no offers yet
 	allocator.offerTable.update(other, nil, []float64{0.05})
 	other.mustContain(t, table, client.Place(context.Background(), llm, asked, nil))
--- a/allocation/replay_test.go
+++ b/allocation/replay_test.go
@@ -95,7 +95,7 @@
 // ask places a generation as a host does, and reports whether it found a place.
 func (f *replayedFleet) ask(domain string, need placement.Need) bool {
 	host := "host-" + domain
-	asked := Asked{Request: "r", Need: need}
+	asked := PlacementRequest{Request: "r", Need: need}
 	placed := f.allocators[domain].Place(host, domain, f.parts[domain], asked, nil)
 	at := domain
 	if placed.Elsewhere.Service != "" {
--- a/allocation/report.go
+++ b/allocation/report.go
@@ -196,12 +196,12 @@
 	})
 	if revision := response.GetConfigurationRevision(); revision > 0 {
 		c.recordRevision(revision, requestedAt)
-		if c.Told != nil {
-			c.Told(allocator, revision)
+		if c.OnRevision != nil {
+			c.OnRevision(allocator, revision)
 		}
 	}
-	if revision := response.GetEvacuationRevision(); revision > 0 && c.ToldEvacuated != nil {
-		c.ToldEvacuated(allocator, revision)
+	if revision := response.GetEvacuationRevision(); revision > 0 && c.OnEvacuation != nil {
+		c.OnEvacuation(allocator, revision)
 	}
 	for _, rest := range response.GetShunned() {
 		c.fleet.Shun(fleet.Incarnation{ID: rest.GetServer(), Born: rest.GetBorn()}, time.Duration(rest.GetLeftMs())*time.Millisecond)
--- a/allocation/sentinel.go
+++ b/allocation/sentinel.go
@@ -28,14 +28,14 @@
 	verifyAfter = 450 * time.Millisecond
 )
 
-// Sentinel detects leaving servers while the store is down.
+// OutageMonitor detects leaving servers while the store is down.
 //
 // If an engine is reclaimed during a store outage, its notice cannot be
 // written, so no host learns of it and all its generations would be lost. The
 // engine itself has the notice: the allocator queries it and passes the result
 // to the hosts in the responses to their reports. Servers are not queried while
 // the store answers.
-type Sentinel struct {
+type OutageMonitor struct {
 	Host   string
 	Client *Client
 	Fleet  *fleet.Table
@@ -53,7 +53,7 @@
 }
 
 // Run monitors the parts of services for which this host decides, until ctx ends.
-func (s *Sentinel) Run(ctx context.Context) error {
+func (s *OutageMonitor) Run(ctx context.Context) error {
 	away := false
 	for sleep.For(ctx, checkInterval) == nil {
 		parts := s.ownParts()
@@ -74,7 +74,7 @@
 
 // ownParts returns the parts for which this host decides: those that it
 // allocates, and those whose allocators do not answer it.
-func (s *Sentinel) ownParts() []Part {
+func (s *OutageMonitor) ownParts() []Part {
 	var ownParts []Part
 	for _, service := range s.Fleet.EngineServices() {
 		for _, part := range s.Client.partitioning(service).parts() {
@@ -86,7 +86,7 @@
 	return ownParts
 }
 
-func (s *Sentinel) check(ctx context.Context, verify bool) bool {
+func (s *OutageMonitor) check(ctx context.Context, verify bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	if verify {
@@ -100,7 +100,7 @@
 // those on which it has work; otherwise each of many partitioned hosts would
 // query all servers. Servers that requested a backoff from this host are left
 // out.
-func (s *Sentinel) serversToQuery(part Part) []fleet.Server {
+func (s *OutageMonitor) serversToQuery(part Part) []fleet.Server {
 	servers := s.Fleet.UsableWithWork(part.Service)
 	if s.Client.preferredAllocator(part) == s.Host {
 		servers = s.Fleet.Usable(part.Service)
@@ -110,7 +110,7 @@
 
 // queryServer queries one server and applies its status. A server that does not
 // answer is ignored: requests to it show whether it is reachable.
-func (s *Sentinel) queryServer(ctx context.Context, server fleet.Server) {
+func (s *OutageMonitor) queryServer(ctx context.Context, server fleet.Server) {
 	status, err := s.Ask(ctx, server)
 	if err != nil {
 		return
@@ -119,7 +119,7 @@
 }
 
 // queryServers queries the servers of the parts concurrently.
-func (s *Sentinel) queryServers(ctx context.Context, parts []Part) {
+func (s *OutageMonitor) queryServers(ctx context.Context, parts []Part) {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	var group sync.WaitGroup
--- a/allocation/server.go
+++ b/allocation/server.go
@@ -26,7 +26,7 @@
 
 // Place implements allocationpb.AllocationServer.
 func (s *server) Place(_ context.Context, r *allocationpb.PlaceRequest) (*allocationpb.PlaceResponse, error) {
-	asked := Asked{
+	asked := PlacementRequest{
 		Request: r.GetRequest(), Fingerprint: r.GetFingerprint(),
 		Need:    placement.Need{PromptTokens: int(r.GetPromptTokens()), OutputTokens: int(r.GetOutputTokens())},
 		Settled: r.GetSettled(),
@@ -40,8 +40,8 @@
 	for _, o := range r.GetOffers() {
 		s.allocator.offerTable.update(partFromProto(o.GetPart()), costsFromProto(o.GetBrief()), costsFromProto(o.GetLong()))
 	}
-	if revision := r.GetConfigurationRevision(); revision > 0 && s.allocator.Relayed != nil {
-		s.allocator.Relayed(r.GetHost(), revision, time.Duration(r.GetVerifiedMs())*time.Millisecond)
+	if revision := r.GetConfigurationRevision(); revision > 0 && s.allocator.OnRelayedRevision != nil {
+		s.allocator.OnRelayedRevision(r.GetHost(), revision, time.Duration(r.GetVerifiedMs())*time.Millisecond)
 	}
 	return &allocationpb.OfferResponse{}, nil
 }
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -94,7 +94,7 @@
 
 func (w *harness) Discard(context.Context, fleet.Server, string) error { return nil }
 
-func (w *harness) Place(_ context.Context, service string, asked allocation.Asked, except []string) string {
+func (w *harness) Place(_ context.Context, service string, asked allocation.PlacementRequest, except []string) string {
 	candidates := w.fleet.Candidates(service, "d1", except...)
 	if i := placement.Pick(asked.Need, candidates, placement.DefaultLimits, func(int) int { return 0 }); i >= 0 {
 		return candidates[i].ID
@@ -106,7 +106,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.turns++
-	return w.Place(ctx, service, allocation.Asked{Need: move.Need}, nil), func() {
+	return w.Place(ctx, service, allocation.PlacementRequest{Need: move.Need}, nil), func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.turns--
--- a/gatewayhost/host.go
+++ b/gatewayhost/host.go
@@ -141,7 +141,7 @@
 	coldQueries        sync.Map      // addresses whose servers are being queried whether they are cold
 	allocator          *allocation.Allocator
 	allocation         *allocation.Client
-	sentinel           *allocation.Sentinel
+	sentinel           *allocation.OutageMonitor
 	gateway            *gateway.Gateway
 	verifiedAt         moment.Moment // start of the last successful read of the configuration from the store
 	relayedVerifiedAt  moment.Moment // same for a read by another host that found the same revision
@@ -167,7 +167,7 @@
 	h.fleet = fleet.NewTable(o.Name, o.Logger)
 	h.allocator = allocation.NewAllocator(h.fleet, placement.DefaultLimits, rand.IntN, o.Logger)
 	h.allocator.Undisturbed = h.servers.Undisturbed
-	h.allocator.Revision, h.allocator.Verified, h.allocator.Relayed = h.verifiedRevision, h.verificationAge, h.recordRelayedVerification
+	h.allocator.Revision, h.allocator.Verified, h.allocator.OnRelayedRevision = h.verifiedRevision, h.verificationAge, h.recordRelayedVerification
 	h.quarantine = quarantine.NewTable(o.Logger, o.Registerer)
 	h.quarantine.Changed = func() { h.node.Load().Announce() }
 	h.quarantine.QuarantineChanged = h.scheduleQuarantineWrite
@@ -176,8 +176,8 @@
 	o.Backend.OnBroken(h.handleBrokenConnection)
 	h.allocation = allocation.NewClient(o.Name, o.Domain, h, h.allocator, h.fleet, o.Logger)
 	h.allocator.Evacuated = h.evacuationRevision.Load
-	h.allocation.Told, h.allocation.ToldEvacuated = h.catchUp, h.catchUpEvacuations
-	h.sentinel = &allocation.Sentinel{
+	h.allocation.OnRevision, h.allocation.OnEvacuation = h.catchUp, h.catchUpEvacuations
+	h.sentinel = &allocation.OutageMonitor{
 		Host: o.Name, Client: h.allocation, Fleet: h.fleet, Check: o.Store.Check, Verify: h.verify, Verified: h.verificationAge, Ask: h.queryStatus,
 		Logger: o.Logger,
 	}
