--- a/gatewayhost/host.go
+++ b/gatewayhost/host.go
@@ -81,17 +81,17 @@
 // Backend communicates with backend servers.
 type Backend interface {
 	gateway.Backend
-	// Ask queries the status that a server reports about itself. HealthPath is
+	// QueryStatus queries the status that a server reports about itself. HealthPath is
 	// the path at which the servers of its service report health; empty if they
 	// do not.
-	Ask(ctx context.Context, server fleet.Server, healthPath string) (fleet.SelfReport, error)
-	// Held queries which generations an engine has. It returns an error if the
+	QueryStatus(ctx context.Context, server fleet.Server, healthPath string) (fleet.SelfReport, error)
+	// QueryGenerations queries which generations an engine has. It returns an error if the
 	// engine does not report them, or if another incarnation of the server
 	// answers.
-	Held(ctx context.Context, server fleet.Server) (fleet.Held, error)
-	// OnBroken sets the callback for a broken connection, including an idle
+	QueryGenerations(ctx context.Context, server fleet.Server) (fleet.Held, error)
+	// OnConnectionBroken sets the callback for a broken connection, including an idle
 	// one, to an address. The callback must not block.
-	OnBroken(callback func(address string))
+	OnConnectionBroken(callback func(address string))
 }
 
 // Server is an HTTP server of the host. Address is an IP:port.
@@ -102,16 +102,16 @@
 
 // Options configure a Host. All fields are required.
 type Options struct {
-	Name           string
-	Domain         string // failure domain
-	Capacity       int    // CPU capacity in thousandths of a core; zero if unknown
-	PeerAddress    string
-	CallersAddress string // address advertised to callers
-	Seeds          []string
-	Network        link.Network
-	Store          store.Checker
-	Objects        Objects
-	Backend        Backend
+	Name          string
+	Domain        string // failure domain
+	Capacity      int    // CPU capacity in thousandths of a core; zero if unknown
+	PeerAddress   string
+	CallerAddress string // address advertised to callers
+	Seeds         []string
+	Network       link.Network
+	Store         store.Checker
+	Objects       Objects
+	Backend       Backend
 	// RepeatRatio, RepeatAllowance and RepeatWindow are the retry budget; see
 	// [gateway.Budget].
 	RepeatRatio, RepeatAllowance float64
@@ -173,7 +173,7 @@
 	h.quarantine.QuarantineChanged = h.scheduleQuarantineWrite
 	h.node.Store(h.newNode(0, o.Registerer))
 	h.table.Subscribe(func() { h.node.Load().Announce() })
-	o.Backend.OnBroken(h.handleBrokenConnection)
+	o.Backend.OnConnectionBroken(h.handleBrokenConnection)
 	h.allocation = allocation.NewClient(o.Name, o.Domain, h, h.allocator, h.fleet, o.Logger)
 	h.allocator.Evacuated = h.evacuationRevision.Load
 	h.allocation.OnRevision, h.allocation.OnEvacuation = h.catchUp, h.catchUpEvacuations
--- a/gatewayhost/host_test.go
+++ b/gatewayhost/host_test.go
@@ -56,15 +56,17 @@
 	onBroken     *func(address string) // receives the host's OnBroken callback unless nil
 }
 
-func (s servers) OnBroken(onBroken func(string)) {
+func (s servers) OnConnectionBroken(onBroken func(string)) {
 	if s.onBroken != nil {
 		*s.onBroken = onBroken
 	}
 }
 
-func (s servers) Held(context.Context, fleet.Server) (fleet.Held, error) { return s.held, nil }
+func (s servers) QueryGenerations(context.Context, fleet.Server) (fleet.Held, error) {
+	return s.held, nil
+}
 
-func (s servers) Ask(_ context.Context, server fleet.Server, _ string) (fleet.SelfReport, error) {
+func (s servers) QueryStatus(_ context.Context, server fleet.Server, _ string) (fleet.SelfReport, error) {
 	leaving, err := s.queryLeaving(server.ID)
 	return fleet.SelfReport{Leaves: leaving, ColdFor: s.coldFor}, err
 }
@@ -95,7 +97,7 @@
 
 func newHostWith(backend Backend, name string, through link.Network, address string, memory *store.Memory, seeds ...string) *Host {
 	return New(Options{
-		Name: name, Domain: "d", PeerAddress: address + peerPort, CallersAddress: address + ":8000", Seeds: seeds, Network: through,
+		Name: name, Domain: "d", PeerAddress: address + peerPort, CallerAddress: address + ":8000", Seeds: seeds, Network: through,
 		Store: checkedStore{memory}, Objects: objects(), Backend: backend,
 		RepeatRatio: 0.2, RepeatAllowance: 54, RepeatWindow: 10 * time.Second, ListChangedSlack: 3 * time.Second, StopGrace: 8 * time.Second,
 		Logger: zap.NewNop(), Registerer: prometheus.NewRegistry(),
--- a/gatewayhost/members.go
+++ b/gatewayhost/members.go
@@ -39,7 +39,7 @@
 	o := h.options
 	return peer.New(peer.Options{
 		Self: peer.Member{
-			Host: o.Name, Incarnation: incarnation, FailureDomain: o.Domain, PeerAddress: o.PeerAddress, CallerAddress: o.CallersAddress,
+			Host: o.Name, Incarnation: incarnation, FailureDomain: o.Domain, PeerAddress: o.PeerAddress, CallerAddress: o.CallerAddress,
 			Capacity: o.Capacity,
 		},
 		Network: o.Network, Seeds: o.Seeds, Configuration: gossipedTable{h.table}, Handler: noForwarding{}, Suspects: h.quarantine,
--- a/gatewayhost/quarantine_test.go
+++ b/gatewayhost/quarantine_test.go
@@ -99,13 +99,15 @@
 	}
 }
 
-func (c *crashing) Ask(context.Context, fleet.Server, string) (fleet.SelfReport, error) {
+func (c *crashing) QueryStatus(context.Context, fleet.Server, string) (fleet.SelfReport, error) {
 	return fleet.SelfReport{}, nil
 }
 
-func (c *crashing) OnBroken(func(string)) {}
+func (c *crashing) OnConnectionBroken(func(string)) {}
 
-func (c *crashing) Held(context.Context, fleet.Server) (fleet.Held, error) { return fleet.Held{}, nil }
+func (c *crashing) QueryGenerations(context.Context, fleet.Server) (fleet.Held, error) {
+	return fleet.Held{}, nil
+}
 
 func (c *crashing) Send(ctx context.Context, call gateway.Call) (*gateway.Reply, error) {
 	if c.Ended(ctx, call.Server) {
