--- a/replica/follower.go
+++ b/replica/follower.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// Undisturbed returns the time since a store call by this follower last failed,
+// SinceStoreFailure returns the time since a store call by this follower last failed,
 // or moment.Never.
-func (f *Follower) Undisturbed() time.Duration { return f.failedAt.Age() }
+func (f *Follower) SinceStoreFailure() time.Duration { return f.failedAt.Age() }
 
 // Reached returns the revision up to which this follower's own lists and watches
 // have delivered changes of the kind; updates from peers do not count.
