--- a/lease/lease.go
+++ b/lease/lease.go
@@ -74,9 +74,9 @@
 // Name returns the name of the duty.
 func (l *Lease) Name() string { return l.name }
 
-// Quiet returns how long the holder must still wait before its first action,
+// FirstActionDelay returns how long the holder must still wait before its first action,
 // because an action that the previous holder began in time may still be running.
-func (l *Lease) Quiet() time.Duration { return max(0, time.Until(l.quietUntil)) }
+func (l *Lease) FirstActionDelay() time.Duration { return max(0, time.Until(l.quietUntil)) }
 
 // Remaining returns how long the holder may still begin actions; at zero or less
 // it must not begin any. It reaches zero well before others may take over the
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -37,7 +37,7 @@
 		second, err := b.Acquire(ctx, duty)
 		is.NoErr(err)
 		is.True(second.Fence() > first.Fence())
-		is.Equal(second.Quiet(), time.Duration(0)) // released: no previous action to wait for
+		is.Equal(second.FirstActionDelay(), time.Duration(0)) // released: no previous action to wait for
 		is.Equal(string(second.State()), `{"kept":1}`)
 	})
 }
@@ -60,7 +60,7 @@
 		}
 		is.True(first.Remaining() < -2*time.Second) // a's validity ended well before
 		is.True(second.Fence() > first.Fence())
-		is.True(second.Quiet() > 29*time.Second) // a's last action may still be running
+		is.True(second.FirstActionDelay() > 29*time.Second) // a's last action may still be running
 		is.True(errors.Is(a.Renew(ctx, first, nil), ErrLost))
 		is.Equal(first.Remaining(), time.Duration(0))
 	})
--- a/lease/store_lessor.go
+++ b/lease/store_lessor.go
@@ -42,8 +42,8 @@
 
 // Options configure a StoreLessor. Zero values have defaults.
 type Options struct {
-	Term    time.Duration // default 20 s
-	Longest time.Duration // how long an action that was begun in time may run; default 30 s
+	Term          time.Duration // default 20 s
+	MaxActionTime time.Duration // how long an action that was begun in time may run; default 30 s
 }
 
 // StoreLessor grants leases by conditional writes to the platform's store. It
@@ -70,8 +70,8 @@
 	if options.Term <= 0 {
 		options.Term = defaultTerm
 	}
-	if options.Longest <= 0 {
-		options.Longest = defaultMaxActionTime
+	if options.MaxActionTime <= 0 {
+		options.MaxActionTime = defaultMaxActionTime
 	}
 	return &StoreLessor{store: store, host: host, options: options, seen: map[string]observation{}}
 }
@@ -93,7 +93,7 @@
 		Holder:          s.host,
 		Acquisition:     uuid.NewString(),
 		TermMillis:      s.options.Term.Milliseconds(),
-		MaxActionMillis: s.options.Longest.Milliseconds(),
+		MaxActionMillis: s.options.MaxActionTime.Milliseconds(),
 		State:           current.State,
 	}
 	since := time.Now()
--- a/order/dispatcher.go
+++ b/order/dispatcher.go
@@ -106,7 +106,7 @@
 	if !order.Document.AllowsOrders(d.FailureDomain, order.Server) {
 		return request, record, 0, ErrLinkNotAllowed
 	}
-	if wait := held.Quiet(); wait > 0 {
+	if wait := held.FirstActionDelay(); wait > 0 {
 		return request, record, 0, &WaitError{For: wait, Reason: "orders of the holder before"}
 	}
 	if held.Remaining() < minRemaining {
--- a/order/duty.go
+++ b/order/duty.go
@@ -159,7 +159,7 @@
 // placeModels plans and sends orders until ctx ends, the host no longer contends
 // or it yields the lease. It never returns nil.
 func (d *Duty) placeModels(ctx context.Context, held *lease.Lease) error {
-	if err := sleep.For(ctx, held.Quiet()); err != nil {
+	if err := sleep.For(ctx, held.FirstActionDelay()); err != nil {
 		return err
 	}
 	if err := d.refresh(ctx); err != nil {
--- a/order/options.go
+++ b/order/options.go
@@ -43,7 +43,7 @@
 	if o.Longest <= 0 {
 		o.Longest = defaultMaxExecutionTime
 	}
-	lessor := lease.NewStoreLessor(o.Store, o.Host, lease.Options{Term: o.Term, Longest: o.Longest})
+	lessor := lease.NewStoreLessor(o.Store, o.Host, lease.Options{Term: o.Term, MaxActionTime: o.Longest})
 	return &Duty{
 		Lessor: lessor,
 		Dispatcher: &Dispatcher{
