--- a/store/memory.go
+++ b/store/memory.go
@@ -124,8 +124,8 @@
 	return version
 }
 
-// Forget compacts the whole history of changes, as the platform occasionally does.
-func (m *Memory) Forget() {
+// Compact compacts the whole history of changes, as the platform occasionally does.
+func (m *Memory) Compact() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.events, m.compacted = nil, m.revision
