--- a/bench/control/fleet.go
+++ b/bench/control/fleet.go
@@ -137,7 +137,7 @@
 	h.client = platform.NewObjectStore(f.network, f.platformAt)
 	h.store = store.NewLimited(h.client, store.Budget{})
 	h.acceptor = configuration.NewAcceptor(h.store, contract.ParseDocument)
-	h.acceptor.Seen = func(object store.Object) { h.table.Adopt([]store.Object{object}) }
+	h.acceptor.OnObject = func(object store.Object) { h.table.Adopt([]store.Object{object}) }
 	h.node = peer.New(peer.Options{
 		Self: peer.Member{
 			Host: fmt.Sprintf("host-%d", i), FailureDomain: h.domain,
--- a/configuration/acceptor.go
+++ b/configuration/acceptor.go
@@ -61,16 +61,16 @@
 	// SettleTimeout bounds how long a change is retried and its outcome settled
 	// while the store fails. It must be set before first use.
 	SettleTimeout time.Duration
-	// Seen is called with each object that was read or written; nil: no call.
+	// OnObject is called with each object that was read or written; nil: no call.
 	// It puts this host's own writes in force on this host.
 	//
 	// Failure: the store becomes unavailable right after a write. If the host
 	// waited for its watch, neither it nor its peers would learn of the change,
 	// although the operator was told that it was accepted.
-	Seen func(store.Object)
-	// Clash returns an error if an organisation must not be put in force
+	OnObject func(store.Object)
+	// CheckConflict returns an error if an organisation must not be put in force
 	// because another one has its name or one of its tokens; nil: no check.
-	Clash func(Organisation) error
+	CheckConflict func(Organisation) error
 }
 
 const (
--- a/configuration/edit.go
+++ b/configuration/edit.go
@@ -116,8 +116,8 @@
 }
 
 func (a *Acceptor) notifySeen(object store.Object) {
-	if a.Seen != nil {
-		a.Seen(object)
+	if a.OnObject != nil {
+		a.OnObject(object)
 	}
 }
 
--- a/configuration/organisation_change.go
+++ b/configuration/organisation_change.go
@@ -29,8 +29,8 @@
 	o := change.Organisation
 	o.Version = 0
 	err := o.Check()
-	if err == nil && a.Clash != nil {
-		err = a.Clash(o)
+	if err == nil && a.CheckConflict != nil {
+		err = a.CheckConflict(o)
 	}
 	if err != nil {
 		return Result{Outcome: NotAccepted}, err
--- a/configuration/organisation_index.go
+++ b/configuration/organisation_index.go
@@ -111,9 +111,9 @@
 
 func byName(a, b *Organisation) int { return cmp.Compare(a.Name, b.Name) }
 
-// Clash returns an error marked ErrOrganisation if, on this host, a token of o
+// CheckConflict returns an error marked ErrOrganisation if, on this host, a token of o
 // belongs to an organisation in force with another name.
-func (t *Table) Clash(o Organisation) error {
+func (t *Table) CheckConflict(o Organisation) error {
 	for _, token := range o.TokenSHA256 {
 		if holder, ok := t.Organisation(token); ok && holder.Name != o.Name {
 			return invalidOrganisation("%s: token %s is already that of organisation %s", o.Name, token.String()[:8], holder.Name)
--- a/configuration/organisation_test.go
+++ b/configuration/organisation_test.go
@@ -269,8 +269,8 @@
 	is, ctx := is.New(t), t.Context()
 	memory, table := store.NewMemory(), NewTable(parseTest)
 	acceptor := NewAcceptor(memory, parseTest)
-	acceptor.Seen = func(object store.Object) { table.Adopt([]store.Object{object}) }
-	acceptor.Clash = table.Clash
+	acceptor.OnObject = func(object store.Object) { table.Adopt([]store.Object{object}) }
+	acceptor.CheckConflict = table.CheckConflict
 	_, err := acceptor.PutOrganisation(ctx, organisationChange("c", 0, organisation("akarsu", "held")))
 	is.NoErr(err)
 	many := organisation("many")
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -82,8 +82,8 @@
 		client: backend.NewClient(o.Network, backend.ClientOptions{Silence: o.BackendSilence}),
 	}
 	h.acceptor = configuration.NewAcceptor(o.Store, acceptanceParser(o.Settings))
-	h.acceptor.Seen = func(object store.Object) { h.table.Adopt([]store.Object{object}) }
-	h.acceptor.Clash = h.organisations().checkConflict
+	h.acceptor.OnObject = func(object store.Object) { h.table.Adopt([]store.Object{object}) }
+	h.acceptor.CheckConflict = h.organisations().checkConflict
 	h.ledger = newLedger(o.Settings)
 	scheduler, err := routing.New(routing.Options{Pool: h.pool, Policy: o.Policy, Host: o.Settings.Host, Share: h.limitShare})
 	if err != nil {
--- a/entryhost/organisations.go
+++ b/entryhost/organisations.go
@@ -43,5 +43,5 @@
 			return errors.Mark(errors.Newf("organisation %s: token %.8s is that of %s in this entry host's settings", proposed.Name, token, holder), configuration.ErrOrganisation)
 		}
 	}
-	return o.table.Clash(proposed)
+	return o.table.CheckConflict(proposed)
 }
