--- a/organisation/limits.go
+++ b/organisation/limits.go
@@ -44,8 +44,8 @@
 	return 0, true
 }
 
-// Leave ends a request that Admit counted as in flight.
-func (l *Limits) Leave(organisation string) { l.usageOf(organisation).inFlight-- }
+// Release ends a request that Admit counted as in flight.
+func (l *Limits) Release(organisation string) { l.usageOf(organisation).inFlight-- }
 
 // Spend deducts tokens from an organisation's balance. The length of a
 // generation is not known in advance, so the balance may become negative. No
--- a/organisation/queue.go
+++ b/organisation/queue.go
@@ -70,10 +70,10 @@
 	org.cost += item.Cost
 }
 
-// Ahead returns the expected number of tokens that are served before a request
+// CostAhead returns the expected number of tokens that are served before a request
 // that an organisation queues now: the cost of its own queue, plus the others'
 // fair shares in the same period, each limited to the cost of its queue.
-func (q *Queue[T]) Ahead(organisation string) float64 {
+func (q *Queue[T]) CostAhead(organisation string) float64 {
 	own := q.org(organisation)
 	weight := q.weight(organisation)
 	ahead := own.cost
--- a/organisation/queue_test.go
+++ b/organisation/queue_test.go
@@ -124,7 +124,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 			if running > 0 && rapid.Bool().Draw(t, "end one") {
 				tokens := rapid.IntRange(0, 500).Draw(t, "tokens")
-				limits.Leave("a")
+				limits.Release("a")
 				limits.Spend("a", tokens)
 				running, spent, largest = running-1, spent+tokens, max(largest, tokens)
 			}
--- a/routing/grant.go
+++ b/routing/grant.go
@@ -67,7 +67,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g.serverLoad.remove(g)
-	s.limits.Leave(g.request.Organisation)
+	s.limits.Release(g.request.Organisation)
 	s.limits.Spend(g.request.Organisation, result.Tokens)
 	s.queue.Charge(g.request.Organisation, g.tokensUsed(result)-g.cost)
 	if g.lengthKnown(result) {
--- a/routing/service.go
+++ b/routing/service.go
@@ -91,14 +91,14 @@
 	}
 	g, refusal := s.place(&request, now)
 	if refusal != nil {
-		s.limits.Leave(request.Organisation)
+		s.limits.Release(request.Organisation)
 		return nil, nil, refusal
 	}
 	if g != nil {
 		return g, nil, nil
 	}
 	if wait, missesDeadline := s.missesDeadline(&request, now); missesDeadline {
-		s.limits.Leave(request.Organisation)
+		s.limits.Release(request.Organisation)
 		return nil, nil, contract.NotRun(contract.ReasonOverloaded, wait, "no backend server will be free before the deadline")
 	}
 	return nil, s.enqueue(request, now), nil
--- a/routing/waiter.go
+++ b/routing/waiter.go
@@ -33,7 +33,7 @@
 	if perSecond <= 0 {
 		return 0, false // the queue's service rate is not known
 	}
-	wait = time.Duration(s.queue.Ahead(request.Organisation) / perSecond * float64(time.Second))
+	wait = time.Duration(s.queue.CostAhead(request.Organisation) / perSecond * float64(time.Second))
 	return max(wait, minRetryAfter), now.Add(time.Duration(waitSafetyFactor * float64(wait))).After(request.Deadline)
 }
 
@@ -92,7 +92,7 @@
 		g.Done(Result{NotRun: true})
 	default:
 		s.mu.Lock()
-		s.limits.Leave(w.request.Organisation)
+		s.limits.Release(w.request.Organisation)
 		s.mu.Unlock()
 	}
 	return nil, countRefusal(refusal)
@@ -134,7 +134,7 @@
 // refuse removes a request from the queue and refuses it. Called with mu held.
 func (s *service) refuse(w *waiter, refusal *contract.Refusal) {
 	s.queue.Remove(&w.item)
-	s.limits.Leave(w.request.Organisation)
+	s.limits.Release(w.request.Organisation)
 	w.refusal = refusal
 	close(w.result)
 }
