--- a/bench/control/fleet.go
+++ b/bench/control/fleet.go
@@ -166,7 +166,7 @@
 }
 
 func (h *host) watches() bool {
-	return domain.Watches(h.node.Members(), h.node.Self().Host)
+	return domain.IsWatcher(h.node.Members(), h.node.Self().Host)
 }
 
 // putDocuments accepts the documents of all services, at several hosts so
--- a/domain/addresses.go
+++ b/domain/addresses.go
@@ -118,9 +118,9 @@
 	return chosen
 }
 
-// Keep returns how long a caller may cache an answer that the host self made
+// AnswerTTL returns how long a caller may cache an answer that the host self made
 // from members.
-func Keep(members []peer.Member, self string) time.Duration {
+func AnswerTTL(members []peer.Member, self string) time.Duration {
 	reachable, unsettled := false, false
 	for _, m := range members {
 		switch m.State {
--- a/domain/domain_test.go
+++ b/domain/domain_test.go
@@ -72,8 +72,8 @@
 	is.Equal(len(answer), 2)
 	is.Equal(answer[0].Host, "b1")
 	is.Equal(answer[1].Host, "a1")
-	is.Equal(Keep(members, "b1"), IsolatedTTL)
-	is.Equal(Keep(members, "a1"), UnsettledTTL)
+	is.Equal(AnswerTTL(members, "b1"), IsolatedTTL)
+	is.Equal(AnswerTTL(members, "a1"), UnsettledTTL)
 }
 
 // Guards against an answer without addresses from a host that is partitioned
@@ -125,8 +125,8 @@
 		}
 	}
 	is.Equal(kept, 9)
-	is.True(!Watches(members, before[0]))
-	is.True(Watches(members, before[1]))
+	is.True(!IsWatcher(members, before[0]))
+	is.True(IsWatcher(members, before[1]))
 }
 
 // Guards against a domain without a watcher, which receives changes late,
@@ -137,6 +137,6 @@
 	for i := range members[1:] {
 		members[i+1].State = peer.StateSuspect
 	}
-	is.True(Watches(members, members[0].Host))
+	is.True(IsWatcher(members, members[0].Host))
 	is.Equal(len(Watchers(members)), MinWatchers)
 }
--- a/domain/near.go
+++ b/domain/near.go
@@ -16,14 +16,14 @@
 	minDomainHosts = 2
 )
 
-// Spread returns the entry hosts from which callers of a failure domain choose
+// UnorderedHosts returns the entry hosts from which callers of a failure domain choose
 // at random: the live hosts of their domain or, with fewer than two of those,
 // the live hosts of all domains. Suspects are returned only if no host is
 // alive: callers ignore the order, so that with ten hosts a tenth of them would
 // wait for each suspect. Leaving hosts are returned only if there are no
 // others: during a rolling restart of all hosts they serve short requests until
 // they end.
-func Spread(members []peer.Member, callerDomain string) []peer.Member {
+func UnorderedHosts(members []peer.Member, callerDomain string) []peer.Member {
 	hosts := inState(members, peer.StateAlive, callerDomain)
 	if len(hosts) < minDomainHosts {
 		hosts = inState(members, peer.StateAlive, "")
--- a/domain/watchduty.go
+++ b/domain/watchduty.go
@@ -18,7 +18,7 @@
 type Fleet interface {
 	Members() []peer.Member
 	Generation() uint64
-	SetStoreAway(away bool)
+	SetStoreUnreachable(away bool)
 }
 
 // WatchDuty decides whether this host watches the platform's store for the
@@ -29,9 +29,9 @@
 	Fleet Fleet
 	// Check makes a cheap call to the store and returns an error if it fails.
 	Check func(ctx context.Context) error
-	// Returned is called when the store answers again after a failed check. It
+	// OnStoreRecovered is called when the store answers again after a failed check. It
 	// must not block.
-	Returned func()
+	OnStoreRecovered func()
 	// Active reports whether this host may watch yet; nil: always.
 	Active func() bool
 	// Interval is the time between checks, Timeout that of one check.
@@ -57,7 +57,7 @@
 	if known := d.cached.Load(); known != nil && known.generation == generation {
 		return known.watches
 	}
-	decision := &watchDecision{generation, Watches(d.Fleet.Members(), d.Host)}
+	decision := &watchDecision{generation, IsWatcher(d.Fleet.Members(), d.Host)}
 	d.cached.Store(decision)
 	return decision.watches
 }
@@ -82,9 +82,9 @@
 		} else {
 			failed = 0
 		}
-		d.Fleet.SetStoreAway(failed >= failedChecksBeforeReport)
+		d.Fleet.SetStoreUnreachable(failed >= failedChecksBeforeReport)
 		if before > 0 && failed == 0 {
-			d.Returned()
+			d.OnStoreRecovered()
 		}
 	}
 	return ctx.Err()
--- a/domain/watchduty_test.go
+++ b/domain/watchduty_test.go
@@ -25,7 +25,7 @@
 
 func (f *oneHost) Generation() uint64 { return f.generation.Load() }
 
-func (f *oneHost) SetStoreAway(unreachable bool) { f.storeUnreachable.Store(unreachable) }
+func (f *oneHost) SetStoreUnreachable(unreachable bool) { f.storeUnreachable.Store(unreachable) }
 
 func TestBriefStoreSlowdownKeepsWatchers(t *testing.T) {
 	// Guards against watchers replaced after one failed check, and against a
@@ -36,7 +36,7 @@
 		var fails atomic.Bool
 		returned := 0
 		duty := &WatchDuty{
-			Host: "a", Fleet: fleet, Interval: time.Second, Timeout: 100 * time.Millisecond, Returned: func() { returned++ },
+			Host: "a", Fleet: fleet, Interval: time.Second, Timeout: 100 * time.Millisecond, OnStoreRecovered: func() { returned++ },
 			Check: func(ctx context.Context) error {
 				if fails.Load() {
 					<-ctx.Done() // no answer
--- a/domain/watchers.go
+++ b/domain/watchers.go
@@ -48,9 +48,9 @@
 	return watchers
 }
 
-// Watches reports whether host is a watcher. A host that is partitioned from
+// IsWatcher reports whether host is a watcher. A host that is partitioned from
 // all others chooses itself for its domain, since it lists no other live host.
-func Watches(members []peer.Member, host string) bool {
+func IsWatcher(members []peer.Member, host string) bool {
 	_, found := slices.BinarySearch(Watchers(members), host)
 	return found
 }
--- a/entryhost/caller.go
+++ b/entryhost/caller.go
@@ -53,7 +53,7 @@
 		from = *payload.FailureDomain
 	}
 	members := h.node.Members()
-	keep := min(domain.Keep(members, h.settings.Host), h.ledger.Epoch())
+	keep := min(domain.AnswerTTL(members, h.settings.Host), h.ledger.Epoch())
 	answer := &caller.Addresses{KeepSeconds: int(keep.Seconds())}
 	epoch := record.EpochAt(time.Now(), h.ledger.Epoch())
 	for _, address := range domain.Addresses(members, h.distances, from, rand.Uint64()) {
--- a/entryhost/watch.go
+++ b/entryhost/watch.go
@@ -24,7 +24,7 @@
 
 func (h *Host) newWatchDuty() *domain.WatchDuty {
 	return &domain.WatchDuty{
-		Host: h.settings.Host, Fleet: h.node, Check: h.checkStore, Returned: func() { h.follower.Relist() },
+		Host: h.settings.Host, Fleet: h.node, Check: h.checkStore, OnStoreRecovered: func() { h.follower.Relist() },
 		Interval: storeCheckInterval, Timeout: storeCheckTimeout,
 	}
 }
--- a/gatewayhost/host.go
+++ b/gatewayhost/host.go
@@ -158,7 +158,7 @@
 	h := &Host{options: o, logger: o.Logger, quarantineDirty: make(chan struct{}, 1)}
 	h.table = replica.New(h.apply)
 	h.watch = &domain.WatchDuty{
-		Host: o.Name, Fleet: h, Check: h.checkStore, Returned: h.relist, Active: func() bool { return !h.booting.Load() },
+		Host: o.Name, Fleet: h, Check: h.checkStore, OnStoreRecovered: h.relist, Active: func() bool { return !h.booting.Load() },
 		Interval: storeCheckInterval, Timeout: storeCheckTimeout,
 	}
 	h.configuration = h.newFollower(o.Objects.Configuration, configurationSpacing)
--- a/gatewayhost/members.go
+++ b/gatewayhost/members.go
@@ -80,9 +80,9 @@
 	return h.rejoins.Load()<<rejoinShift + h.node.Load().Generation()
 }
 
-// SetStoreAway sets whether this host advertises to its peers that it cannot
+// SetStoreUnreachable sets whether this host advertises to its peers that it cannot
 // reach the store.
-func (h *Host) SetStoreAway(away bool) { h.node.Load().SetStoreAway(away) }
+func (h *Host) SetStoreUnreachable(away bool) { h.node.Load().SetStoreUnreachable(away) }
 
 // Call calls f with a gRPC connection to another entry host.
 func (h *Host) Call(host string, f func(grpc.ClientConnInterface) error) error {
@@ -113,7 +113,7 @@
 	if h.gateway.Configuration() == nil {
 		return nil, 0, false
 	}
-	for _, m := range domain.Spread(h.Members(), callerDomain) {
+	for _, m := range domain.UnorderedHosts(h.Members(), callerDomain) {
 		addresses = append(addresses, m.CallerAddress)
 	}
 	return addresses, addressesTTL, true
--- a/peer/large_test.go
+++ b/peer/large_test.go
@@ -105,9 +105,9 @@
 				is.Equal(m.State, StateAlive)
 			}
 		}
-		f.hosts["c2"].SetStoreAway(true)
+		f.hosts["c2"].SetStoreUnreachable(true)
 		expectUnreachable(true)
-		f.hosts["c2"].SetStoreAway(false)
+		f.hosts["c2"].SetStoreUnreachable(false)
 		expectUnreachable(false)
 	})
 }
--- a/peer/node.go
+++ b/peer/node.go
@@ -225,9 +225,9 @@
 	signal(n.notifySignal)
 }
 
-// SetStoreAway announces to the fleet whether the platform's store fails to
+// SetStoreUnreachable announces to the fleet whether the platform's store fails to
 // answer this host.
-func (n *Node) SetStoreAway(unreachable bool) {
+func (n *Node) SetStoreUnreachable(unreachable bool) {
 	if n.table.setStoreUnreachable(unreachable) {
 		signal(n.pushSignal)
 		signal(n.notifySignal)
