--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -173,7 +173,7 @@
 			Host: s.Host, Incarnation: h.ledger.Home().Incarnation, FailureDomain: s.FailureDomain,
 			PeerAddress: s.PeerAddress, CallerAddress: scheme + s.CallerAddress,
 		},
-		Network: h.options.Network, Seeds: s.Peers, Configuration: peerTable{h.table}, Handler: handler, Suspects: h.quarantine,
+		Network: h.options.Network, Seeds: s.Peers, Configuration: peerTable{h.table}, Handler: handler, Quarantine: h.quarantine,
 		Logger: h.logger, Registerer: h.options.Registry, ProbeInterval: h.options.ProbeInterval,
 		Scope: peer.Scope{Near: h.distances.Near(s.FailureDomain, s.FailureDomains(), regionRadius)},
 	})
--- a/gatewayhost/members.go
+++ b/gatewayhost/members.go
@@ -42,7 +42,7 @@
 			Host: o.Name, Incarnation: incarnation, FailureDomain: o.Domain, PeerAddress: o.PeerAddress, CallerAddress: o.CallerAddress,
 			Capacity: o.Capacity,
 		},
-		Network: o.Network, Seeds: o.Seeds, Configuration: gossipedTable{h.table}, Handler: noForwarding{}, Suspects: h.quarantine,
+		Network: o.Network, Seeds: o.Seeds, Configuration: gossipedTable{h.table}, Handler: noForwarding{}, Quarantine: h.quarantine,
 		Logger:     o.Logger,
 		Register:   func(registrar grpc.ServiceRegistrar) { allocation.Register(registrar, h.allocator) },
 		Registerer: registerer, ProbeInterval: probeInterval, SuspicionTimeout: suspicionTimeout,
--- a/peer/options.go
+++ b/peer/options.go
@@ -52,8 +52,8 @@
 // Quarantine is the set of requests that crash backend servers, as needed to
 // synchronise it between peers. *quarantine.Table implements it.
 type Quarantine interface {
-	// News returns the records to include in the next gossip message.
-	News() []quarantine.Record
+	// GossipRecords returns the records to include in the next gossip message.
+	GossipRecords() []quarantine.Record
 	// All returns all quarantined requests, for a host that joins.
 	All() []quarantine.Record
 	// Merge merges records received from another host and reports whether any
@@ -79,7 +79,7 @@
 	Seeds         []string // peer addresses contacted on joining
 	Configuration ConfigurationTable
 	Handler       Handler
-	Suspects      Quarantine // nil: quarantine records are not exchanged
+	Quarantine    Quarantine // nil: quarantine records are not exchanged
 	// Register adds services to the gRPC server for peers; nil: none.
 	Register   func(grpc.ServiceRegistrar)
 	Logger     *zap.Logger
@@ -106,8 +106,8 @@
 	defaults.Set(&o.IdleTimeout, DefaultIdleTimeout)
 	defaults.Set(&o.Self.Incarnation, uint64(time.Now().UnixMilli()))
 	defaults.Set(&o.Seed, hashStrings(o.Self.Host)^o.Self.Incarnation)
-	if o.Suspects == nil {
-		o.Suspects = noQuarantine{}
+	if o.Quarantine == nil {
+		o.Quarantine = noQuarantine{}
 	}
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
--- a/peer/server.go
+++ b/peer/server.go
@@ -78,7 +78,7 @@
 		From:     n.table.localMember().toProto(),
 		Members:  membersToProto(n.missingMembers(request.GetHave())),
 		Leaving:  leavingToProto(n.leaving.list(time.Now())),
-		Suspects: quarantineToProto(n.options.Suspects.All()),
+		Suspects: quarantineToProto(n.options.Quarantine.All()),
 	}, nil
 }
 
@@ -119,7 +119,7 @@
 		ConfigurationDigest:  n.options.Configuration.Digest(),
 		Leaving:              n.leaving.pickUpdates(),
 		MembershipDigest:     digest,
-		Suspects:             quarantineToProto(n.options.Suspects.News()),
+		Suspects:             quarantineToProto(n.options.Quarantine.GossipRecords()),
 	}
 }
 
--- a/peer/spread.go
+++ b/peer/spread.go
@@ -281,7 +281,7 @@
 	_, hashes := n.table.all()
 	request := &peerpb.SyncRequest{
 		From: n.table.localMember().toProto(), Have: hashes, Leaving: leavingToProto(n.leaving.list(time.Now())),
-		Suspects: quarantineToProto(n.options.Suspects.All()),
+		Suspects: quarantineToProto(n.options.Quarantine.All()),
 	}
 	var response *peerpb.SyncResponse
 	err := n.control.call(address, func(client peerpb.PeerClient) (err error) {
--- a/peer/suspects.go
+++ b/peer/suspects.go
@@ -13,7 +13,7 @@
 // mergeQuarantine merges records of requests that crash backend servers, and
 // starts an early round of gossip if any of them was new.
 func (n *Node) mergeQuarantine(list []*peerpb.Suspect) {
-	if len(list) > 0 && n.options.Suspects.Merge(quarantineFromProto(list), quarantineSource) {
+	if len(list) > 0 && n.options.Quarantine.Merge(quarantineFromProto(list), quarantineSource) {
 		signal(n.pushSignal)
 	}
 }
@@ -39,6 +39,6 @@
 // noQuarantine is the empty set, for hosts that do not track such requests.
 type noQuarantine struct{}
 
-func (noQuarantine) News() []quarantine.Record              { return nil }
+func (noQuarantine) GossipRecords() []quarantine.Record     { return nil }
 func (noQuarantine) All() []quarantine.Record               { return nil }
 func (noQuarantine) Merge([]quarantine.Record, string) bool { return false }
--- a/peer/suspects_test.go
+++ b/peer/suspects_test.go
@@ -20,7 +20,7 @@
 	known := quarantine.NewTable(zap.NewNop(), prometheus.NewRegistry())
 	known.Merge([]quarantine.Record{{Fingerprint: 7, Crashes: 2, Remaining: time.Minute}}, "test")
 	n := New(Options{
-		Self: Member{Host: "a"}, Network: network.New(network.Options{}).Host("10.0.0.1"), Configuration: newTableFake(), Handler: &handlerFake{}, Suspects: known,
+		Self: Member{Host: "a"}, Network: network.New(network.Options{}).Host("10.0.0.1"), Configuration: newTableFake(), Handler: &handlerFake{}, Quarantine: known,
 	})
 	sent := quarantineToProto([]quarantine.Record{{Fingerprint: 8, Crashes: 3, Remaining: time.Hour}})
 	response, err := (&service{node: n}).Sync(t.Context(), &peerpb.SyncRequest{From: Member{Host: "b"}.toProto(), Suspects: sent})
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -20,8 +20,8 @@
 	repeatsPerMessage = 2
 )
 
-// News returns the records for one gossip message to another host.
-func (t *Table) News() []Record {
+// GossipRecords returns the records for one gossip message to another host.
+func (t *Table) GossipRecords() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -62,10 +62,10 @@
 	inBubble(t, func(is *is.I) {
 		table, other := newTable(), newTable()
 		table.crash()
-		other.Merge(table.News(), "peer")
+		other.Merge(table.GossipRecords(), "peer")
 		sent := table.Mark(suspect)
 		table.ReportCompleted(suspect)
-		is.True(other.Merge(table.News(), "peer"))
+		is.True(other.Merge(table.GossipRecords(), "peer"))
 		other.crash()
 		is.Equal(other.Quarantined(suspect), time.Duration(0))
 		// This run was sent before the other one completed.
@@ -82,13 +82,13 @@
 		table.QuarantineChanged = func() { kept++ }
 		table.crash()
 		table.crash()
-		late.Merge(table.News(), "peer")
+		late.Merge(table.GossipRecords(), "peer")
 		table.ReportCompleted(suspect)
 		is.Equal(kept, 2) // the stored requests must be rewritten, too
-		for len(table.News()) > 0 {
+		for len(table.GossipRecords()) > 0 {
 		}
-		is.True(!table.Merge(late.News(), "peer"))
-		is.True(late.Merge(table.News(), "peer"))
+		is.True(!table.Merge(late.GossipRecords(), "peer"))
+		is.True(late.Merge(table.GossipRecords(), "peer"))
 		is.Equal(late.Quarantined(suspect), time.Duration(0))
 	})
 }
@@ -139,9 +139,9 @@
 	inBubble(t, func(is *is.I) {
 		table := newTable()
 		table.ReportCrash(run(suspect, table.Mark(suspect), false))
-		is.Equal(len(table.News()), 0)
+		is.Equal(len(table.GossipRecords()), 0)
 		table.ReportCrash(run(suspect, table.Mark(suspect), false))
-		is.Equal(len(table.News()), 1)
+		is.Equal(len(table.GossipRecords()), 1)
 	})
 }
 
@@ -153,9 +153,9 @@
 		table.crash()
 		table.crash()
 		for range retransmits {
-			is.Equal(len(table.News()), 1)
+			is.Equal(len(table.GossipRecords()), 1)
 		}
-		is.True(late.Merge(table.News(), "peer"))
+		is.True(late.Merge(table.GossipRecords(), "peer"))
 		is.True(late.Quarantined(suspect) > 0)
 		is.Equal(len(table.All()), 1)
 	})
@@ -171,7 +171,7 @@
 		table.crash()
 		table.crash()
 		for range retransmits {
-			is.Equal(table.News()[0].Fingerprint, uint64(suspect))
+			is.Equal(table.GossipRecords()[0].Fingerprint, uint64(suspect))
 		}
 	})
 }
@@ -184,7 +184,7 @@
 			table.ReportCrash(run(uint64(i), Mark{}, true))
 		}
 		is.Equal(len(table.requests), maxRequests)
-		is.Equal(len(table.News()), maxChangedRecords)
+		is.Equal(len(table.GossipRecords()), maxChangedRecords)
 	})
 }
 
