--- a/link/pool.go
+++ b/link/pool.go
@@ -14,9 +14,9 @@
 // Endpoint identifies the remote process of a connection.
 type Endpoint struct {
 	Address string // IP:port
-	// Life distinguishes successive processes (incarnations) at the address;
+	// Incarnation distinguishes successive processes (incarnations) at the address;
 	// zero: unknown.
-	Life int64
+	Incarnation int64
 }
 
 // Conn is a connection for sequential exchanges of request and response.
@@ -48,9 +48,9 @@
 // or use that response as its own. Idle connections are therefore read
 // continuously, and closed at the first byte or end.
 type Pool struct {
-	// Broke is called when the remote end closes or resets an idle connection
+	// OnIdleBroken is called when the remote end closes or resets an idle connection
 	// before its idle time ends; nil: not reported. It must not block.
-	Broke func(to Endpoint)
+	OnIdleBroken func(to Endpoint)
 
 	network     Network
 	dialTimeout time.Duration // for opening a connection
@@ -153,8 +153,8 @@
 		return
 	}
 	p.remove(conn)
-	if err != nil && !errors.Is(err, net.ErrClosed) && p.Broke != nil {
-		p.Broke(conn.to)
+	if err != nil && !errors.Is(err, net.ErrClosed) && p.OnIdleBroken != nil {
+		p.OnIdleBroken(conn.to)
 	}
 }
 
--- a/link/quick.go
+++ b/link/quick.go
@@ -12,9 +12,9 @@
 // others after a power failure has no configuration for that long.
 const openTimeout = 300 * time.Millisecond
 
-// Quick returns a TCP network whose connections break when the remote end has
+// NewTCP returns a TCP network whose connections break when the remote end has
 // been silent for the given time, with or without unacknowledged data.
-func Quick(silence time.Duration) TCP {
+func NewTCP(silence time.Duration) TCP {
 	const probes = 3
 	keepAlive := net.KeepAliveConfig{Enable: true, Idle: silence / probes, Interval: max(time.Second, silence/probes), Count: probes - 1}
 	return TCP{
