--- a/entryhost/caller.go
+++ b/entryhost/caller.go
@@ -53,9 +53,9 @@
 		from = *payload.FailureDomain
 	}
 	members := h.node.Members()
-	keep := min(domain.AnswerTTL(members, h.settings.Host), h.ledger.Epoch())
+	keep := min(domain.AnswerTTL(members, h.settings.Host), h.ledger.EpochLength())
 	answer := &caller.Addresses{KeepSeconds: int(keep.Seconds())}
-	epoch := record.EpochAt(time.Now(), h.ledger.Epoch())
+	epoch := record.EpochAt(time.Now(), h.ledger.EpochLength())
 	for _, address := range domain.Addresses(members, h.distances, from, rand.Uint64()) {
 		home := record.Home{Host: address.Host, Incarnation: address.Incarnation, Epoch: epoch}
 		answer.Addresses = append(answer.Addresses, &caller.Address{
--- a/entryhost/homes.go
+++ b/entryhost/homes.go
@@ -48,7 +48,7 @@
 
 // Run implements relay.Homes.
 func (h *homes) Run(ctx context.Context, key record.Key, request *peerpb.ForwardRequest) record.Answer {
-	if h.ledger.Holds(key.Home) {
+	if h.ledger.AnswersFor(key.Home) {
 		return h.local.RunOnce(ctx, key, request)
 	}
 	members := h.peers.Members()
@@ -107,7 +107,7 @@
 // incarnation that has ended. Successors are selected in the same order in which
 // they are queried here, so a few queries find the holder without a directory.
 func (h *homes) queryHolders(ctx context.Context, members []peer.Member, key record.Key, request *peerpb.ForwardRequest) record.Answer {
-	holders := ranked(members, h.self, key.Home.Life(), mayHold)
+	holders := ranked(members, h.self, key.Home.IncarnationID(), mayHold)
 	var failed error
 	for _, holder := range holders[:min(len(holders), maxHolders)] {
 		answer, err := h.query(ctx, holder.Host, request)
@@ -196,7 +196,7 @@
 	if err != nil {
 		return record.Answer{Refusal: contract.NotRun(contract.ReasonKeyInvalid, 0, err.Error()).WithStatus(400)}
 	}
-	if !h.ledger.Holds(key.Home) {
+	if !h.ledger.AnswersFor(key.Home) {
 		return record.Answer{Refusal: contract.Unknown(contract.ReasonNotHolder, 0, "")}
 	}
 	return h.local.RunOnce(ctx, key, request)
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -128,7 +128,7 @@
 func newLedger(s *settings.Settings) *record.Ledger {
 	epoch := s.Limits.KeepAddresses
 	return record.NewLedger(record.Options{
-		Host: s.Host, Incarnation: uint64(time.Now().UnixMicro()), Epoch: epoch,
+		Host: s.Host, Incarnation: uint64(time.Now().UnixMicro()), EpochLength: epoch,
 		RetainEpochs: uint64(s.Limits.RecordAge/epoch) + 1, MaxBytes: s.Limits.RecordBytes, MaxRecords: s.Limits.Records,
 	})
 }
--- a/record/handover.go
+++ b/record/handover.go
@@ -23,11 +23,11 @@
 	defer l.mu.Unlock()
 	byIncarnation := make(map[string][]*Entry)
 	for _, entry := range l.entries {
-		incarnationID := entry.key.Home.Life()
+		incarnationID := entry.key.Home.IncarnationID()
 		byIncarnation[incarnationID] = append(byIncarnation[incarnationID], entry)
 	}
 	own := l.Home()
-	pages := map[string][]*peerpb.HandOverRequest{own.Life(): pagesOf(own, byIncarnation[own.Life()], true)}
+	pages := map[string][]*peerpb.HandOverRequest{own.IncarnationID(): pagesOf(own, byIncarnation[own.IncarnationID()], true)}
 	for incarnationID, adopted := range l.adoptions {
 		pages[incarnationID] = pagesOf(adopted.home, byIncarnation[incarnationID], adopted.complete)
 	}
@@ -85,12 +85,12 @@
 	if l.closed {
 		return ErrClosed
 	}
-	adopted := l.adoptions[home.Life()]
+	adopted := l.adoptions[home.IncarnationID()]
 	if adopted == nil {
 		adopted = &adoption{home: home}
-		l.adoptions[home.Life()] = adopted
+		l.adoptions[home.IncarnationID()] = adopted
 	}
-	adopted.expires = time.Now().Add(l.options.Epoch * time.Duration(l.options.RetainEpochs))
+	adopted.expires = time.Now().Add(l.options.EpochLength * time.Duration(l.options.RetainEpochs))
 	for _, record := range page.GetRecords() {
 		l.adoptRecord(adopted, record)
 	}
--- a/record/home.go
+++ b/record/home.go
@@ -31,12 +31,12 @@
 
 // String formats the home as HOST.INCARNATION.EPOCH, with numbers in base 36.
 func (h Home) String() string {
-	return h.Life() + "." + strconv.FormatUint(h.Epoch, numberBase)
+	return h.IncarnationID() + "." + strconv.FormatUint(h.Epoch, numberBase)
 }
 
-// Life formats the host and its incarnation as HOST.INCARNATION, without the
+// IncarnationID formats the host and its incarnation as HOST.INCARNATION, without the
 // epoch.
-func (h Home) Life() string {
+func (h Home) IncarnationID() string {
 	return h.Host + "." + strconv.FormatUint(h.Incarnation, numberBase)
 }
 
--- a/record/ledger.go
+++ b/record/ledger.go
@@ -25,10 +25,10 @@
 type Options struct {
 	Host        string
 	Incarnation uint64
-	// Epoch is the length of an epoch, during which a home returned with the
+	// EpochLength is the length of an epoch, during which a home returned with the
 	// addresses stays current. A key may start a request during the epoch of its
 	// home and the following one.
-	Epoch time.Duration
+	EpochLength time.Duration
 	// RetainEpochs is the number of epochs for which a record is kept after the
 	// last moment at which its key could start a request.
 	RetainEpochs uint64
@@ -86,8 +86,8 @@
 
 // NewLedger returns an empty ledger.
 func NewLedger(options Options) *Ledger {
-	if options.Epoch <= 0 {
-		options.Epoch = DefaultEpoch
+	if options.EpochLength <= 0 {
+		options.EpochLength = DefaultEpoch
 	}
 	if options.RetainEpochs == 0 {
 		options.RetainEpochs = DefaultRetainEpochs
@@ -99,7 +99,7 @@
 	return &Ledger{
 		options:        options,
 		start:          start,
-		oldestEpoch:    EpochAt(start, options.Epoch) - 1,
+		oldestEpoch:    EpochAt(start, options.EpochLength) - 1,
 		entries:        make(map[recordKey]*Entry),
 		adoptions:      make(map[string]*adoption),
 		entriesByEpoch: make(map[uint64][]*Entry),
@@ -112,13 +112,15 @@
 	return Home{Host: l.options.Host, Incarnation: l.options.Incarnation, Epoch: l.epoch()}
 }
 
-// Epoch returns the length of an epoch.
-func (l *Ledger) Epoch() time.Duration { return l.options.Epoch }
+// EpochLength returns the length of an epoch.
+func (l *Ledger) EpochLength() time.Duration { return l.options.EpochLength }
 
 // epoch returns the current epoch. It starts from the wall clock, so that other
 // entry hosts can compute it, and advances by the monotonic clock: a wall clock
 // that is set back must not return to an epoch whose records were evicted.
-func (l *Ledger) epoch() uint64 { return EpochAt(l.start.Add(time.Since(l.start)), l.options.Epoch) }
+func (l *Ledger) epoch() uint64 {
+	return EpochAt(l.start.Add(time.Since(l.start)), l.options.EpochLength)
+}
 
 // EpochAt returns the number of the epoch at now for epochs of the given length.
 // It relies on a correct wall clock.
@@ -126,15 +128,15 @@
 	return uint64(now.UnixNano() / int64(length))
 }
 
-// Holds reports whether this ledger answers for keys of the home: keys of its own
+// AnswersFor reports whether this ledger answers for keys of the home: keys of its own
 // incarnation or of an adopted one.
-func (l *Ledger) Holds(home Home) bool {
+func (l *Ledger) AnswersFor(home Home) bool {
 	if home.SameIncarnation(l.Home()) {
 		return true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.adoptions[home.Life()] != nil
+	return l.adoptions[home.IncarnationID()] != nil
 }
 
 // NeverRan reports whether it is certain that the request of a key did not run:
@@ -201,7 +203,7 @@
 // refuseAdopted returns the refusal of a key of another incarnation that has no
 // record here. Callers hold mu.
 func (l *Ledger) refuseAdopted(key Key) *contract.Refusal {
-	adopted := l.adoptions[key.Home.Life()]
+	adopted := l.adoptions[key.Home.IncarnationID()]
 	if adopted == nil || !adopted.complete || key.Home.Epoch+1 < adopted.home.Epoch {
 		return contract.Unknown(contract.ReasonHomeGone, 0, "the entry host that could tell is gone").WithStatus(410)
 	}
@@ -213,7 +215,7 @@
 
 func (l *Ledger) untilNextEpoch() time.Duration {
 	now := l.start.Add(time.Since(l.start))
-	return l.options.Epoch - time.Duration(now.UnixNano()%int64(l.options.Epoch))
+	return l.options.EpochLength - time.Duration(now.UnixNano()%int64(l.options.EpochLength))
 }
 
 // evict drops the records of epochs past retention and of expired hand-overs. If
--- a/record/ledger_test.go
+++ b/record/ledger_test.go
@@ -12,7 +12,7 @@
 )
 
 func newTestLedger(host string) *Ledger {
-	return NewLedger(Options{Host: host, Incarnation: 7, Epoch: time.Minute, RetainEpochs: 2})
+	return NewLedger(Options{Host: host, Incarnation: 7, EpochLength: time.Minute, RetainEpochs: 2})
 }
 
 func begin(l *Ledger, key string, body byte) (*Entry, bool, *contract.Refusal) {
@@ -95,7 +95,7 @@
 	_, _, refusal := begin(l, home+".ack-3", 1)
 	is.Equal(refusal.Reason, contract.ReasonHostLeaving)
 
-	for _, page := range l.Pages()[l.Home().Life()] {
+	for _, page := range l.Pages()[l.Home().IncarnationID()] {
 		is.NoErr(successor.Adopt(page))
 	}
 	repeat, first, refusal := begin(successor, home+".ack-1", 1)
@@ -120,7 +120,7 @@
 	is := is.New(t)
 	l, successor := newTestLedger("h1"), newTestLedger("h2")
 	l.Close()
-	page := l.Pages()[l.Home().Life()][0]
+	page := l.Pages()[l.Home().IncarnationID()][0]
 	page.Last = false
 	is.NoErr(successor.Adopt(page))
 	_, _, refusal := begin(successor, l.Home().String()+".ack-1", 1)
@@ -151,7 +151,7 @@
 	l, successor := newTestLedger("h1"), newTestLedger("h2")
 	l.Close()
 	successor.Close()
-	is.Equal(successor.Adopt(l.Pages()[l.Home().Life()][0]), ErrClosed)
+	is.Equal(successor.Adopt(l.Pages()[l.Home().IncarnationID()][0]), ErrClosed)
 }
 
 func FuzzParseKey(f *testing.F) {
