--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -100,7 +100,7 @@
 	homes := &homes{self: o.Settings.Host, ledger: h.ledger, local: h.relay}
 	h.node = h.newNode(homes)
 	homes.peers = h.node
-	h.relay.SetHomes(homes)
+	h.relay.SetHomeRouter(homes)
 	h.watchDuty = h.newWatchDuty()
 	h.hostList = newHostList(o.Store, h.pool, h.watchDuty.Watches)
 	h.orderDuty = h.newOrderDuty()
@@ -154,9 +154,9 @@
 		Signer: h.signer(), Ledger: h.ledger, Quarantine: h.quarantine, Metrics: relay.NewMetrics(h.options.Registry),
 		MaxBodyBytes: int64(limits.BodyBytes), WriteTimeout: limits.WriteDeadline, KeepAlive: limits.KeepAlive,
 		Accepting: func() bool { return !h.refusing.Load() }, Closing: h.closing.Load,
-		OnLoad:    func(address string, report backend.LoadReport) { h.pool.StreamReport(address, report, time.Now()) },
-		OnBackend: h.observeBackend,
-		Starting:  func() bool { return !h.table.Complete() },
+		OnLoadReport: func(address string, report backend.LoadReport) { h.pool.StreamReport(address, report, time.Now()) },
+		OnBackend:    h.observeBackend,
+		Starting:     func() bool { return !h.table.Complete() },
 	})
 }
 
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -46,9 +46,9 @@
 	Authenticate(token, service string) (organisation string, allowed bool)
 }
 
-// Homes runs a non-idempotent request at its home, which is this or another
+// HomeRouter runs a non-idempotent request at its home, which is this or another
 // entry host, and returns the answer.
-type Homes interface {
+type HomeRouter interface {
 	Run(ctx context.Context, key record.Key, request *peerpb.ForwardRequest) record.Answer
 }
 
@@ -72,8 +72,8 @@
 	// Closing reports whether this entry host has handed over its records. It
 	// can then no longer determine the outcome of an earlier request.
 	Closing func() bool
-	// OnLoad is called with each load report received in a stream.
-	OnLoad func(address string, report backend.LoadReport)
+	// OnLoadReport is called with each load report received in a stream.
+	OnLoadReport func(address string, report backend.LoadReport)
 	// OnBackend is called after each exchange with a backend server; err is
 	// nil after a success.
 	OnBackend func(address string, err error)
@@ -89,7 +89,7 @@
 // calls.
 type Relay struct {
 	Options
-	homes      Homes
+	homes      HomeRouter
 	evaluators evaluators
 }
 
@@ -116,8 +116,8 @@
 	if options.Starting == nil {
 		options.Starting = func() bool { return false }
 	}
-	if options.OnLoad == nil {
-		options.OnLoad = func(string, backend.LoadReport) {}
+	if options.OnLoadReport == nil {
+		options.OnLoadReport = func(string, backend.LoadReport) {}
 	}
 	if options.OnBackend == nil {
 		options.OnBackend = func(string, error) {}
@@ -125,8 +125,8 @@
 	return &Relay{Options: options}
 }
 
-// SetHomes sets the runner of non-idempotent requests.
-func (r *Relay) SetHomes(homes Homes) { r.homes = homes }
+// SetHomeRouter sets the runner of non-idempotent requests.
+func (r *Relay) SetHomeRouter(homes HomeRouter) { r.homes = homes }
 
 // authenticate authenticates a request and returns its organisation and the
 // document of its service.
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -40,7 +40,7 @@
 // newStream returns an unconnected stream of a generation that starts at an
 // offset.
 func (r *Relay) newStream(document *contract.Document, ref GenerationRef, next int) *stream {
-	return &stream{backend: r.Backend, ref: ref, nextOffset: next, lastChunk: time.Now(), stallLimit: r.StallLimit, silenceLimit: document.Deadlines.Gap, firstTokenLimit: document.Deadlines.FirstToken, onLoad: r.OnLoad}
+	return &stream{backend: r.Backend, ref: ref, nextOffset: next, lastChunk: time.Now(), stallLimit: r.StallLimit, silenceLimit: document.Deadlines.Gap, firstTokenLimit: document.Deadlines.FirstToken, onLoad: r.OnLoadReport}
 }
 
 // firstTokenTimeout returns a channel that fires when the first token is overdue.
