--- a/backend/client.go
+++ b/backend/client.go
@@ -28,9 +28,9 @@
 // ClientOptions sets the timeouts and size limits of a Client. Zero values
 // take the defaults noted on each field.
 type ClientOptions struct {
-	Silence        time.Duration // maximum time without a byte on a stream: 5 s
-	DialTimeout    time.Duration // maximum time to establish a connection: 1 s
-	ControlTimeout time.Duration // total time of Cancel, Load, CacheEvents, Order and State: 2 s
+	StreamReadTimeout time.Duration // maximum time without a byte on a stream: 5 s
+	DialTimeout       time.Duration // maximum time to establish a connection: 1 s
+	ControlTimeout    time.Duration // total time of Cancel, Load, CacheEvents, Order and State: 2 s
 	// IdleTimeout is how long a connection may stay idle and still be reused:
 	// 2 s. It is short, since an idle connection can stop delivering data
 	// without being closed.
@@ -42,7 +42,7 @@
 }
 
 func (o ClientOptions) withDefaults() ClientOptions {
-	defaults.Set(&o.Silence, defaultSilence)
+	defaults.Set(&o.StreamReadTimeout, defaultSilence)
 	defaults.Set(&o.DialTimeout, defaultDialTimeout)
 	defaults.Set(&o.ControlTimeout, defaultControlTimeout)
 	defaults.Set(&o.IdleTimeout, defaultIdleTimeout)
@@ -74,10 +74,10 @@
 // Close closes the idle connections. Calls in flight continue.
 func (c *Client) Close() { c.idle.closeAll() }
 
-// Ended reports whether a connection to a server's address is refused because
+// RefusesConnection reports whether a connection to a server's address is refused because
 // nothing listens there, as after a crash. It returns false for a server that
 // is unreachable, since that server may still be running.
-func (c *Client) Ended(ctx context.Context, address string) bool {
+func (c *Client) RefusesConnection(ctx context.Context, address string) bool {
 	return link.Refused(c.dialer.dial(ctx, address))
 }
 
--- a/backend/clientstall_test.go
+++ b/backend/clientstall_test.go
@@ -29,7 +29,7 @@
 				accepted <- conn
 			}
 		}()
-		client := backend.NewClient(fabric.Host("10.0.0.1"), backend.ClientOptions{Silence: 2 * time.Second})
+		client := backend.NewClient(fabric.Host("10.0.0.1"), backend.ClientOptions{StreamReadTimeout: 2 * time.Second})
 		began := time.Now()
 		_, err = client.Start(context.Background(), "10.0.1.1:9000", backend.CompletionRequest{Prompt: strings.Repeat("x", 1<<20)})
 		var call *backend.CallError
--- a/backend/clientstream.go
+++ b/backend/clientstream.go
@@ -40,7 +40,7 @@
 
 // stream makes a call whose response is a completion stream.
 func (c *Client) stream(ctx context.Context, address string, call outgoingRequest, generation string, from int) (*Stream, error) {
-	x, err := c.startExchange(ctx, address, call, c.options.Silence)
+	x, err := c.startExchange(ctx, address, call, c.options.StreamReadTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -56,7 +56,7 @@
 		x.abandon()
 		return nil, &CallError{Evidence: Mismatch, Status: status, Err: errContentType}
 	}
-	s := &Stream{client: c, ctx: ctx, exchange: x, generation: generation, nextIndex: from, readTimeout: c.options.Silence}
+	s := &Stream{client: c, ctx: ctx, exchange: x, generation: generation, nextIndex: from, readTimeout: c.options.StreamReadTimeout}
 	s.events.limit = c.options.MaxEventBytes
 	s.events.reader = bufio.NewReader(x.response.Body)
 	return s, nil
@@ -78,9 +78,9 @@
 	return chunk, nil
 }
 
-// SetSilence overrides ClientOptions.Silence for this stream. It must be
+// SetReadTimeout overrides ClientOptions.Silence for this stream. It must be
 // called before Next.
-func (s *Stream) SetSilence(d time.Duration) { s.readTimeout = d }
+func (s *Stream) SetReadTimeout(d time.Duration) { s.readTimeout = d }
 
 // Close closes the stream's connection unless the stream has ended. The
 // generation continues until the engine ends it for lack of a reader or
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -288,10 +288,10 @@
 	p.notifyListeners()
 }
 
-// Failed records a failure of the server at address. A refused connection
+// RecordFailure records a failure of the server at address. A refused connection
 // makes it unreachable at once. EjectAfter consecutive failures of other kinds
 // eject it, unless that would exceed MaxEjectedShare of a service's servers.
-func (p *Pool) Failed(address string, kind FailureKind) {
+func (p *Pool) RecordFailure(address string, kind FailureKind) {
 	failuresTotal.WithLabelValues(string(kind)).Inc()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -339,8 +339,8 @@
 	return true
 }
 
-// Succeeded records a successful exchange with the server at address.
-func (p *Pool) Succeeded(address string) {
+// RecordSuccess records a successful exchange with the server at address.
+func (p *Pool) RecordSuccess(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	server := p.servers[address]
--- a/backend/pool_poller.go
+++ b/backend/pool_poller.go
@@ -12,9 +12,9 @@
 // LoadSource requests the load report of the backend server at address.
 type LoadSource func(ctx context.Context, address string) (LoadReport, error)
 
-// FollowedServers is the maximum number of servers per service that a host
+// DefaultMaxPolledServers is the maximum number of servers per service that a host
 // polls. It has an effect in services with more servers, such as 600 workers.
-const FollowedServers = 32
+const DefaultMaxPolledServers = 32
 
 const (
 	pollBytes          = 512      // of one poll: request and response
@@ -48,10 +48,10 @@
 	Every   time.Duration
 	Timeout time.Duration // of one poll. Default 1 s.
 	Workers int           // concurrent polls. Default 8.
-	// Followed is the maximum number of servers polled per service. Default
+	// MaxPolledServers is the maximum number of servers polled per service. Default
 	// FollowedServers.
-	Followed int
-	Seed     uint64 // of the jitter and the order in a round
+	MaxPolledServers int
+	Seed             uint64 // of the jitter and the order in a round
 }
 
 func (o PollerOptions) withDefaults() PollerOptions {
@@ -67,8 +67,8 @@
 	if o.Workers <= 0 {
 		o.Workers = defaultPollWorkers
 	}
-	if o.Followed <= 0 {
-		o.Followed = FollowedServers
+	if o.MaxPolledServers <= 0 {
+		o.MaxPolledServers = DefaultMaxPolledServers
 	}
 	return o
 }
@@ -136,7 +136,7 @@
 		if snapshot == nil {
 			continue
 		}
-		for _, i := range Subset(p.options.Host, snapshot.Servers, p.options.Followed) {
+		for _, i := range Subset(p.options.Host, snapshot.Servers, p.options.MaxPolledServers) {
 			address := snapshot.Servers[i].Address
 			if !seen[address] {
 				seen[address] = true
--- a/backend/pool_snapshot.go
+++ b/backend/pool_snapshot.go
@@ -24,8 +24,8 @@
 	Document *contract.Document
 	// Servers are in the document's order.
 	Servers []*Server
-	// Layout increases when the list of servers changes, not with their state.
-	Layout uint64
+	// ServerListVersion increases when the list of servers changes, not with their state.
+	ServerListVersion uint64
 	// SlowStart is the duration of a slow start.
 	SlowStart time.Duration
 
@@ -75,10 +75,10 @@
 // buildSnapshot creates a snapshot from the table. The caller holds mu.
 func (p *Pool) buildSnapshot(service *poolService, now time.Time) *Snapshot {
 	snapshot := &Snapshot{
-		Document:  service.document,
-		Servers:   make([]*Server, len(service.members)),
-		Layout:    service.layout,
-		SlowStart: p.options.SlowStart,
+		Document:          service.document,
+		Servers:           make([]*Server, len(service.members)),
+		ServerListVersion: service.layout,
+		SlowStart:         p.options.SlowStart,
 	}
 	for i, member := range service.members {
 		state, until := member.state(now)
--- a/backend/pool_test.go
+++ b/backend/pool_test.go
@@ -74,7 +74,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		pool := poolOf(2)
-		pool.Failed("10.0.0.0:80", FailureRefusedConnection)
+		pool.RecordFailure("10.0.0.0:80", FailureRefusedConnection)
 		is.Equal(stateOf(pool, 0), StateUnreachable)
 		time.Sleep(time.Second)
 		snapshot := pool.Snapshot("letters")
@@ -93,7 +93,7 @@
 		n := rapid.IntRange(1, 12).Draw(t, "servers")
 		pool := poolOf(n)
 		for _, i := range rapid.SliceOfN(rapid.IntRange(0, n-1), 0, 80).Draw(t, "failures") {
-			pool.Failed(fmt.Sprintf("10.0.0.%d:80", i), FailureReset)
+			pool.RecordFailure(fmt.Sprintf("10.0.0.%d:80", i), FailureReset)
 		}
 		ejected := 0
 		for _, server := range pool.Snapshot("letters").Servers {
@@ -112,7 +112,7 @@
 	servers := poolOf(600).Snapshot("letters").Servers
 	followers := make([]int, len(servers))
 	for host := range 390 {
-		for _, i := range Subset(fmt.Sprintf("host%d", host), servers, FollowedServers) {
+		for _, i := range Subset(fmt.Sprintf("host%d", host), servers, DefaultMaxPolledServers) {
 			followers[i]++
 		}
 	}
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -79,7 +79,7 @@
 		options: o, settings: o.Settings, tokens: o.Settings.Tokens(), logger: o.Logger,
 		table: configuration.NewTable(contract.ParseDocument), distances: distancesOf(o.Settings),
 		pool: backend.NewPool(backend.PoolOptions{Logger: o.Logger}), inFlight: newInFlightCounter(), stopped: make(chan struct{}),
-		client: backend.NewClient(o.Network, backend.ClientOptions{Silence: o.BackendSilence}),
+		client: backend.NewClient(o.Network, backend.ClientOptions{StreamReadTimeout: o.BackendSilence}),
 	}
 	h.acceptor = configuration.NewAcceptor(o.Store, acceptanceParser(o.Settings))
 	h.acceptor.OnObject = func(object store.Object) { h.table.Adopt([]store.Object{object}) }
@@ -271,7 +271,7 @@
 // pool.
 func (h *Host) observeBackend(address string, err error) {
 	if err == nil {
-		h.pool.Succeeded(address)
+		h.pool.RecordSuccess(address)
 		return
 	}
 	var call *backend.CallError
@@ -279,7 +279,7 @@
 		return
 	}
 	if kind, ok := failureKinds[call.Evidence]; ok {
-		h.pool.Failed(address, kind)
+		h.pool.RecordFailure(address, kind)
 	}
 }
 
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -50,7 +50,7 @@
 		return
 	}
 	run := quarantine.Run{Fingerprint: c.fingerprint, Sent: c.sentMark, Early: early, Server: address}
-	c.table.ReportBroken(run, func(ctx context.Context) bool { return c.backend.Ended(ctx, address) })
+	c.table.ReportBroken(run, func(ctx context.Context) bool { return c.backend.RefusesConnection(ctx, address) })
 }
 
 // sendFailed reports that a send ended without a response.
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -122,7 +122,7 @@
 
 func (s *stream) setConnection(current *backend.Stream) {
 	if s.silenceLimit > 0 {
-		current.SetSilence(s.silenceLimit)
+		current.SetReadTimeout(s.silenceLimit)
 	}
 	s.current = current
 }
--- a/routing/dispatcher.go
+++ b/routing/dispatcher.go
@@ -89,7 +89,7 @@
 		options.Share = func() float64 { return 1 }
 	}
 	if options.Followed <= 0 {
-		options.Followed = backend.FollowedServers
+		options.Followed = backend.DefaultMaxPolledServers
 	}
 	d := &Dispatcher{
 		options:  options,
--- a/routing/dispatcher_test.go
+++ b/routing/dispatcher_test.go
@@ -75,7 +75,7 @@
 			is := is.New(t)
 			d, pool := testDispatcher(t, policy, testDocument(2))
 			pool.MarkLeaving("10.0.0.0:80", backend.SourceOperator, time.Time{})
-			pool.Failed("10.0.0.1:80", backend.FailureRefusedConnection)
+			pool.RecordFailure("10.0.0.1:80", backend.FailureRefusedConnection)
 			_, err := d.Acquire(t.Context(), Request{Service: testService, Deadline: time.Now().Add(500 * time.Millisecond)})
 			refusal := refusalOf(t, err)
 			is.Equal(refusal.Outcome, contract.OutcomeNotRun)
--- a/routing/view.go
+++ b/routing/view.go
@@ -41,8 +41,8 @@
 	if v.snapshot == nil || v.snapshot.Document != snapshot.Document {
 		s.z = quantile(snapshot.Document.Placement.Risk)
 	}
-	if v.snapshot == nil || v.layout != snapshot.Layout {
-		v.layout = snapshot.Layout
+	if v.snapshot == nil || v.layout != snapshot.ServerListVersion {
+		v.layout = snapshot.ServerListVersion
 		v.servers = make([]*candidate, len(snapshot.Servers))
 		for i, server := range snapshot.Servers {
 			v.servers[i] = &candidate{serverLoad: s.serverLoad(server.Address)}
