--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -79,7 +79,7 @@
 		options: o, settings: o.Settings, tokens: o.Settings.Tokens(), logger: o.Logger,
 		table: configuration.NewTable(contract.ParseDocument), distances: distancesOf(o.Settings),
 		pool: backend.NewPool(backend.PoolOptions{Logger: o.Logger}), inFlight: newInFlightCounter(), stopped: make(chan struct{}),
-		client: backend.NewClient(o.Network, backend.ClientOptions{StreamReadTimeout: o.BackendSilence}),
+		client: backend.NewClient(o.Network, backend.ClientOptions{StreamReadTimeout: o.BackendReadTimeout}),
 	}
 	h.acceptor = configuration.NewAcceptor(o.Store, acceptanceParser(o.Settings))
 	h.acceptor.OnObject = func(object store.Object) { h.table.Adopt([]store.Object{object}) }
--- a/entryhost/options.go
+++ b/entryhost/options.go
@@ -30,10 +30,10 @@
 	// leaving and the refusal of new work. In this time address responses
 	// cease to contain the host. Default 500 ms.
 	AnnounceDelay time.Duration
-	// BackendSilence is the maximum time without a byte on a stream from an
+	// BackendReadTimeout is the maximum time without a byte on a stream from an
 	// engine before a new connection is tried. Default 5 s.
-	BackendSilence time.Duration
-	ProbeInterval  time.Duration // of the membership probes; default from Settings
+	BackendReadTimeout time.Duration
+	ProbeInterval      time.Duration // of the membership probes; default from Settings
 	// PollsPerSecond is the rate of load polls to backend servers. Default:
 	// derived from the number of live entry hosts.
 	PollsPerSecond float64
@@ -62,8 +62,8 @@
 	if o.AnnounceDelay <= 0 {
 		o.AnnounceDelay = defaultAnnounceDelay
 	}
-	if o.BackendSilence <= 0 {
-		o.BackendSilence = defaultBackendSilence
+	if o.BackendReadTimeout <= 0 {
+		o.BackendReadTimeout = defaultBackendSilence
 	}
 	if o.ProbeInterval <= 0 {
 		o.ProbeInterval = o.Settings.Limits.PeerProbePeriod
