--- a/backend/client.go
+++ b/backend/client.go
@@ -30,7 +30,7 @@
 type ClientOptions struct {
 	StreamReadTimeout time.Duration // maximum time without a byte on a stream: 5 s
 	DialTimeout       time.Duration // maximum time to establish a connection: 1 s
-	ControlTimeout    time.Duration // total time of Cancel, Load, CacheEvents, Order and State: 2 s
+	ControlTimeout    time.Duration // total time of Cancel, Load, CacheEvents, Order and ReadState: 2 s
 	// IdleTimeout is how long a connection may stay idle and still be reused:
 	// 2 s. It is short, since an idle connection can stop delivering data
 	// without being closed.
@@ -145,8 +145,8 @@
 	return state, err
 }
 
-// State requests the models and the role of an engine.
-func (c *Client) State(ctx context.Context, address string) (EngineState, error) {
+// ReadState requests the models and the role of an engine.
+func (c *Client) ReadState(ctx context.Context, address string) (EngineState, error) {
 	var state EngineState
 	call := outgoingRequest{method: http.MethodGet, path: PathOrders, header: c.orderHeader()}
 	err := c.control(ctx, address, call, &state)
--- a/entryhost/duty.go
+++ b/entryhost/duty.go
@@ -12,12 +12,12 @@
 
 // newOrderDuty returns the duty of sending orders to engines. The hosts that
 // watch the store contend for its lease.
-func (h *Host) newOrderDuty() *order.Duty {
+func (h *Host) newOrderDuty() *order.Controller {
 	engines := backend.NewClient(h.options.Network, backend.ClientOptions{ControlTimeout: orderTimeout, OrderToken: h.settings.OrderToken})
 	return order.New(order.Options{
 		Host: h.settings.Host, FailureDomain: h.settings.FailureDomain, Store: h.options.Store, Engine: engines,
 		Documents: h.table, Leaving: h.serverLeaving, Contend: h.contends, Refresh: h.refreshDocuments,
-		LoadsPerMinute: float64(h.settings.Limits.LoadsPerMinute), Longest: orderTimeout, Logger: h.logger,
+		LoadsPerMinute: float64(h.settings.Limits.LoadsPerMinute), MaxExecutionTime: orderTimeout, Logger: h.logger,
 	})
 }
 
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -47,7 +47,7 @@
 	follower   *replica.Follower
 	watchDuty  *domain.WatchDuty
 	hostList   *hostList
-	orderDuty  *order.Duty
+	orderDuty  *order.Controller
 	acceptor   *configuration.Acceptor
 	node       *peer.Node
 	distances  *domain.Distances
--- a/fake/engine/engine_test.go
+++ b/fake/engine/engine_test.go
@@ -172,7 +172,7 @@
 			is.NoErr(err)
 			is.Equal(state, backend.EngineState{Models: []string{"a@1"}, LastOrder: "1", LastFence: 7})
 			_, err = c.Order(ctx, engineAddress, backend.OrderRequest{OrderID: "2", Kind: backend.OrderUnload, Model: "a@1", Fence: 6})
-			state, stateErr := c.State(ctx, engineAddress)
+			state, stateErr := c.ReadState(ctx, engineAddress)
 			is.NoErr(stateErr)
 			is.Equal(evidence(err) == backend.RefusedNotRun, honours)
 			is.Equal(len(state.Models) == 1, honours)
--- a/order/dispatcher.go
+++ b/order/dispatcher.go
@@ -225,7 +225,7 @@
 func (d *Dispatcher) state(ctx context.Context, address string) (backend.EngineState, error) {
 	ctx, cancel := context.WithTimeout(ctx, readBackTimeout)
 	defer cancel()
-	return d.Engine.State(ctx, address)
+	return d.Engine.ReadState(ctx, address)
 }
 
 // tookEffect reports whether an engine's state shows that an order took effect.
--- a/order/duty.go
+++ b/order/duty.go
@@ -52,8 +52,8 @@
 
 func init() { prometheus.MustRegister(holding) }
 
-// Duty contends for the orders lease and places models while it has the lease.
-type Duty struct {
+// Controller contends for the orders lease and places models while it has the lease.
+type Controller struct {
 	Lessor     lease.Lessor
 	Dispatcher *Dispatcher
 	Placement  *Placement
@@ -73,11 +73,11 @@
 
 // Holding reports whether this host holds the lease, according to its local
 // state. Such a host must watch the store for newer documents.
-func (d *Duty) Holding() bool { return d.isHolder.Load() }
+func (d *Controller) Holding() bool { return d.isHolder.Load() }
 
 // Run contends for the lease and places models while it has the lease. It
 // returns the error of ctx when ctx ends, after releasing the lease.
-func (d *Duty) Run(ctx context.Context) error {
+func (d *Controller) Run(ctx context.Context) error {
 	var backoff store.Backoff
 	for ctx.Err() == nil {
 		if !d.contends() {
@@ -108,7 +108,7 @@
 // hold renews the lease and places models until the lease is lost, ctx ends or
 // the host no longer contends. It returns true if it yielded the lease to
 // another failure domain.
-func (d *Duty) hold(ctx context.Context, held *lease.Lease) (yielded bool) {
+func (d *Controller) hold(ctx context.Context, held *lease.Lease) (yielded bool) {
 	d.logger().Info(msgAcquired, zap.Uint64("fence", held.Fence()))
 	d.isHolder.Store(true)
 	holding.Set(1)
@@ -128,7 +128,7 @@
 // If an order of this holder may still take effect, the lease is left to expire
 // instead, so that the next holder waits until that order can no longer take
 // effect.
-func (d *Duty) release(held *lease.Lease) {
+func (d *Controller) release(held *lease.Lease) {
 	if d.Dispatcher.Unsettled() {
 		return
 	}
@@ -138,7 +138,7 @@
 }
 
 // renew renews the lease until it is lost or ctx ends. It never returns nil.
-func (d *Duty) renew(ctx context.Context, held *lease.Lease) error {
+func (d *Controller) renew(ctx context.Context, held *lease.Lease) error {
 	every := d.RenewEvery
 	if every <= 0 {
 		every = defaultTick
@@ -158,7 +158,7 @@
 
 // placeModels plans and sends orders until ctx ends, the host no longer contends
 // or it yields the lease. It never returns nil.
-func (d *Duty) placeModels(ctx context.Context, held *lease.Lease) error {
+func (d *Controller) placeModels(ctx context.Context, held *lease.Lease) error {
 	if err := sleep.For(ctx, held.FirstActionDelay()); err != nil {
 		return err
 	}
@@ -183,7 +183,7 @@
 	return errNotContending
 }
 
-func (d *Duty) refresh(ctx context.Context) error {
+func (d *Controller) refresh(ctx context.Context) error {
 	if d.Refresh == nil {
 		return nil
 	}
@@ -197,7 +197,7 @@
 }
 
 // dispatchPlan sends the orders of one plan and returns their number.
-func (d *Duty) dispatchPlan(ctx context.Context, held *lease.Lease) int {
+func (d *Controller) dispatchPlan(ctx context.Context, held *lease.Lease) int {
 	var group errgroup.Group
 	group.SetLimit(parallelOrders)
 	orders := d.Placement.Plan(ctx)
@@ -211,7 +211,7 @@
 	return len(orders)
 }
 
-func (d *Duty) dispatch(ctx context.Context, held *lease.Lease, order Order) {
+func (d *Controller) dispatch(ctx context.Context, held *lease.Lease, order Order) {
 	state, err := d.Dispatcher.Dispatch(ctx, held, order)
 	fields := []zap.Field{zap.String("server", order.Server.Address), zap.Stringer("order", order), zap.Uint64("fence", held.Fence())}
 	var wait *WaitError
@@ -224,9 +224,9 @@
 	}
 }
 
-func (d *Duty) contends() bool { return d.Contend == nil || d.Contend() }
+func (d *Controller) contends() bool { return d.Contend == nil || d.Contend() }
 
-func (d *Duty) logger() *zap.Logger {
+func (d *Controller) logger() *zap.Logger {
 	if d.Logger == nil {
 		return zap.NewNop()
 	}
--- a/order/engine_test.go
+++ b/order/engine_test.go
@@ -139,7 +139,7 @@
 	return count
 }
 
-func (f *engineSet) State(_ context.Context, address string) (backend.EngineState, error) {
+func (f *engineSet) ReadState(_ context.Context, address string) (backend.EngineState, error) {
 	e := f.engines[address]
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/order/fuzz_test.go
+++ b/order/fuzz_test.go
@@ -335,7 +335,7 @@
 	}
 	have := 0
 	for _, server := range source.BackendServers {
-		state, _ := f.engineSet.State(f.ctx, server.Address)
+		state, _ := f.engineSet.ReadState(f.ctx, server.Address)
 		for _, model := range state.Models {
 			if model == source.Model.Target() {
 				have++
--- a/order/options.go
+++ b/order/options.go
@@ -28,27 +28,27 @@
 	// LoadsPerMinute is the rate of model loads that the weight store allows
 	// for the whole fleet (0: no limit), with bursts of LoadsAtOnce; default 1.
 	LoadsPerMinute float64
-	LoadsAtOnce    int
+	LoadBurst      int
 	// Term is the duration of the lease; default 20 s.
 	Term time.Duration
-	// Longest is the maximum time that an engine takes to execute an order;
+	// MaxExecutionTime is the maximum time that an engine takes to execute an order;
 	// default 30 s.
-	Longest time.Duration
-	Tick    time.Duration // interval between plans; default 5 s
-	Logger  *zap.Logger   // nil: no log
+	MaxExecutionTime time.Duration
+	Tick             time.Duration // interval between plans; default 5 s
+	Logger           *zap.Logger   // nil: no log
 }
 
 // New returns a Duty; call its Run method to start it.
-func New(o Options) *Duty {
-	if o.Longest <= 0 {
-		o.Longest = defaultMaxExecutionTime
+func New(o Options) *Controller {
+	if o.MaxExecutionTime <= 0 {
+		o.MaxExecutionTime = defaultMaxExecutionTime
 	}
-	lessor := lease.NewStoreLessor(o.Store, o.Host, lease.Options{Term: o.Term, MaxActionTime: o.Longest})
-	return &Duty{
+	lessor := lease.NewStoreLessor(o.Store, o.Host, lease.Options{Term: o.Term, MaxActionTime: o.MaxExecutionTime})
+	return &Controller{
 		Lessor: lessor,
 		Dispatcher: &Dispatcher{
 			Host: o.Host, FailureDomain: o.FailureDomain, Store: o.Store, Lessor: lessor, Engine: o.Engine,
-			LoadLimiter: NewLoadLimiter(o.LoadsPerMinute, o.LoadsAtOnce), MaxExecutionTime: o.Longest,
+			LoadLimiter: NewLoadLimiter(o.LoadsPerMinute, o.LoadBurst), MaxExecutionTime: o.MaxExecutionTime,
 		},
 		Placement:  &Placement{Documents: o.Documents, Engine: o.Engine, Leaving: o.Leaving, FailureDomain: o.FailureDomain},
 		RenewEvery: lessor.RenewEvery(),
--- a/order/order.go
+++ b/order/order.go
@@ -19,7 +19,7 @@
 // implements it in production; its errors are *backend.CallError.
 type Engine interface {
 	Order(ctx context.Context, address string, order backend.OrderRequest) (backend.EngineState, error)
-	State(ctx context.Context, address string) (backend.EngineState, error)
+	ReadState(ctx context.Context, address string) (backend.EngineState, error)
 }
 
 // Order is one command for an engine.
--- a/order/placement.go
+++ b/order/placement.go
@@ -108,7 +108,7 @@
 func (p *Placement) readState(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, readBackTimeout)
 	defer cancel()
-	state, err := p.Engine.State(ctx, address)
+	state, err := p.Engine.ReadState(ctx, address)
 	if err == nil {
 		p.RecordState(address, state)
 		return
--- a/order/state_bench_test.go
+++ b/order/state_bench_test.go
@@ -25,7 +25,7 @@
 	}()
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := client.State(b.Context(), listener.Addr().String()); err != nil {
+		if _, err := client.ReadState(b.Context(), listener.Addr().String()); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/order/wire_test.go
+++ b/order/wire_test.go
@@ -45,7 +45,7 @@
 		stopped := make(chan struct{})
 		go func() { _ = duty.Run(ctx); close(stopped) }()
 		time.Sleep(time.Minute)
-		state, err := client.State(ctx, "10.0.1.1:80")
+		state, err := client.ReadState(ctx, "10.0.1.1:80")
 		is.NoErr(err)
 		is.Equal(state.Models, []string{"drafts@7"})
 		is.Equal(state.Role, "decode")
--- a/order/world_test.go
+++ b/order/world_test.go
@@ -53,7 +53,7 @@
 	cancel   context.CancelFunc
 	table    *configuration.Table
 	acceptor *configuration.Acceptor
-	duty     *Duty
+	duty     *Controller
 	versions map[string]store.Version // highest version in force, by service
 }
 
@@ -221,7 +221,7 @@
 	watcher := &replica.Follower{Store: memory, Kind: configuration.Kind, Table: h.table.Table, Active: func() bool { return watches }}
 	h.duty = New(Options{
 		Host: name, FailureDomain: failureDomain, Store: memory, Engine: engine, Documents: h.table, Refresh: watcher.Refresh,
-		LoadsPerMinute: testPerMinute, LoadsAtOnce: testBurst, Term: testTerm, Longest: testMaxExecutionTime,
+		LoadsPerMinute: testPerMinute, LoadBurst: testBurst, Term: testTerm, MaxExecutionTime: testMaxExecutionTime,
 	})
 	h.table.Subscribe(func() { w.checkVersions(h) })
 	w.hosts[name] = h
