--- a/gateway/backend.go
+++ b/gateway/backend.go
@@ -81,10 +81,10 @@
 type Backend interface {
 	// Send sends a request and returns the answer.
 	Send(ctx context.Context, call Call) (*Reply, error)
-	// Ended reports whether a server's process has ended, which is the case if
+	// RefusesConnection reports whether a server's process has ended, which is the case if
 	// nothing listens at its address. A server that cannot be reached counts as
 	// running.
-	Ended(ctx context.Context, server fleet.Server) bool
+	RefusesConnection(ctx context.Context, server fleet.Server) bool
 	// Copy copies a run's memory from source to destination. If last is set, the
 	// source stops the run first, and its stream ends there without an end event.
 	Copy(ctx context.Context, source, destination fleet.Server, run string, last bool) (CopyResult, error)
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -86,7 +86,7 @@
 	return w.copy(source, destination, last)
 }
 
-func (w *harness) Ended(_ context.Context, server fleet.Server) bool {
+func (w *harness) RefusesConnection(_ context.Context, server fleet.Server) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.endedServers[server.ID]
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -55,7 +55,7 @@
 		Early: t.firstEvent == 0 || time.Since(t.request.Arrived) < t.firstEvent+earlyRunWindow,
 	}
 	t.gateway.options.Quarantine.ReportBroken(run, func(ctx context.Context) bool {
-		return life.Err() != nil || backend.Ended(ctx, server)
+		return life.Err() != nil || backend.RefusesConnection(ctx, server)
 	})
 }
 
--- a/gatewayhost/quarantine_test.go
+++ b/gatewayhost/quarantine_test.go
@@ -89,8 +89,8 @@
 	return c.crashSignals[id]
 }
 
-// Ended reports whether a server has crashed.
-func (c *crashing) Ended(_ context.Context, server fleet.Server) bool {
+// RefusesConnection reports whether a server has crashed.
+func (c *crashing) RefusesConnection(_ context.Context, server fleet.Server) bool {
 	select {
 	case <-c.crashSignal(server.ID):
 		return true
@@ -110,7 +110,7 @@
 }
 
 func (c *crashing) Send(ctx context.Context, call gateway.Call) (*gateway.Reply, error) {
-	if c.Ended(ctx, call.Server) {
+	if c.RefusesConnection(ctx, call.Server) {
 		return nil, &backend.CallError{Evidence: backend.NothingSent, Err: errors.New("refused")}
 	}
 	runs := time.NewTimer(2 * crashAfter)
