--- a/allocation/allocation_test.go
+++ b/allocation/allocation_test.go
@@ -142,7 +142,7 @@
 	is := is.New(t)
 	at, from := engines("a", "e1", "e2"), engines("b", "e1", "e2")
 	_, allocator, client := pair(t, at, from)
-	allocator.Undisturbed = func() time.Duration { return 4 * time.Second }
+	allocator.SinceStoreFailure = func() time.Duration { return 4 * time.Second }
 	allocator.Revision = func() uint64 { return 17 }
 	work := from.Begin("e1", fleet.Work{ID: "r1", PromptTokens: 3000, OutputTokens: 400}, false)
 	at.Put(fleet.Server{ID: "e1", Service: llm, Address: "e1", Leaving: true})
@@ -155,7 +155,7 @@
 	revision, age := client.Newest()
 	is.Equal(revision, uint64(17))
 	is.True(age < time.Second)
-	is.True(client.Undisturbed() >= 4*time.Second)
+	is.True(client.SinceStoreFailure() >= 4*time.Second)
 	is.Equal(at.Leaving(llm), []fleet.Incarnation{{ID: "e1"}})
 }
 
--- a/allocation/allocator.go
+++ b/allocation/allocator.go
@@ -43,9 +43,9 @@
 	limits placement.Limits
 	draw   func(n int) int
 	logger *zap.Logger
-	// Undisturbed returns the time since the store last failed to answer this
+	// SinceStoreFailure returns the time since the store last failed to answer this
 	// host. It is sent to hosts that do not watch the store. Nil: not sent.
-	Undisturbed func() time.Duration
+	SinceStoreFailure func() time.Duration
 	// Revision returns the revision of the newest configuration if this host is
 	// certain to have it, else zero. It is sent to other hosts. Nil: not sent.
 	Revision func() uint64
--- a/allocation/client.go
+++ b/allocation/client.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// Undisturbed returns the time since the store last failed to answer an
+// SinceStoreFailure returns the time since the store last failed to answer an
 // allocator, as reported to this host.
-func (c *Client) Undisturbed() time.Duration {
+func (c *Client) SinceStoreFailure() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Since(c.disturbed)
--- a/allocation/server.go
+++ b/allocation/server.go
@@ -88,8 +88,8 @@
 	for life, left := range s.allocator.fleet.Shunned() {
 		response.Shunned = append(response.Shunned, &allocationpb.ServerRest{Server: life.ID, Born: life.Born, LeftMs: uint32(left.Milliseconds())})
 	}
-	if s.allocator.Undisturbed != nil {
-		response.UndisturbedMs = uint32(min(s.allocator.Undisturbed(), time.Hour).Milliseconds())
+	if s.allocator.SinceStoreFailure != nil {
+		response.UndisturbedMs = uint32(min(s.allocator.SinceStoreFailure(), time.Hour).Milliseconds())
 	}
 	if s.allocator.Revision != nil {
 		response.ConfigurationRevision = s.allocator.Revision()
--- a/gatewayhost/apply.go
+++ b/gatewayhost/apply.go
@@ -54,7 +54,7 @@
 // sinceStoreFailure returns the time since a store call by this host or by an
 // allocator last failed.
 func (h *Host) sinceStoreFailure() time.Duration {
-	return min(h.servers.SinceStoreFailure(), h.allocation.Undisturbed())
+	return min(h.servers.SinceStoreFailure(), h.allocation.SinceStoreFailure())
 }
 
 const (
--- a/gatewayhost/host.go
+++ b/gatewayhost/host.go
@@ -166,7 +166,7 @@
 	h.evacuations = h.newFollower(o.Objects.Evacuations, 0)
 	h.fleet = fleet.NewTable(o.Name, o.Logger)
 	h.allocator = allocation.NewAllocator(h.fleet, placement.DefaultLimits, rand.IntN, o.Logger)
-	h.allocator.Undisturbed = h.servers.SinceStoreFailure
+	h.allocator.SinceStoreFailure = h.servers.SinceStoreFailure
 	h.allocator.Revision, h.allocator.Verified, h.allocator.OnRelayedRevision = h.verifiedRevision, h.verificationAge, h.recordRelayedVerification
 	h.quarantine = quarantine.NewTable(o.Logger, o.Registerer)
 	h.quarantine.Changed = func() { h.node.Load().Announce() }
