--- a/audit/entry.go
+++ b/audit/entry.go
@@ -42,8 +42,8 @@
 	Digest uint64 `json:"digest,omitempty"`
 }
 
-// Newest sorts entries, newest first.
-func Newest(entries []Entry) {
+// SortNewestFirst sorts entries, newest first.
+func SortNewestFirst(entries []Entry) {
 	slices.SortStableFunc(entries, func(a, b Entry) int {
 		if a.To != b.To {
 			return cmp.Compare(b.To, a.To)
--- a/configuration/acceptor.go
+++ b/configuration/acceptor.go
@@ -189,6 +189,6 @@
 			entries = append(entries, envelope.History.At(object.Version)...)
 		}
 	}
-	audit.Newest(entries)
+	audit.SortNewestFirst(entries)
 	return entries[:min(len(entries), maxTrail)], nil
 }
