--- a/contract/parse.go
+++ b/contract/parse.go
@@ -84,9 +84,9 @@
 	d.Retry = p.retry(m)
 	d.Placement = p.placement(m, d.Kind)
 	if d.Model != nil && len(d.BackendServers) > 0 && d.Model.MinWorkers > len(d.BackendServers) {
-		m.Find("model", "min_workers is %d, but there are only %d backend servers", d.Model.MinWorkers, len(d.BackendServers))
+		m.AddFinding("model", "min_workers is %d, but there are only %d backend servers", d.Model.MinWorkers, len(d.BackendServers))
 	}
-	m.Close()
+	m.ReportUnknownFields()
 	return d
 }
 
@@ -95,12 +95,12 @@
 		given := m.Has("model")
 		m.Mapping("model", strictyaml.Optional)
 		if given && kind == KindPlain {
-			m.Find("model", "clashes with kind plain: only kind model has a model")
+			m.AddFinding("model", "clashes with kind plain: only kind model has a model")
 		}
 		return nil
 	}
 	spec := m.Mapping("model", strictyaml.Required)
-	defer spec.Close()
+	defer spec.ReportUnknownFields()
 	return &ModelSpec{
 		Name:       spec.Text("name", strictyaml.Required),
 		Version:    spec.Text("version", strictyaml.Required),
@@ -122,7 +122,7 @@
 			HonoursFence:  item.Bool("honours_fence", strictyaml.Optional),
 			Role:          item.Text("role", strictyaml.Optional),
 		}
-		item.Close()
+		item.ReportUnknownFields()
 		checkUnique(item, "name", names, server.Name, "another backend server")
 		checkUnique(item, "address", addresses, server.Address, "another backend server")
 		checkReference(item, "failure_domain", p.references.FailureDomains, server.FailureDomain, "settings")
@@ -142,7 +142,7 @@
 			From:           item.Text("from", strictyaml.Required),
 			BackendServers: item.Texts("backend_servers", strictyaml.Required),
 		}
-		item.Close()
+		item.ReportUnknownFields()
 		checkReference(item, "from", p.references.FailureDomains, link.From, "settings")
 		for _, server := range link.BackendServers {
 			checkReference(item, "backend_servers", names, server, "document")
@@ -154,7 +154,7 @@
 
 func (p documentParser) calls(m *strictyaml.Mapping, kind Kind) []CallRule {
 	if kind == KindModel && m.Has("calls") {
-		m.Find("calls", "clashes with kind model: only kind plain has calls")
+		m.AddFinding("calls", "clashes with kind model: only kind plain has calls")
 	}
 	var rules []CallRule
 	seen := map[string]bool{}
@@ -164,9 +164,9 @@
 			PathPrefix: item.Text("path_prefix", strictyaml.Required),
 			Idempotent: item.Bool("idempotent", strictyaml.Required),
 		}
-		item.Close()
+		item.ReportUnknownFields()
 		if rule.PathPrefix != "" && !strings.HasPrefix(rule.PathPrefix, "/") {
-			item.Find("path_prefix", "must begin with /")
+			item.AddFinding("path_prefix", "must begin with /")
 		}
 		if rule.Method != "" && rule.PathPrefix != "" {
 			checkUnique(item, "path_prefix", seen, rule.Method+" "+rule.PathPrefix, "another rule, and the two clash")
@@ -187,7 +187,7 @@
 			TokensPerMinute: item.Int("tokens_per_minute", strictyaml.Optional, "tokens", strictyaml.Range[int]{Max: math.MaxInt32}),
 			Priority:        item.Int("priority", strictyaml.Optional, "steps", strictyaml.Range[int]{Max: maxPriority}),
 		}
-		item.Close()
+		item.ReportUnknownFields()
 		checkUnique(item, "organisation", seen, limit.Organisation, "another limit, and the two clash")
 		checkReference(item, "organisation", p.references.Organisations, limit.Organisation, "settings")
 		limits = append(limits, limit)
@@ -197,7 +197,7 @@
 
 func (p documentParser) deadlines(m *strictyaml.Mapping, kind Kind) Deadlines {
 	section := m.Mapping("deadlines", strictyaml.Optional)
-	defer section.Close()
+	defer section.ReportUnknownFields()
 	deadline := func(field string, defaultValue time.Duration) time.Duration {
 		return section.Duration(field, strictyaml.Optional,
 			strictyaml.Range[time.Duration]{Min: time.Millisecond, Max: maxDeadline, Default: defaultValue})
@@ -219,7 +219,7 @@
 
 func (p documentParser) retry(m *strictyaml.Mapping) RetryPolicy {
 	section := m.Mapping("retry", strictyaml.Optional)
-	defer section.Close()
+	defer section.ReportUnknownFields()
 	return RetryPolicy{
 		MaxRetries:    section.Int("max_retries", strictyaml.Optional, "retries", strictyaml.Range[int]{Max: maxRetries, Default: DefaultMaxRetries}),
 		Initial:       section.Duration("initial", strictyaml.Optional, strictyaml.Range[time.Duration]{Min: time.Millisecond, Max: time.Minute, Default: DefaultRetryInitial}),
@@ -230,10 +230,10 @@
 
 func (p documentParser) placement(m *strictyaml.Mapping, kind Kind) Placement {
 	if kind == KindPlain && m.Has("placement") {
-		m.Find("placement", "clashes with kind plain: only generations are placed by their memory")
+		m.AddFinding("placement", "clashes with kind plain: only generations are placed by their memory")
 	}
 	section := m.Mapping("placement", strictyaml.Optional)
-	defer section.Close()
+	defer section.ReportUnknownFields()
 	return Placement{
 		Risk:      section.Share("risk", strictyaml.Optional, strictyaml.Range[float64]{Max: 1, Default: DefaultRisk}),
 		TargetGap: section.Duration("target_gap", strictyaml.Optional, strictyaml.Range[time.Duration]{Min: time.Millisecond, Max: time.Minute, Default: DefaultTargetGap}),
@@ -244,7 +244,7 @@
 func parseName(m *strictyaml.Mapping, field string) string {
 	text := m.Text(field, strictyaml.Required)
 	if text != "" && !ValidName(text) {
-		m.Find(field, "must be at most %d lower-case letters, digits, - and _, beginning with a letter, not %q", maxNameLength, text)
+		m.AddFinding(field, "must be at most %d lower-case letters, digits, - and _, beginning with a letter, not %q", maxNameLength, text)
 		return ""
 	}
 	return text
@@ -271,7 +271,7 @@
 		return
 	}
 	if seen[value] {
-		m.Find(field, "%q is already used by %s", value, usedBy)
+		m.AddFinding(field, "%q is already used by %s", value, usedBy)
 	}
 	seen[value] = true
 }
@@ -280,7 +280,7 @@
 // checked.
 func checkReference(m *strictyaml.Mapping, field string, names []string, value, source string) {
 	if value != "" && names != nil && !slices.Contains(names, value) {
-		m.Find(field, "%q is not known in the %s", value, source)
+		m.AddFinding(field, "%q is not known in the %s", value, source)
 	}
 }
 
@@ -288,7 +288,7 @@
 func rejectUnused(m *strictyaml.Mapping, kind Kind, fields ...string) {
 	for _, field := range fields {
 		if m.Has(field) {
-			m.Find(field, "clashes with kind %s, which does not use it", kind)
+			m.AddFinding(field, "clashes with kind %s, which does not use it", kind)
 		}
 	}
 }
--- a/internal/strictyaml/mapping.go
+++ b/internal/strictyaml/mapping.go
@@ -73,9 +73,9 @@
 	return ok
 }
 
-// Find adds a finding at a field's value, or at the mapping's start if the field
+// AddFinding adds a finding at a field's value, or at the mapping's start if the field
 // is missing.
-func (m *Mapping) Find(name, format string, arguments ...any) {
+func (m *Mapping) AddFinding(name, format string, arguments ...any) {
 	if m.unreadable {
 		return
 	}
@@ -89,9 +89,9 @@
 	m.reader.list.Add(findings.At(m.reader.file, place, "%s: %s", name, fmt.Sprintf(format, arguments...)))
 }
 
-// Close adds a finding for each field that is present but was never read. The
+// ReportUnknownFields adds a finding for each field that is present but was never read. The
 // finding lists the allowed names.
-func (m *Mapping) Close() {
+func (m *Mapping) ReportUnknownFields() {
 	for _, name := range m.order {
 		if !slices.Contains(m.known, name) {
 			m.reader.add(m.fields[name].key, "unknown field %s; known here: %s", name, strings.Join(m.known, ", "))
@@ -106,16 +106,16 @@
 	f, given := m.fields[name]
 	if !given {
 		if presence == Required {
-			m.Find(name, "is missing")
+			m.AddFinding(name, "is missing")
 		}
 		return nil
 	}
 	switch f.value.(type) {
 	case *ast.NullNode:
-		m.Find(name, "has no value")
+		m.AddFinding(name, "has no value")
 		return nil
 	case *ast.AnchorNode, *ast.AliasNode, *ast.TagNode:
-		m.Find(name, "anchors, aliases and tags are not allowed")
+		m.AddFinding(name, "anchors, aliases and tags are not allowed")
 		return nil
 	}
 	return f.value
@@ -154,11 +154,11 @@
 	}
 	sequence, ok := node.(*ast.SequenceNode)
 	if !ok {
-		m.Find(name, "must be a list")
+		m.AddFinding(name, "must be a list")
 		return nil
 	}
 	if len(sequence.Values) == 0 && presence == Required {
-		m.Find(name, "is empty")
+		m.AddFinding(name, "is empty")
 	}
 	return sequence.Values
 }
--- a/internal/strictyaml/scalar.go
+++ b/internal/strictyaml/scalar.go
@@ -22,11 +22,11 @@
 	}
 	text, ok := scalar(node)
 	if !ok {
-		m.Find(name, "must be text")
+		m.AddFinding(name, "must be text")
 		return ""
 	}
 	if text == "" && presence == Required {
-		m.Find(name, "is empty")
+		m.AddFinding(name, "is empty")
 	}
 	return text
 }
@@ -56,7 +56,7 @@
 			return text
 		}
 	}
-	m.Find(name, "must be one of %q, not %q", allowed, text)
+	m.AddFinding(name, "must be one of %q, not %q", allowed, text)
 	return ""
 }
 
@@ -68,7 +68,7 @@
 	}
 	value, ok := node.(*ast.BoolNode)
 	if !ok {
-		m.Find(name, "must be true or false")
+		m.AddFinding(name, "must be true or false")
 		return false
 	}
 	return value.Value
@@ -83,11 +83,11 @@
 	text, _ := scalar(node)
 	value, err := strconv.Atoi(text)
 	if _, number := node.(*ast.IntegerNode); !number || err != nil {
-		m.Find(name, "must be a whole number of %s without a unit, such as 100, not %s", unit, quoted(node))
+		m.AddFinding(name, "must be a whole number of %s without a unit, such as 100, not %s", unit, quoted(node))
 		return bounds.Default
 	}
 	if value < bounds.Min || value > bounds.Max {
-		m.Find(name, "must be from %d to %d %s", bounds.Min, bounds.Max, unit)
+		m.AddFinding(name, "must be from %d to %d %s", bounds.Min, bounds.Max, unit)
 		return bounds.Default
 	}
 	return value
@@ -102,11 +102,11 @@
 	text, _ := scalar(node)
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil || !isNumber(node) {
-		m.Find(name, "must be a share from %g to %g without a unit, such as 0.05, not %s", bounds.Min, bounds.Max, quoted(node))
+		m.AddFinding(name, "must be a share from %g to %g without a unit, such as 0.05, not %s", bounds.Min, bounds.Max, quoted(node))
 		return bounds.Default
 	}
 	if !(value >= bounds.Min && value <= bounds.Max) {
-		m.Find(name, "must be a share from %g to %g, not %g", bounds.Min, bounds.Max, value)
+		m.AddFinding(name, "must be a share from %g to %g, not %g", bounds.Min, bounds.Max, value)
 		return bounds.Default
 	}
 	return value
@@ -121,11 +121,11 @@
 	text, _ := scalar(node)
 	value, err := time.ParseDuration(text)
 	if err != nil || isNumber(node) {
-		m.Find(name, "must be a duration with its unit, such as 1.5s or 200ms, not %s", quoted(node))
+		m.AddFinding(name, "must be a duration with its unit, such as 1.5s or 200ms, not %s", quoted(node))
 		return bounds.Default
 	}
 	if value < bounds.Min || value > bounds.Max {
-		m.Find(name, "must be from %s to %s, not %s", bounds.Min, bounds.Max, value)
+		m.AddFinding(name, "must be from %s to %s, not %s", bounds.Min, bounds.Max, value)
 		return bounds.Default
 	}
 	return value
@@ -140,7 +140,7 @@
 	}
 	address, err := netip.ParseAddrPort(text)
 	if err != nil || address.Port() == 0 || address.Addr().IsUnspecified() {
-		m.Find(name, "must be IP:port, such as 10.0.0.1:7480, not %q", text)
+		m.AddFinding(name, "must be IP:port, such as 10.0.0.1:7480, not %q", text)
 		return ""
 	}
 	return address.String()
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -81,16 +81,16 @@
 		s.LogLevel = DefaultLogLevel
 	}
 	if s.PeerAddress != "" && s.PeerAddress == s.CallerAddress {
-		m.Find("peer_address", "is already used as caller_address")
+		m.AddFinding("peer_address", "is already used as caller_address")
 	}
-	m.Close()
+	m.ReportUnknownFields()
 	return s
 }
 
 func hostName(m *strictyaml.Mapping) string {
 	host := m.Text("host", strictyaml.Required)
 	if host != "" && !contract.ValidName(host) {
-		m.Find("host", "must be lower-case letters, digits, - and _, beginning with a letter, not %q", host)
+		m.AddFinding("host", "must be lower-case letters, digits, - and _, beginning with a letter, not %q", host)
 	}
 	return host
 }
@@ -102,23 +102,23 @@
 	field := "event_key"
 	switch {
 	case text != "" && file != "":
-		m.Find("event_key_file", "clashes with event_key: give one of them")
+		m.AddFinding("event_key_file", "clashes with event_key: give one of them")
 		return nil
 	case text == "" && file == "":
-		m.Find("event_key", "is missing; give event_key or event_key_file")
+		m.AddFinding("event_key", "is missing; give event_key or event_key_file")
 		return nil
 	case file != "":
 		field = "event_key_file"
 		content, err := os.ReadFile(p.path(file))
 		if err != nil {
-			m.Find(field, "cannot be read: %v", err)
+			m.AddFinding(field, "cannot be read: %v", err)
 			return nil
 		}
 		text = strings.TrimSpace(string(content))
 	}
 	key, err := hex.DecodeString(text)
 	if err != nil || len(key) < MinEventKeyBytes {
-		m.Find(field, "must be at least %d bytes in hexadecimal", MinEventKeyBytes)
+		m.AddFinding(field, "must be at least %d bytes in hexadecimal", MinEventKeyBytes)
 		return nil
 	}
 	return key
@@ -131,10 +131,10 @@
 	var keys [][]byte
 	for _, item := range m.Mappings("previous_event_keys", strictyaml.Optional) {
 		key := p.eventKey(item)
-		item.Close()
+		item.ReportUnknownFields()
 		same := func(other []byte) bool { return bytes.Equal(other, key) }
 		if key != nil && (same(first) || slices.ContainsFunc(keys, same)) {
-			item.Find("event_key", "is given twice")
+			item.AddFinding("event_key", "is given twice")
 		}
 		keys = append(keys, key)
 	}
@@ -149,7 +149,7 @@
 	}
 	content, err := os.ReadFile(p.path(file))
 	if err != nil {
-		m.Find("order_token_file", "cannot be read: %v", err)
+		m.AddFinding("order_token_file", "cannot be read: %v", err)
 	}
 	return strings.TrimSpace(string(content))
 }
@@ -171,20 +171,20 @@
 			To:      item.Text("to", strictyaml.Required),
 			Latency: item.Duration("latency", strictyaml.Required, strictyaml.Range[time.Duration]{Max: 10 * time.Second}),
 		}
-		item.Close()
+		item.ReportUnknownFields()
 		if d.From != "" && d.From == d.To {
-			item.Find("to", "is the same failure domain as from")
+			item.AddFinding("to", "is the same failure domain as from")
 		}
 		pair := [2]string{min(d.From, d.To), max(d.From, d.To)}
 		if seen[pair] && d.From != "" && d.To != "" {
-			item.Find("from", "the distance between %q and %q is given twice", d.From, d.To)
+			item.AddFinding("from", "the distance between %q and %q is given twice", d.From, d.To)
 		}
 		seen[pair] = true
 		ownNamed = ownNamed || d.From == own || d.To == own
 		list = append(list, d)
 	}
 	if len(list) > 0 && own != "" && !ownNamed {
-		m.Find("failure_domain", "%q is not named in distances", own)
+		m.AddFinding("failure_domain", "%q is not named in distances", own)
 	}
 	return list
 }
@@ -194,7 +194,7 @@
 	names := map[string]bool{}
 	for _, item := range m.Mappings("operators", strictyaml.Optional) {
 		operator := Operator{Name: item.Text("name", strictyaml.Required), TokenSHA256: tokenHash(item, tokens)}
-		item.Close()
+		item.ReportUnknownFields()
 		checkUnique(item, names, operator.Name)
 		list = append(list, operator)
 	}
@@ -210,7 +210,7 @@
 			TokenSHA256: tokenHash(item, tokens),
 			Services:    item.Texts("services", strictyaml.Optional),
 		}
-		item.Close()
+		item.ReportUnknownFields()
 		checkUnique(item, names, organisation.Name)
 		list = append(list, organisation)
 	}
@@ -219,7 +219,7 @@
 
 func checkUnique(m *strictyaml.Mapping, names map[string]bool, name string) {
 	if name != "" && names[name] {
-		m.Find("name", "%q is given twice", name)
+		m.AddFinding("name", "%q is given twice", name)
 	}
 	names[name] = true
 }
@@ -233,11 +233,11 @@
 	}
 	hash, err := ParseTokenHash(text)
 	if err != nil {
-		m.Find("token_sha256", "%v", err)
+		m.AddFinding("token_sha256", "%v", err)
 		return TokenHash{}
 	}
 	if tokens[hash.String()] {
-		m.Find("token_sha256", "is already used by another operator or organisation")
+		m.AddFinding("token_sha256", "is already used by another operator or organisation")
 	}
 	tokens[hash.String()] = true
 	return hash
@@ -245,7 +245,7 @@
 
 func limits(m *strictyaml.Mapping) Limits {
 	section := m.Mapping("limits", strictyaml.Optional)
-	defer section.Close()
+	defer section.ReportUnknownFields()
 	number := func(name, unit string, lowest, highest, fallback int) int {
 		return section.Int(name, strictyaml.Optional, unit, strictyaml.Range[int]{Min: lowest, Max: highest, Default: fallback})
 	}
@@ -269,7 +269,7 @@
 		PeerProbePeriod: duration("peer_probe_period", 10*time.Millisecond, DefaultPeerProbePeriod),
 	}
 	if l.RecordAge < l.KeepAddresses {
-		section.Find("record_age", "is shorter than keep_addresses: a key would outlive its record")
+		section.AddFinding("record_age", "is shorter than keep_addresses: a key would outlive its record")
 	}
 	return l
 }
@@ -280,7 +280,7 @@
 	if !given {
 		return nil
 	}
-	defer section.Close()
+	defer section.ReportUnknownFields()
 	return &TLS{
 		Certificate: p.file(section, "certificate"),
 		Key:         p.file(section, "key"),
@@ -295,7 +295,7 @@
 		return ""
 	}
 	if _, err := os.Stat(path); err != nil {
-		m.Find(field, "cannot be read: %v", err)
+		m.AddFinding(field, "cannot be read: %v", err)
 	}
 	return path
 }
