--- a/routing/dispatcher.go
+++ b/routing/dispatcher.go
@@ -54,10 +54,10 @@
 	// Share returns the share of each configured limit that this host may
 	// use, 0 to 1: one over the number of live entry hosts. Default: 1.
 	Share func() float64
-	// Followed is the size of this host's subset of a service's servers. The
+	// MaxPolledServers is the size of this host's subset of a service's servers. The
 	// host places outside the subset only if no server in it may take the
 	// request. Default: backend.FollowedServers.
-	Followed int
+	MaxPolledServers int
 }
 
 // Dispatcher is the Scheduler of one entry host.
@@ -88,8 +88,8 @@
 	if options.Share == nil {
 		options.Share = func() float64 { return 1 }
 	}
-	if options.Followed <= 0 {
-		options.Followed = backend.DefaultMaxPolledServers
+	if options.MaxPolledServers <= 0 {
+		options.MaxPolledServers = backend.DefaultMaxPolledServers
 	}
 	d := &Dispatcher{
 		options:  options,
--- a/routing/view.go
+++ b/routing/view.go
@@ -47,7 +47,7 @@
 		for i, server := range snapshot.Servers {
 			v.servers[i] = &candidate{serverLoad: s.serverLoad(server.Address)}
 		}
-		v.subset = backend.Subset(s.dispatcher.options.Host, snapshot.Servers, s.dispatcher.options.Followed)
+		v.subset = backend.Subset(s.dispatcher.options.Host, snapshot.Servers, s.dispatcher.options.MaxPolledServers)
 		v.scratch = make([]*candidate, 0, len(snapshot.Servers))
 	}
 	v.snapshot = snapshot
