--- a/fleet/leaving.go
+++ b/fleet/leaving.go
@@ -9,8 +9,8 @@
 
 // leavingReport records that a server reported itself as leaving.
 type leavingReport struct {
-	life Incarnation
-	at   time.Time
+	incarnation Incarnation
+	at          time.Time
 }
 
 // recordLeavingReport records that a server reported itself as leaving. The
@@ -29,5 +29,5 @@
 // this incarnation. Requires mu.
 func (t *Table) reportedLeaving(life Incarnation) bool {
 	report, known := t.leavingReports[life.ID]
-	return known && report.life.Is(life)
+	return known && report.incarnation.Is(life)
 }
--- a/fleet/life.go
+++ b/fleet/life.go
@@ -28,7 +28,7 @@
 func (t *Table) replace(e *entry, server Server) {
 	t.logger.Info(msgRestarted, zap.String("server", server.ID), zap.Int64("born", server.Born), zap.Int64("born_before", e.server.Born),
 		zap.Int("own_work", len(e.work)))
-	e.endLife() // before leave, whose waiters must not request a run from the new incarnation
+	e.endIncarnation() // before leave, whose waiters must not request a run from the new incarnation
 	e.removed = true
 	t.setLeaving(e, SourceRestarted)
 	t.drop(e)
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -59,29 +59,29 @@
 
 // entry is the state of one incarnation of a server.
 type entry struct {
-	server           Server
-	life             context.Context // cancelled once another incarnation is known
-	endLife          context.CancelFunc
-	leaving          bool
-	removed          bool
-	invalid          bool        // its host list entry is invalid
-	evacuated        bool        // its failure domain is evacuated
-	listedColdUntil  time.Time   // cold until then, according to its host list entry
-	coldUntil        time.Time   // cold until then, as it reported itself or as assumed after an evacuation
-	starts           []time.Time // times of requests that this host sent or placed there within coldWindow
-	reported         reportedLoad
-	shunnedUntil     time.Time // until then it gets calls only if no other server has capacity
-	unavailableUntil time.Time // until then it gets no work
-	health           health
-	pace             pace
-	evidence         Evidence             // outcomes of this host's requests since the last report
-	failedHosts      map[string]time.Time // entry hosts whose requests failed there, and when; cleared by an answer
-	lastAnswer       time.Time            // when it last answered a request of any host
-	work             map[*Work]struct{}
-	others           map[string]Load // load of other entry hosts, by host name
-	sum              loadSum         // cached sum of others
-	leavingCh        chan struct{}   // closed when the server starts leaving
-	leavingBecause   LeavingSource
+	server             Server
+	incarnationContext context.Context // cancelled once another incarnation is known
+	endIncarnation     context.CancelFunc
+	leaving            bool
+	removed            bool
+	invalid            bool        // its host list entry is invalid
+	evacuated          bool        // its failure domain is evacuated
+	listedColdUntil    time.Time   // cold until then, according to its host list entry
+	coldUntil          time.Time   // cold until then, as it reported itself or as assumed after an evacuation
+	starts             []time.Time // times of requests that this host sent or placed there within coldWindow
+	reported           reportedLoad
+	shunnedUntil       time.Time // until then it gets calls only if no other server has capacity
+	unavailableUntil   time.Time // until then it gets no work
+	health             health
+	pace               pace
+	evidence           Evidence             // outcomes of this host's requests since the last report
+	failedHosts        map[string]time.Time // entry hosts whose requests failed there, and when; cleared by an answer
+	lastAnswer         time.Time            // when it last answered a request of any host
+	work               map[*Work]struct{}
+	others             map[string]Load // load of other entry hosts, by host name
+	sum                loadSum         // cached sum of others
+	leavingCh          chan struct{}   // closed when the server starts leaving
+	leavingBecause     LeavingSource
 }
 
 // NewTable returns an empty table for the entry host of that name.
@@ -155,7 +155,7 @@
 		server: server, health: newHealth(), work: map[*Work]struct{}{}, others: map[string]Load{}, failedHosts: map[string]time.Time{},
 		leavingCh: make(chan struct{}),
 	}
-	e.life, e.endLife = context.WithCancel(context.Background())
+	e.incarnationContext, e.endIncarnation = context.WithCancel(context.Background())
 	t.servers[server.ID] = e
 	s := t.service(server.Service)
 	s.members = append(s.members, e)
--- a/fleet/work.go
+++ b/fleet/work.go
@@ -150,7 +150,7 @@
 
 // Context returns a context that is cancelled when the server's incarnation ends.
 // Work on that incarnation is lost then.
-func (w *Work) Context() context.Context { return w.entry.life }
+func (w *Work) Context() context.Context { return w.entry.incarnationContext }
 
 // Unreachable records that the server did not accept a connection.
 func (w *Work) Unreachable() {
