--- a/entryhost/duty.go
+++ b/entryhost/duty.go
@@ -10,9 +10,9 @@
 	"github.com/papayasail/papayasail/order"
 )
 
-// newOrderDuty returns the duty of sending orders to engines. The hosts that
+// newOrderController returns the duty of sending orders to engines. The hosts that
 // watch the store contend for its lease.
-func (h *Host) newOrderDuty() *order.Controller {
+func (h *Host) newOrderController() *order.Controller {
 	engines := backend.NewClient(h.options.Network, backend.ClientOptions{ControlTimeout: orderTimeout, OrderToken: h.settings.OrderToken})
 	return order.New(order.Options{
 		Host: h.settings.Host, FailureDomain: h.settings.FailureDomain, Store: h.options.Store, Engine: engines,
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -39,27 +39,27 @@
 
 // Host is one entry host.
 type Host struct {
-	options    Options
-	settings   *settings.Settings
-	tokens     *settings.Tokens
-	logger     *zap.Logger
-	table      *configuration.Table
-	follower   *replica.Follower
-	watchDuty  *domain.WatchDuty
-	hostList   *hostList
-	orderDuty  *order.Controller
-	acceptor   *configuration.Acceptor
-	node       *peer.Node
-	distances  *domain.Distances
-	pool       *backend.Pool
-	poller     *backend.Poller
-	client     *backend.Client
-	scheduler  *routing.Dispatcher
-	ledger     *record.Ledger
-	quarantine *quarantine.Table
-	relay      *relay.Relay
-	server     *http.Server
-	inFlight   *inFlightCounter
+	options         Options
+	settings        *settings.Settings
+	tokens          *settings.Tokens
+	logger          *zap.Logger
+	table           *configuration.Table
+	follower        *replica.Follower
+	watchDuty       *domain.WatchDuty
+	hostList        *hostList
+	orderController *order.Controller
+	acceptor        *configuration.Acceptor
+	node            *peer.Node
+	distances       *domain.Distances
+	pool            *backend.Pool
+	poller          *backend.Poller
+	client          *backend.Client
+	scheduler       *routing.Dispatcher
+	ledger          *record.Ledger
+	quarantine      *quarantine.Table
+	relay           *relay.Relay
+	server          *http.Server
+	inFlight        *inFlightCounter
 
 	liveHosts atomic.Int64 // number of live entry hosts in the membership
 	refusing  atomic.Bool  // new work is refused
@@ -103,7 +103,7 @@
 	h.relay.SetHomeRouter(homes)
 	h.watchDuty = h.newWatchDuty()
 	h.hostList = newHostList(o.Store, h.pool, h.watchDuty.Watches)
-	h.orderDuty = h.newOrderDuty()
+	h.orderController = h.newOrderController()
 	h.follower = &replica.Follower{Store: o.Store, Kind: configuration.Kind, Table: h.table.Table, Logger: o.Logger, Active: h.followsStore}
 	h.server = &http.Server{Handler: h.handler(), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
 	registerCollectors()
@@ -221,7 +221,7 @@
 
 // followsStore reports whether this host watches the documents in the store: it
 // is one of the few watchers, or has the lease of the order duty.
-func (h *Host) followsStore() bool { return h.watchDuty.Watches() || h.orderDuty.Holding() }
+func (h *Host) followsStore() bool { return h.watchDuty.Watches() || h.orderController.Holding() }
 
 // subscribe registers the callbacks by which changes of one component reach the
 // others.
@@ -302,7 +302,7 @@
 	group.Go(func() error { return ignoreCanceled(h.watchDuty.Run(ctx)) })
 	group.Go(func() error { h.poller.Run(ctx); return nil })
 	group.Go(func() error { h.hostList.run(ctx); return nil })
-	group.Go(func() error { return ignoreCanceled(h.orderDuty.Run(ctx)) })
+	group.Go(func() error { return ignoreCanceled(h.orderController.Run(ctx)) })
 	group.Go(func() error {
 		<-ctx.Done()
 		return h.server.Close()
