--- a/gatewayhost/host.go
+++ b/gatewayhost/host.go
@@ -141,7 +141,7 @@
 	coldQueries        sync.Map      // addresses whose servers are being queried whether they are cold
 	allocator          *allocation.Allocator
 	allocation         *allocation.Client
-	sentinel           *allocation.OutageMonitor
+	outageMonitor      *allocation.OutageMonitor
 	gateway            *gateway.Gateway
 	verifiedAt         moment.Moment // start of the last successful read of the configuration from the store
 	relayedVerifiedAt  moment.Moment // same for a read by another host that found the same revision
@@ -177,7 +177,7 @@
 	h.allocation = allocation.NewClient(o.Name, o.Domain, h, h.allocator, h.fleet, o.Logger)
 	h.allocator.Evacuated = h.evacuationRevision.Load
 	h.allocation.OnRevision, h.allocation.OnEvacuation = h.catchUp, h.catchUpEvacuations
-	h.sentinel = &allocation.OutageMonitor{
+	h.outageMonitor = &allocation.OutageMonitor{
 		Host: o.Name, Client: h.allocation, Fleet: h.fleet, Check: o.Store.Check, Verify: h.verify, Verified: h.verificationAge, Ask: h.queryStatus,
 		Logger: o.Logger,
 	}
@@ -235,7 +235,7 @@
 func (h *Host) background() []func(context.Context) error {
 	return []func(context.Context) error{
 		h.boot, h.configuration.Run, h.servers.Run, h.evacuations.Run, h.watch.Run, h.syncQuarantine, h.releaseLostGenerations,
-		h.runNode, h.allocation.Run, h.allocation.Exchange, h.sentinel.Run,
+		h.runNode, h.allocation.Run, h.allocation.Exchange, h.outageMonitor.Run,
 	}
 }
 
