--- a/relay/call.go
+++ b/relay/call.go
@@ -68,7 +68,7 @@
 	request.Key = parsed.String()
 	ctx, stop := context.WithTimeout(req.Context(), document.Deadlines.Queue+document.Deadlines.Total)
 	defer stop()
-	return r.homes.Run(ctx, parsed, request)
+	return r.homeRouter.Run(ctx, parsed, request)
 }
 
 func forwardRequest(req *http.Request, organisation, service, path string, body []byte) *peerpb.ForwardRequest {
--- a/relay/generate.go
+++ b/relay/generate.go
@@ -113,7 +113,7 @@
 	defer stop()
 	request := newGenerationRequest(organisation, document, body)
 	request.Key = parsed.String()
-	answer := r.homes.Run(ctx, parsed, request)
+	answer := r.homeRouter.Run(ctx, parsed, request)
 	if answer.Refusal != nil {
 		return answer.Refusal
 	}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -89,7 +89,7 @@
 // calls.
 type Relay struct {
 	Options
-	homes      HomeRouter
+	homeRouter HomeRouter
 	evaluators evaluators
 }
 
@@ -126,7 +126,7 @@
 }
 
 // SetHomeRouter sets the runner of non-idempotent requests.
-func (r *Relay) SetHomeRouter(homes HomeRouter) { r.homes = homes }
+func (r *Relay) SetHomeRouter(homes HomeRouter) { r.homeRouter = homes }
 
 // authenticate authenticates a request and returns its organisation and the
 // document of its service.
