--- a/allocation/allocation_test.go
+++ b/allocation/allocation_test.go
@@ -261,14 +261,14 @@
 	table := engines("b", "e1", "e2")
 	table.Begin("e1", fleet.Work{ID: "r1"}, false)
 	members := []peer.Member{{Host: "a", State: peer.StateAlive, FailureDomain: "d"}}
-	sentinel := &OutageMonitor{Host: "b", Fleet: table, Client: NewClient("b", "d", &hosts{members: members}, nil, table, zap.NewNop())}
-	serversToQuery := sentinel.serversToQuery(WholeService(llm))
+	monitor := &OutageMonitor{Host: "b", Fleet: table, Client: NewClient("b", "d", &hosts{members: members}, nil, table, zap.NewNop())}
+	serversToQuery := monitor.serversToQuery(WholeService(llm))
 	is.Equal(len(serversToQuery), 1)
 	is.Equal(serversToQuery[0].ID, "e1")
-	sentinel.Host = "a"
-	is.Equal(len(sentinel.serversToQuery(WholeService(llm))), 2)
+	monitor.Host = "a"
+	is.Equal(len(monitor.serversToQuery(WholeService(llm))), 2)
 	table.SetBackoff("e1", time.Second) // it requested a backoff from this host
-	is.Equal(len(sentinel.serversToQuery(WholeService(llm))), 1)
+	is.Equal(len(monitor.serversToQuery(WholeService(llm))), 1)
 }
 
 // Guards against an allocator that mixes up backoffs for its own host with
@@ -292,7 +292,7 @@
 		var away atomic.Bool
 		var asked, verified atomic.Int64
 		away.Store(true)
-		sentinel := &OutageMonitor{
+		monitor := &OutageMonitor{
 			Host: "a", Fleet: table, Logger: zap.NewNop(),
 			Client: NewClient("a", "d", &hosts{members: members}, nil, table, zap.NewNop()),
 			Check: func(context.Context) error {
@@ -315,7 +315,7 @@
 			},
 		}
 		ctx, stop := context.WithCancel(context.Background())
-		go func() { _ = sentinel.Run(ctx) }()
+		go func() { _ = monitor.Run(ctx) }()
 		time.Sleep(checkInterval + time.Millisecond)
 		synctest.Wait()
 		is.Equal(table.Leaving(llm), []fleet.Incarnation{{ID: "e2"}})
--- a/allocation/allocator.go
+++ b/allocation/allocator.go
@@ -80,7 +80,7 @@
 	Settled bool
 }
 
-// Placement is the result of a placement: a server, another part to be asked instead, or neither.
+// Placement is the result of a placement: a server, another part to send the request to instead, or neither.
 type Placement struct {
 	Server    string
 	Elsewhere Part // none if its service is empty
@@ -100,18 +100,18 @@
 // Place chooses a server for a host's generation and reserves it there until
 // the host's own report includes it. If another part is cheaper by more than
 // the cost of crossing failure domains, that part is returned instead.
-func (a *Allocator) Place(host, domain string, part Part, asked PlacementRequest, except []string) Placement {
-	need, request := asked.Need, asked.Request
-	need.Returning = a.refusals.returning(asked.Fingerprint, request)
+func (a *Allocator) Place(host, domain string, part Part, req PlacementRequest, except []string) Placement {
+	need, request := req.Need, req.Request
+	need.Returning = a.refusals.returning(req.Fingerprint, request)
 	candidates := a.candidates(part, domain, except...)
 	i := placement.Pick(need, candidates, a.limits, a.draw)
-	if betterPart, found := a.betterPart(part, asked, candidates, i >= 0); found {
+	if betterPart, found := a.betterPart(part, req, candidates, i >= 0); found {
 		a.logger.Info(msgOnward, zap.String("request", request), zap.String("for", host), zap.String("domain", betterPart.Domain),
 			zap.Bool("place_here", i >= 0), zap.Int("candidates", len(candidates)))
 		return Placement{Elsewhere: betterPart}
 	}
 	if i < 0 {
-		a.refusals.record(asked.Fingerprint, request)
+		a.refusals.record(req.Fingerprint, request)
 		shortage := placement.ShortageOf(need, candidates, a.limits)
 		a.logger.Info(MsgNoPlace, zap.String("request", request), zap.String("for", host), zap.Int("candidates", len(candidates)),
 			zap.Int("prompt_tokens", need.PromptTokens), zap.Int("output_tokens", need.OutputTokens), zap.Bool("returning", need.Returning),
@@ -127,14 +127,14 @@
 	return Placement{Server: candidates[i].ID}
 }
 
-// betterPart returns the part to be asked instead, if any. Costs are compared
+// betterPart returns the part to send the request to instead, if any. Costs are compared
 // for a typical generation, because other parts make their offers for one.
-func (a *Allocator) betterPart(part Part, asked PlacementRequest, candidates []placement.Candidate, placeHere bool) (Part, bool) {
-	if part.Domain == "" || asked.Settled {
+func (a *Allocator) betterPart(part Part, req PlacementRequest, candidates []placement.Candidate, placeHere bool) (Part, bool) {
+	if part.Domain == "" || req.Settled {
 		return Part{}, false
 	}
-	a.offerTable.observe(asked.Need)
-	brief := asked.Need.Brief()
+	a.offerTable.observe(req.Need)
+	brief := req.Need.Brief()
 	limit := math.Inf(1)
 	if placeHere {
 		typical := a.offerTable.typical(brief)
--- a/allocation/client.go
+++ b/allocation/client.go
@@ -120,36 +120,36 @@
 
 // Place chooses a server for a generation. It returns "" if none has capacity.
 // If this host's part of the service is full, or another part is much emptier,
-// that other part is asked.
-func (c *Client) Place(ctx context.Context, service string, asked PlacementRequest, except []string) string {
-	placed := c.placeIn(ctx, c.partitioning(service).partOf(c.domain, c.host), asked, except)
+// the request is sent to that other part.
+func (c *Client) Place(ctx context.Context, service string, req PlacementRequest, except []string) string {
+	placed := c.placeIn(ctx, c.partitioning(service).partOf(c.domain, c.host), req, except)
 	if placed.Elsewhere.Service == "" {
 		return placed.Server
 	}
-	asked.Settled = true
-	return c.placeIn(ctx, placed.Elsewhere, asked, except).Server
+	req.Settled = true
+	return c.placeIn(ctx, placed.Elsewhere, req, except).Server
 }
 
-func (c *Client) placeIn(ctx context.Context, part Part, asked PlacementRequest, except []string) Placement {
+func (c *Client) placeIn(ctx context.Context, part Part, req PlacementRequest, except []string) Placement {
 	allocator := c.allocator(part)
 	// Servers that this host cannot reach, or that requested a backoff from it,
 	// may accept other hosts.
 	except = append(c.fleet.Avoided(part.Service), except...)
 	if allocator == c.host {
-		return c.placeHere(part, asked, except)
+		return c.placeHere(part, req, except)
 	}
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
 	var response *allocationpb.PlaceResponse
 	err := c.call(ctx, allocator, func(client allocationpb.AllocationClient) (err error) {
 		response, err = client.Place(ctx, &allocationpb.PlaceRequest{
-			Host: c.host, FailureDomain: c.domain, Part: part.toProto(), Request: asked.Request, Fingerprint: asked.Fingerprint, Except: except,
-			PromptTokens: uint32(asked.Need.PromptTokens), OutputTokens: uint32(asked.Need.OutputTokens), Settled: asked.Settled,
+			Host: c.host, FailureDomain: c.domain, Part: part.toProto(), Request: req.Request, Fingerprint: req.Fingerprint, Except: except,
+			PromptTokens: uint32(req.Need.PromptTokens), OutputTokens: uint32(req.Need.OutputTokens), Settled: req.Settled,
 		})
 		return err
 	})
 	if err != nil {
-		return c.placeHere(part, asked, except)
+		return c.placeHere(part, req, except)
 	}
 	return Placement{Server: response.GetServer(), Elsewhere: partFromProto(response.GetElsewhere())}
 }
@@ -157,11 +157,11 @@
 // placeHere places with this host's own table: on the part if other hosts may
 // consider this one its allocator, else on all servers, as no allocator
 // answers.
-func (c *Client) placeHere(part Part, asked PlacementRequest, except []string) Placement {
+func (c *Client) placeHere(part Part, req PlacementRequest, except []string) Placement {
 	if !c.decidesFor(part) {
 		part = WholeService(part.Service)
 	}
-	return c.local.Place(c.host, c.domain, part, asked, except)
+	return c.local.Place(c.host, c.domain, part, req, except)
 }
 
 // TakeTurn waits until a run may move off a leaving server. It returns the
--- a/allocation/exchange_test.go
+++ b/allocation/exchange_test.go
@@ -61,13 +61,13 @@
 				return nil
 			}
 		}
-		sentinel := &OutageMonitor{
+		monitor := &OutageMonitor{
 			Host: "a", Fleet: table, Logger: zap.NewNop(), Client: NewClient("a", "d", &hosts{members: members}, nil, table, zap.NewNop()),
 			Check: answer(&checks), Verify: answer(&verifies), Verified: func() time.Duration { return time.Duration(heard.Load()) },
 			Ask: func(context.Context, fleet.Server) (fleet.SelfReport, error) { return fleet.SelfReport{}, nil },
 		}
 		ctx, stop := context.WithCancel(t.Context())
-		go func() { _ = sentinel.Run(ctx) }()
+		go func() { _ = monitor.Run(ctx) }()
 		time.Sleep(time.Second + time.Millisecond)
 		is.Equal(verifies.Load(), int64(0))
 		is.Equal(checks.Load(), int64(time.Second/checkInterval))
--- a/allocation/sentinel.go
+++ b/allocation/outage_monitor.go
@@ -53,20 +53,20 @@
 }
 
 // Run monitors the parts of services for which this host decides, until ctx ends.
-func (s *OutageMonitor) Run(ctx context.Context) error {
-	away := false
+func (m *OutageMonitor) Run(ctx context.Context) error {
+	outage := false
 	for sleep.For(ctx, checkInterval) == nil {
-		parts := s.ownParts()
-		before := away
-		away = len(parts) > 0 && !s.check(ctx, !away && s.Verified() >= verifyAfter)
+		parts := m.ownParts()
+		before := outage
+		outage = len(parts) > 0 && !m.check(ctx, !outage && m.Verified() >= verifyAfter)
 		switch {
-		case away && !before:
-			s.Logger.Warn(msgQuerying, zap.Any("parts", parts))
-		case before && !away:
-			s.Logger.Info(msgNotQuerying)
+		case outage && !before:
+			m.Logger.Warn(msgQuerying, zap.Any("parts", parts))
+		case before && !outage:
+			m.Logger.Info(msgNotQuerying)
 		}
-		if away {
-			s.queryServers(ctx, parts)
+		if outage {
+			m.queryServers(ctx, parts)
 		}
 	}
 	return ctx.Err()
@@ -74,11 +74,11 @@
 
 // ownParts returns the parts for which this host decides: those that it
 // allocates, and those whose allocators do not answer it.
-func (s *OutageMonitor) ownParts() []Part {
+func (m *OutageMonitor) ownParts() []Part {
 	var ownParts []Part
-	for _, service := range s.Fleet.EngineServices() {
-		for _, part := range s.Client.partitioning(service).parts() {
-			if s.Client.allocator(part) == s.Host {
+	for _, service := range m.Fleet.EngineServices() {
+		for _, part := range m.Client.partitioning(service).parts() {
+			if m.Client.allocator(part) == m.Host {
 				ownParts = append(ownParts, part)
 			}
 		}
@@ -86,13 +86,13 @@
 	return ownParts
 }
 
-func (s *OutageMonitor) check(ctx context.Context, verify bool) bool {
+func (m *OutageMonitor) check(ctx context.Context, verify bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	if verify {
-		return s.Verify(ctx) == nil
+		return m.Verify(ctx) == nil
 	}
-	return s.Check(ctx) == nil
+	return m.Check(ctx) == nil
 }
 
 // serversToQuery returns the servers of a part that are queried. The part's
@@ -100,33 +100,33 @@
 // those on which it has work; otherwise each of many partitioned hosts would
 // query all servers. Servers that requested a backoff from this host are left
 // out.
-func (s *OutageMonitor) serversToQuery(part Part) []fleet.Server {
-	servers := s.Fleet.UsableWithWork(part.Service)
-	if s.Client.preferredAllocator(part) == s.Host {
-		servers = s.Fleet.Usable(part.Service)
+func (m *OutageMonitor) serversToQuery(part Part) []fleet.Server {
+	servers := m.Fleet.UsableWithWork(part.Service)
+	if m.Client.preferredAllocator(part) == m.Host {
+		servers = m.Fleet.Usable(part.Service)
 	}
-	return slices.DeleteFunc(servers, func(server fleet.Server) bool { return !part.Contains(server) || s.Fleet.InBackoff(server.ID) })
+	return slices.DeleteFunc(servers, func(server fleet.Server) bool { return !part.Contains(server) || m.Fleet.InBackoff(server.ID) })
 }
 
 // queryServer queries one server and applies its status. A server that does not
 // answer is ignored: requests to it show whether it is reachable.
-func (s *OutageMonitor) queryServer(ctx context.Context, server fleet.Server) {
-	status, err := s.Ask(ctx, server)
+func (m *OutageMonitor) queryServer(ctx context.Context, server fleet.Server) {
+	status, err := m.Ask(ctx, server)
 	if err != nil {
 		return
 	}
-	s.Fleet.ApplySelfReport(server.Incarnation(), status)
+	m.Fleet.ApplySelfReport(server.Incarnation(), status)
 }
 
 // queryServers queries the servers of the parts concurrently.
-func (s *OutageMonitor) queryServers(ctx context.Context, parts []Part) {
+func (m *OutageMonitor) queryServers(ctx context.Context, parts []Part) {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	var group sync.WaitGroup
 	for _, part := range parts {
-		for _, server := range s.serversToQuery(part) {
+		for _, server := range m.serversToQuery(part) {
 			group.Go(func() {
-				s.queryServer(ctx, server)
+				m.queryServer(ctx, server)
 			})
 		}
 	}
--- a/allocation/part_test.go
+++ b/allocation/part_test.go
@@ -157,10 +157,10 @@
 	home, other := Part{Service: llm, Domain: "d1", Count: 1}, Part{Service: llm, Domain: "d2", Count: 1}
 	busy := fleet.Load{Requests: 6, HeldTokens: 24000, UsedTokens: 20000, UnreadTokens: 2400}
 	table.SetOthers("h001", llm, map[string]fleet.Load{"e1": busy, "e4": busy}, home.Contains)
-	asked := PlacementRequest{Request: "r1", Need: placement.Need{PromptTokens: 3000, OutputTokens: 200}}
-	home.mustContain(t, table, client.Place(context.Background(), llm, asked, nil)) // no offers yet
+	req := PlacementRequest{Request: "r1", Need: placement.Need{PromptTokens: 3000, OutputTokens: 200}}
+	home.mustContain(t, table, client.Place(context.Background(), llm, req, nil)) // no offers yet
 	allocator.offerTable.update(other, nil, []float64{0.05})
-	other.mustContain(t, table, client.Place(context.Background(), llm, asked, nil))
+	other.mustContain(t, table, client.Place(context.Background(), llm, req, nil))
 }
 
 func TestOffersExpire(t *testing.T) {
--- a/allocation/replay_test.go
+++ b/allocation/replay_test.go
@@ -95,12 +95,12 @@
 // ask places a generation as a host does, and reports whether it found a place.
 func (f *replayedFleet) ask(domain string, need placement.Need) bool {
 	host := "host-" + domain
-	asked := PlacementRequest{Request: "r", Need: need}
-	placed := f.allocators[domain].Place(host, domain, f.parts[domain], asked, nil)
+	req := PlacementRequest{Request: "r", Need: need}
+	placed := f.allocators[domain].Place(host, domain, f.parts[domain], req, nil)
 	at := domain
 	if placed.Elsewhere.Service != "" {
-		at, asked.Settled = placed.Elsewhere.Domain, true
-		placed = f.allocators[at].Place(host, domain, placed.Elsewhere, asked, nil)
+		at, req.Settled = placed.Elsewhere.Domain, true
+		placed = f.allocators[at].Place(host, domain, placed.Elsewhere, req, nil)
 	}
 	if placed.Server == "" {
 		return false
--- a/allocation/report.go
+++ b/allocation/report.go
@@ -212,8 +212,8 @@
 	if err == nil {
 		c.recordLeavingList(allocator, response.GetLeavingDigest(), request.GetLeavingDigest())
 	}
-	for _, life := range response.GetLeaving() {
-		c.fleet.MarkLeaving(fleet.Incarnation{ID: life.GetServer(), Born: life.GetBorn()}, fleet.SourcePeer)
+	for _, incarnation := range response.GetLeaving() {
+		c.fleet.MarkLeaving(fleet.Incarnation{ID: incarnation.GetServer(), Born: incarnation.GetBorn()}, fleet.SourcePeer)
 	}
 	return err == nil
 }
--- a/allocation/server.go
+++ b/allocation/server.go
@@ -26,12 +26,12 @@
 
 // Place implements allocationpb.AllocationServer.
 func (s *server) Place(_ context.Context, r *allocationpb.PlaceRequest) (*allocationpb.PlaceResponse, error) {
-	asked := PlacementRequest{
+	req := PlacementRequest{
 		Request: r.GetRequest(), Fingerprint: r.GetFingerprint(),
 		Need:    placement.Need{PromptTokens: int(r.GetPromptTokens()), OutputTokens: int(r.GetOutputTokens())},
 		Settled: r.GetSettled(),
 	}
-	placed := s.allocator.Place(r.GetHost(), r.GetFailureDomain(), partFromProto(r.GetPart()), asked, r.GetExcept())
+	placed := s.allocator.Place(r.GetHost(), r.GetFailureDomain(), partFromProto(r.GetPart()), req, r.GetExcept())
 	return &allocationpb.PlaceResponse{Server: placed.Server, Elsewhere: placed.Elsewhere.toProto()}, nil
 }
 
@@ -81,12 +81,12 @@
 	leaving := s.allocator.fleet.Leaving(part.Service)
 	response.LeavingDigest = digestOf(leaving)
 	if response.LeavingDigest != r.GetLeavingDigest() {
-		for _, life := range leaving {
-			response.Leaving = append(response.Leaving, &allocationpb.ServerLife{Server: life.ID, Born: life.Born})
+		for _, incarnation := range leaving {
+			response.Leaving = append(response.Leaving, &allocationpb.ServerLife{Server: incarnation.ID, Born: incarnation.Born})
 		}
 	}
-	for life, left := range s.allocator.fleet.Shunned() {
-		response.Shunned = append(response.Shunned, &allocationpb.ServerRest{Server: life.ID, Born: life.Born, LeftMs: uint32(left.Milliseconds())})
+	for incarnation, left := range s.allocator.fleet.Shunned() {
+		response.Shunned = append(response.Shunned, &allocationpb.ServerRest{Server: incarnation.ID, Born: incarnation.Born, LeftMs: uint32(left.Milliseconds())})
 	}
 	if s.allocator.SinceStoreFailure != nil {
 		response.UndisturbedMs = uint32(min(s.allocator.SinceStoreFailure(), time.Hour).Milliseconds())
@@ -102,11 +102,11 @@
 
 // digestOf identifies a list of incarnations. Zero, which stands for no list,
 // is not the digest of the empty list.
-func digestOf(lives []fleet.Incarnation) uint64 {
+func digestOf(incarnations []fleet.Incarnation) uint64 {
 	digest := xxhash.New()
-	for _, life := range lives {
-		_, _ = digest.WriteString(life.ID)
-		_, _ = digest.Write(binary.BigEndian.AppendUint64([]byte{0}, uint64(life.Born)))
+	for _, incarnation := range incarnations {
+		_, _ = digest.WriteString(incarnation.ID)
+		_, _ = digest.Write(binary.BigEndian.AppendUint64([]byte{0}, uint64(incarnation.Born)))
 	}
 	return digest.Sum64()
 }
--- a/backend/clientstream.go
+++ b/backend/clientstream.go
@@ -78,7 +78,7 @@
 	return chunk, nil
 }
 
-// SetReadTimeout overrides ClientOptions.Silence for this stream. It must be
+// SetReadTimeout overrides ClientOptions.StreamReadTimeout for this stream. It must be
 // called before Next.
 func (s *Stream) SetReadTimeout(d time.Duration) { s.readTimeout = d }
 
--- a/backend/pool_poller.go
+++ b/backend/pool_poller.go
@@ -49,7 +49,7 @@
 	Timeout time.Duration // of one poll. Default 1 s.
 	Workers int           // concurrent polls. Default 8.
 	// MaxPolledServers is the maximum number of servers polled per service. Default
-	// FollowedServers.
+	// DefaultMaxPolledServers.
 	MaxPolledServers int
 	Seed             uint64 // of the jitter and the order in a round
 }
--- a/domain/watchduty.go
+++ b/domain/watchduty.go
@@ -66,7 +66,7 @@
 //
 // Failure: the store accepts calls and never answers them. A watch started in
 // that time blocks until its own timeout even when the store is back, and
-// misses servers that were replaced. After a failed check Returned must
+// misses servers that were replaced. After a failed check OnStoreRecovered must
 // therefore start a new list of all objects.
 //
 // Failure: the store rejects this host and serves others. After
--- a/entryhost/homes.go
+++ b/entryhost/homes.go
@@ -38,7 +38,7 @@
 
 // homes forwards a request to the home of its key, the only host that may run
 // it: if the home cannot be reached the outcome is "unknown"; the request never
-// runs at another host. It implements relay.Homes.
+// runs at another host. It implements relay.HomeRouter.
 type homes struct {
 	self   string
 	ledger *record.Ledger
@@ -46,7 +46,7 @@
 	peers  peers
 }
 
-// Run implements relay.Homes.
+// Run implements relay.HomeRouter.
 func (h *homes) Run(ctx context.Context, key record.Key, request *peerpb.ForwardRequest) record.Answer {
 	if h.ledger.AnswersFor(key.Home) {
 		return h.local.RunOnce(ctx, key, request)
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -220,7 +220,7 @@
 }
 
 // followsStore reports whether this host watches the documents in the store: it
-// is one of the few watchers, or has the lease of the order duty.
+// is one of the few watchers, or has the lease of the order controller.
 func (h *Host) followsStore() bool { return h.watchDuty.Watches() || h.orderController.Holding() }
 
 // subscribe registers the callbacks by which changes of one component reach the
--- a/entryhost/duty.go
+++ b/entryhost/order_controller.go
@@ -10,7 +10,7 @@
 	"github.com/papayasail/papayasail/order"
 )
 
-// newOrderController returns the duty of sending orders to engines. The hosts that
+// newOrderController returns the controller that sends orders to engines. The hosts that
 // watch the store contend for its lease.
 func (h *Host) newOrderController() *order.Controller {
 	engines := backend.NewClient(h.options.Network, backend.ClientOptions{ControlTimeout: orderTimeout, OrderToken: h.settings.OrderToken})
@@ -25,7 +25,7 @@
 // loading a model.
 const orderTimeout = 30 * time.Second
 
-// contends reports whether this host contends for the lease of the order duty.
+// contends reports whether this host contends for the lease of the order controller.
 func (h *Host) contends() bool { return !h.leaving.Load() && h.watchDuty.Watches() }
 
 // refreshDocuments reads all documents from the store and applies them.
--- a/fleet/cold.go
+++ b/fleet/cold.go
@@ -24,18 +24,18 @@
 }
 
 // ApplySelfReport applies the status that a server reported about itself.
-func (t *Table) ApplySelfReport(life Incarnation, status SelfReport) {
+func (t *Table) ApplySelfReport(incarnation Incarnation, status SelfReport) {
 	if status.Leaves {
-		t.MarkLeaving(life, SourceAnswer)
+		t.MarkLeaving(incarnation, SourceAnswer)
 	}
-	t.MarkCold(life, status.ColdFor)
+	t.MarkCold(incarnation, status.ColdFor)
 }
 
 // MarkCold applies a server's own report that it remains cold for the given time.
-func (t *Table) MarkCold(life Incarnation, left time.Duration) {
+func (t *Table) MarkCold(incarnation Incarnation, left time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e := t.entryOf(life); e != nil {
+	if e := t.entryOf(incarnation); e != nil {
 		e.markColdFor(left)
 	}
 }
--- a/fleet/evidence.go
+++ b/fleet/evidence.go
@@ -98,10 +98,10 @@
 }
 
 // Shun applies another host's report that a plain server is to be avoided.
-func (t *Table) Shun(life Incarnation, left time.Duration) {
+func (t *Table) Shun(incarnation Incarnation, left time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e := t.entryOf(life); e != nil && !t.isEngine(e) {
+	if e := t.entryOf(incarnation); e != nil && !t.isEngine(e) {
 		e.shunnedUntil = time.Now().Add(min(left, avoidedFor))
 	}
 }
--- a/fleet/life.go
+++ b/fleet/incarnation.go
@@ -55,18 +55,18 @@
 }
 
 // entryOf returns the entry of an incarnation, or nil. Requires mu.
-func (t *Table) entryOf(life Incarnation) *entry {
-	e := t.servers[life.ID]
-	if e == nil || !e.server.Incarnation().Is(life) {
+func (t *Table) entryOf(incarnation Incarnation) *entry {
+	e := t.servers[incarnation.ID]
+	if e == nil || !e.server.Incarnation().Is(incarnation) {
 		return nil
 	}
 	return e
 }
 
 // Superseded reports whether a later incarnation of the server is known.
-func (t *Table) Superseded(life Incarnation) bool {
+func (t *Table) Superseded(incarnation Incarnation) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.servers[life.ID]
-	return e != nil && !e.server.Incarnation().Is(life)
+	e := t.servers[incarnation.ID]
+	return e != nil && !e.server.Incarnation().Is(incarnation)
 }
--- a/fleet/leaving.go
+++ b/fleet/leaving.go
@@ -16,18 +16,18 @@
 // recordLeavingReport records that a server reported itself as leaving. The
 // report holds for the rest of the incarnation, whatever the host list
 // contains. Requires mu.
-func (t *Table) recordLeavingReport(life Incarnation) {
+func (t *Table) recordLeavingReport(incarnation Incarnation) {
 	for id, report := range t.leavingReports {
 		if time.Since(report.at) >= leavingReportTTL && t.servers[id] == nil {
 			delete(t.leavingReports, id)
 		}
 	}
-	t.leavingReports[life.ID] = leavingReport{life, time.Now()}
+	t.leavingReports[incarnation.ID] = leavingReport{incarnation, time.Now()}
 }
 
 // reportedLeaving reports whether a server has reported itself as leaving in
 // this incarnation. Requires mu.
-func (t *Table) reportedLeaving(life Incarnation) bool {
-	report, known := t.leavingReports[life.ID]
-	return known && report.incarnation.Is(life)
+func (t *Table) reportedLeaving(incarnation Incarnation) bool {
+	report, known := t.leavingReports[incarnation.ID]
+	return known && report.incarnation.Is(incarnation)
 }
--- a/fleet/silent.go
+++ b/fleet/stalled.go
@@ -48,9 +48,9 @@
 //
 // When connections to an engine go silent, its generations end there unnoticed.
 // Their reservations would otherwise block its capacity until their deadlines.
-func (t *Table) Release(life Incarnation, held Held) []string {
+func (t *Table) Release(incarnation Incarnation, held Held) []string {
 	t.mu.Lock()
-	e := t.entryOf(life)
+	e := t.entryOf(incarnation)
 	var lost []*Work
 	if e != nil && held.Unnamed == 0 {
 		lost = slices.DeleteFunc(e.stalledWork(time.Now()), func(w *Work) bool { return slices.Contains(held.Running, w.ID) })
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -182,13 +182,13 @@
 }
 
 // MarkLeaving records that an incarnation of a server accepts no new work.
-func (t *Table) MarkLeaving(life Incarnation, because LeavingSource) {
+func (t *Table) MarkLeaving(incarnation Incarnation, because LeavingSource) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if because == SourceAnswer {
-		t.recordLeavingReport(life)
+		t.recordLeavingReport(incarnation)
 	}
-	if e := t.entryOf(life); e != nil {
+	if e := t.entryOf(incarnation); e != nil {
 		t.setLeaving(e, because)
 	}
 }
@@ -241,22 +241,22 @@
 func (t *Table) Leaving(name string) []Incarnation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var lives []Incarnation
+	var incarnations []Incarnation
 	s := t.service(name)
 	for _, e := range s.members {
 		if e.leaving {
-			lives = append(lives, e.server.Incarnation())
+			incarnations = append(incarnations, e.server.Incarnation())
 		}
 	}
-	for life, at := range s.departed {
+	for incarnation, at := range s.departed {
 		if time.Since(at) > departedTTL {
-			delete(s.departed, life)
+			delete(s.departed, incarnation)
 			continue
 		}
-		lives = append(lives, life)
+		incarnations = append(incarnations, incarnation)
 	}
-	slices.SortFunc(lives, func(a, b Incarnation) int { return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Born, b.Born)) })
-	return lives
+	slices.SortFunc(incarnations, func(a, b Incarnation) int { return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Born, b.Born)) })
+	return incarnations
 }
 
 // Usable returns the servers of a service that accept new work.
--- a/gateway/backend.go
+++ b/gateway/backend.go
@@ -17,7 +17,7 @@
 	Request      *Request
 	Organisation string // "": none
 	Priority     int
-	// Deadline is the deadline, after which the server may stop working on the request.
+	// Deadline is when the server may stop working on the request.
 	Deadline time.Time
 	// Resume is set for a run that is resumed on another server.
 	Resume *Resume
@@ -70,7 +70,7 @@
 type Allocator interface {
 	// Place returns the ID of the server for a generation, or "" if none has
 	// capacity. Servers in except are not considered.
-	Place(ctx context.Context, service string, asked allocation.PlacementRequest, except []string) string
+	Place(ctx context.Context, service string, req allocation.PlacementRequest, except []string) string
 	// TakeTurn waits until a run may move and returns the ID of the destination
 	// ("": there is none) and a function that ends the turn.
 	TakeTurn(ctx context.Context, service string, move migration.Move) (destination string, end func(), err error)
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -94,9 +94,9 @@
 
 func (w *harness) Discard(context.Context, fleet.Server, string) error { return nil }
 
-func (w *harness) Place(_ context.Context, service string, asked allocation.PlacementRequest, except []string) string {
+func (w *harness) Place(_ context.Context, service string, req allocation.PlacementRequest, except []string) string {
 	candidates := w.fleet.Candidates(service, "d1", except...)
-	if i := placement.Pick(asked.Need, candidates, placement.DefaultLimits, func(int) int { return 0 }); i >= 0 {
+	if i := placement.Pick(req.Need, candidates, placement.DefaultLimits, func(int) int { return 0 }); i >= 0 {
 		return candidates[i].ID
 	}
 	return ""
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -92,8 +92,8 @@
 // capacity.
 func (t *task) chooseServer(ctx context.Context, need placement.Need, candidates []placement.Candidate) string {
 	if t.service.Engine != nil && t.route.Kind == Generation {
-		asked := allocation.PlacementRequest{Request: t.request.ID, Fingerprint: t.fingerprint, Need: need}
-		return t.gateway.options.Allocator.Place(ctx, t.service.Name, asked, t.tried)
+		req := allocation.PlacementRequest{Request: t.request.ID, Fingerprint: t.fingerprint, Need: need}
+		return t.gateway.options.Allocator.Place(ctx, t.service.Name, req, t.tried)
 	}
 	if i := placement.Pick(need, candidates, t.gateway.options.Limits, rand.IntN); i >= 0 {
 		return candidates[i].ID
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -49,13 +49,13 @@
 // A request that crashes every server that runs it is retried by its caller at
 // one host after the other, and each crash ends all other runs on the server.
 func (t *task) reportSuspectedCrash(work *fleet.Work) {
-	server, life, backend := work.Server(), work.Context(), t.gateway.options.Backend
+	server, workContext, backend := work.Server(), work.Context(), t.gateway.options.Backend
 	run := quarantine.Run{
 		Fingerprint: t.fingerprint, Sent: t.sentMark, Request: t.request.ID, Server: server.ID,
 		Early: t.firstEvent == 0 || time.Since(t.request.Arrived) < t.firstEvent+earlyRunWindow,
 	}
 	t.gateway.options.Quarantine.ReportBroken(run, func(ctx context.Context) bool {
-		return life.Err() != nil || backend.RefusesConnection(ctx, server)
+		return workContext.Err() != nil || backend.RefusesConnection(ctx, server)
 	})
 }
 
--- a/gatewayhost/host_test.go
+++ b/gatewayhost/host_test.go
@@ -53,7 +53,7 @@
 	queryLeaving func(id string) (bool, error)
 	held         fleet.Held
 	coldFor      time.Duration
-	onBroken     *func(address string) // receives the host's OnBroken callback unless nil
+	onBroken     *func(address string) // receives the host's OnConnectionBroken callback unless nil
 }
 
 func (s servers) OnConnectionBroken(onBroken func(string)) {
--- a/link/pool.go
+++ b/link/pool.go
@@ -14,8 +14,7 @@
 // Endpoint identifies the remote process of a connection.
 type Endpoint struct {
 	Address string // IP:port
-	// Incarnation distinguishes successive processes (incarnations) at the address;
-	// zero: unknown.
+	// Incarnation distinguishes successive processes at the address; zero: unknown.
 	Incarnation int64
 }
 
--- a/order/duty.go
+++ b/order/controller.go
@@ -73,23 +73,23 @@
 
 // Holding reports whether this host holds the lease, according to its local
 // state. Such a host must watch the store for newer documents.
-func (d *Controller) Holding() bool { return d.isHolder.Load() }
+func (c *Controller) Holding() bool { return c.isHolder.Load() }
 
 // Run contends for the lease and places models while it has the lease. It
 // returns the error of ctx when ctx ends, after releasing the lease.
-func (d *Controller) Run(ctx context.Context) error {
+func (c *Controller) Run(ctx context.Context) error {
 	var backoff store.Backoff
 	for ctx.Err() == nil {
-		if !d.contends() {
+		if !c.contends() {
 			if err := sleep.For(ctx, notContendingPeriod); err != nil {
 				return err
 			}
 			continue
 		}
-		held, err := d.Lessor.Acquire(ctx, LeaseName)
+		held, err := c.Lessor.Acquire(ctx, LeaseName)
 		if err == nil {
 			backoff.Reset()
-			if d.hold(ctx, held) {
+			if c.hold(ctx, held) {
 				_ = sleep.For(ctx, yieldPeriod)
 			}
 			continue
@@ -108,19 +108,19 @@
 // hold renews the lease and places models until the lease is lost, ctx ends or
 // the host no longer contends. It returns true if it yielded the lease to
 // another failure domain.
-func (d *Controller) hold(ctx context.Context, held *lease.Lease) (yielded bool) {
-	d.logger().Info(msgAcquired, zap.Uint64("fence", held.Fence()))
-	d.isHolder.Store(true)
+func (c *Controller) hold(ctx context.Context, held *lease.Lease) (yielded bool) {
+	c.logger().Info(msgAcquired, zap.Uint64("fence", held.Fence()))
+	c.isHolder.Store(true)
 	holding.Set(1)
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return d.renew(ctx, held) })
-	group.Go(func() error { return d.placeModels(ctx, held) })
+	group.Go(func() error { return c.renew(ctx, held) })
+	group.Go(func() error { return c.placeModels(ctx, held) })
 	err := group.Wait()
-	d.isHolder.Store(false)
+	c.isHolder.Store(false)
 	holding.Set(0)
-	d.Placement.Forget()
-	d.release(held)
-	d.logger().Info(msgEnded, zap.Uint64("fence", held.Fence()), zap.Error(err))
+	c.Placement.Forget()
+	c.release(held)
+	c.logger().Info(msgEnded, zap.Uint64("fence", held.Fence()), zap.Error(err))
 	return errors.Is(err, errYield)
 }
 
@@ -128,18 +128,18 @@
 // If an order of this holder may still take effect, the lease is left to expire
 // instead, so that the next holder waits until that order can no longer take
 // effect.
-func (d *Controller) release(held *lease.Lease) {
-	if d.Dispatcher.Unsettled() {
+func (c *Controller) release(held *lease.Lease) {
+	if c.Dispatcher.Unsettled() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	_ = d.Lessor.Release(ctx, held)
+	_ = c.Lessor.Release(ctx, held)
 }
 
 // renew renews the lease until it is lost or ctx ends. It never returns nil.
-func (d *Controller) renew(ctx context.Context, held *lease.Lease) error {
-	every := d.RenewEvery
+func (c *Controller) renew(ctx context.Context, held *lease.Lease) error {
+	every := c.RenewEvery
 	if every <= 0 {
 		every = defaultTick
 	}
@@ -148,7 +148,7 @@
 			return err
 		}
 		renewCtx, cancel := context.WithTimeout(ctx, renewTimeout)
-		err := d.Lessor.Renew(renewCtx, held, nil)
+		err := c.Lessor.Renew(renewCtx, held, nil)
 		cancel()
 		if errors.Is(err, lease.ErrLost) {
 			return err
@@ -158,19 +158,19 @@
 
 // placeModels plans and sends orders until ctx ends, the host no longer contends
 // or it yields the lease. It never returns nil.
-func (d *Controller) placeModels(ctx context.Context, held *lease.Lease) error {
+func (c *Controller) placeModels(ctx context.Context, held *lease.Lease) error {
 	if err := sleep.For(ctx, held.FirstActionDelay()); err != nil {
 		return err
 	}
-	if err := d.refresh(ctx); err != nil {
+	if err := c.refresh(ctx); err != nil {
 		return err
 	}
-	tick := d.Tick
+	tick := c.Tick
 	if tick <= 0 {
 		tick = defaultTick
 	}
-	for d.contends() {
-		if held.Remaining() > minRemaining && d.dispatchPlan(ctx, held) == 0 && d.Placement.DueElsewhere() {
+	for c.contends() {
+		if held.Remaining() > minRemaining && c.dispatchPlan(ctx, held) == 0 && c.Placement.DueElsewhere() {
 			// Guards against a server that never gets its model, because its
 			// document allows orders from one failure domain only and the holder
 			// is in another. A host that may send the order gets the lease.
@@ -183,12 +183,12 @@
 	return errNotContending
 }
 
-func (d *Controller) refresh(ctx context.Context) error {
-	if d.Refresh == nil {
+func (c *Controller) refresh(ctx context.Context) error {
+	if c.Refresh == nil {
 		return nil
 	}
 	var backoff store.Backoff
-	for d.Refresh(ctx) != nil {
+	for c.Refresh(ctx) != nil {
 		if err := backoff.Wait(ctx); err != nil {
 			return err
 		}
@@ -197,13 +197,13 @@
 }
 
 // dispatchPlan sends the orders of one plan and returns their number.
-func (d *Controller) dispatchPlan(ctx context.Context, held *lease.Lease) int {
+func (c *Controller) dispatchPlan(ctx context.Context, held *lease.Lease) int {
 	var group errgroup.Group
 	group.SetLimit(parallelOrders)
-	orders := d.Placement.Plan(ctx)
+	orders := c.Placement.Plan(ctx)
 	for _, order := range orders {
 		group.Go(func() error {
-			d.dispatch(ctx, held, order)
+			c.dispatch(ctx, held, order)
 			return nil
 		})
 	}
@@ -211,24 +211,24 @@
 	return len(orders)
 }
 
-func (d *Controller) dispatch(ctx context.Context, held *lease.Lease, order Order) {
-	state, err := d.Dispatcher.Dispatch(ctx, held, order)
+func (c *Controller) dispatch(ctx context.Context, held *lease.Lease, order Order) {
+	state, err := c.Dispatcher.Dispatch(ctx, held, order)
 	fields := []zap.Field{zap.String("server", order.Server.Address), zap.Stringer("order", order), zap.Uint64("fence", held.Fence())}
 	var wait *WaitError
 	switch {
 	case err == nil:
-		d.Placement.RecordState(order.Server.Address, state)
-		d.logger().Info(msgOrder, fields...)
+		c.Placement.RecordState(order.Server.Address, state)
+		c.logger().Info(msgOrder, fields...)
 	case !errors.As(err, &wait):
-		d.logger().Warn(msgNoOrder, append(fields, zap.Error(err))...)
+		c.logger().Warn(msgNoOrder, append(fields, zap.Error(err))...)
 	}
 }
 
-func (d *Controller) contends() bool { return d.Contend == nil || d.Contend() }
+func (c *Controller) contends() bool { return c.Contend == nil || c.Contend() }
 
-func (d *Controller) logger() *zap.Logger {
-	if d.Logger == nil {
+func (c *Controller) logger() *zap.Logger {
+	if c.Logger == nil {
 		return zap.NewNop()
 	}
-	return d.Logger
+	return c.Logger
 }
--- a/order/options.go
+++ b/order/options.go
@@ -10,23 +10,23 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// Options configures a Duty. Fields without a stated default are required.
+// Options configures a Controller. Fields without a stated default are required.
 type Options struct {
 	Host          string
 	FailureDomain string
 	Store         store.Store
-	// Engine's calls may take up to Longest; a backend.Client needs that value
+	// Engine's calls may take up to MaxExecutionTime; a backend.Client needs that value
 	// as its ControlTimeout.
 	Engine    Engine
 	Documents Documents
 	// Leaving reports whether a server accepts no new work; nil: only drained
 	// servers count as leaving.
 	Leaving func(address string) bool
-	// Contend and Refresh: see Duty.
+	// Contend and Refresh: see Controller.
 	Contend func() bool
 	Refresh func(ctx context.Context) error
 	// LoadsPerMinute is the rate of model loads that the weight store allows
-	// for the whole fleet (0: no limit), with bursts of LoadsAtOnce; default 1.
+	// for the whole fleet (0: no limit), with bursts of LoadBurst; default 1.
 	LoadsPerMinute float64
 	LoadBurst      int
 	// Term is the duration of the lease; default 20 s.
@@ -38,7 +38,7 @@
 	Logger           *zap.Logger   // nil: no log
 }
 
-// New returns a Duty; call its Run method to start it.
+// New returns a Controller; call its Run method to start it.
 func New(o Options) *Controller {
 	if o.MaxExecutionTime <= 0 {
 		o.MaxExecutionTime = defaultMaxExecutionTime
--- a/order/world_test.go
+++ b/order/world_test.go
@@ -28,7 +28,7 @@
 	testBurst            = 3
 )
 
-// world is a store, entry hosts that each run a Duty, and engines, in one
+// world is a store, entry hosts that each run a Controller, and engines, in one
 // synctest bubble.
 type world struct {
 	ctx    context.Context
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -214,9 +214,9 @@
 }
 
 // set stores a record and returns the functions that cancel the runs of a newly
-// quarantined request. The record is gossiped if tell is set or it is
+// quarantined request. The record is gossiped if gossip is set or it is
 // quarantined. Called with mu held.
-func (t *Table) set(r Record, lasts time.Duration, tell bool, source string) (ends []*func()) {
+func (t *Table) set(r Record, lasts time.Duration, gossip bool, source string) (ends []*func()) {
 	known := t.get(r.Fingerprint)
 	wasQuarantined := known != nil && known.Quarantined()
 	if known == nil {
@@ -227,7 +227,7 @@
 	known.Record, known.expires = r, time.Now().Add(lasts)
 	known.Remaining = 0
 	known.retransmitsLeft = 0
-	if tell {
+	if gossip {
 		known.retransmitsLeft = suspectRetransmits
 	}
 	if r.Quarantined() {
--- a/record/handover.go
+++ b/record/handover.go
@@ -15,7 +15,7 @@
 const maxPageBytes = 1 << 20
 
 // Pages returns the records that a stopping host hands over, in pages. The map
-// is keyed by Home.Life and has an element for the host's own incarnation and
+// is keyed by Home.IncarnationID and has an element for the host's own incarnation and
 // for each adopted one. Call it after Close. Requests that still run are handed
 // over as not finished; the successor answers them with "unknown".
 func (l *Ledger) Pages() map[string][]*peerpb.HandOverRequest {
--- a/record/home.go
+++ b/record/home.go
@@ -34,8 +34,8 @@
 	return h.IncarnationID() + "." + strconv.FormatUint(h.Epoch, numberBase)
 }
 
-// IncarnationID formats the host and its incarnation as HOST.INCARNATION, without the
-// epoch.
+// IncarnationID formats the host and its incarnation as HOST.INCARNATION,
+// without the epoch.
 func (h Home) IncarnationID() string {
 	return h.Host + "." + strconv.FormatUint(h.Incarnation, numberBase)
 }
--- a/record/ledger.go
+++ b/record/ledger.go
@@ -51,7 +51,7 @@
 
 	mu             sync.Mutex           // guards all below
 	entries        map[recordKey]*Entry // own and adopted
-	adoptions      map[string]*adoption // hand-overs received from other hosts, by Home.Life
+	adoptions      map[string]*adoption // hand-overs received from other hosts, by Home.IncarnationID
 	bytes          int                  // sum of Entry.bytes
 	closed         bool                 // set by Close: no new request starts
 	running        int                  // entries begun and not finished
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -93,7 +93,7 @@
 	evaluators evaluators
 }
 
-// New returns a relay. SetHomes must be called before it serves requests.
+// New returns a relay. SetHomeRouter must be called before it serves requests.
 func New(options Options) *Relay {
 	if options.MaxBodyBytes <= 0 {
 		options.MaxBodyBytes = DefaultMaxBodyBytes
@@ -125,7 +125,7 @@
 	return &Relay{Options: options}
 }
 
-// SetHomeRouter sets the runner of non-idempotent requests.
+// SetHomeRouter sets the router of non-idempotent requests.
 func (r *Relay) SetHomeRouter(homes HomeRouter) { r.homeRouter = homes }
 
 // authenticate authenticates a request and returns its organisation and the
--- a/routing/dispatcher.go
+++ b/routing/dispatcher.go
@@ -56,7 +56,7 @@
 	Share func() float64
 	// MaxPolledServers is the size of this host's subset of a service's servers. The
 	// host places outside the subset only if no server in it may take the
-	// request. Default: backend.FollowedServers.
+	// request. Default: backend.DefaultMaxPolledServers.
 	MaxPolledServers int
 }
 
--- a/store/memory.go
+++ b/store/memory.go
@@ -124,7 +124,7 @@
 	return version
 }
 
-// Compact compacts the whole history of changes, as the platform occasionally does.
+// Compact discards the whole history of changes, as the platform occasionally does.
 func (m *Memory) Compact() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
