--- a/backend/pool.go
+++ b/backend/pool.go
@@ -117,10 +117,10 @@
 
 // poolService is one service in force and its cached snapshot.
 type poolService struct {
-	document *contract.Document
-	layout   uint64 // increases when the list of servers changes
-	members  []*poolServer
-	snapshot *Snapshot // nil if it must be rebuilt
+	document          *contract.Document
+	serverListVersion uint64 // increases when the list of servers changes
+	members           []*poolServer
+	snapshot          *Snapshot // nil if it must be rebuilt
 }
 
 // NewPool returns an empty pool.
@@ -167,7 +167,7 @@
 // updateService builds the entry of one service from its document. The caller
 // holds mu.
 func (p *Pool) updateService(document *contract.Document, servers map[string]*poolServer, now time.Time) *poolService {
-	service := &poolService{document: document, layout: 1}
+	service := &poolService{document: document, serverListVersion: 1}
 	for _, declared := range document.BackendServers {
 		server := servers[declared.Address]
 		if server == nil {
@@ -177,9 +177,9 @@
 		service.members = append(service.members, server)
 	}
 	if before := p.services[document.Service]; before != nil {
-		service.layout = before.layout
+		service.serverListVersion = before.serverListVersion
 		if !sameServers(before.document, document) {
-			service.layout++
+			service.serverListVersion++
 		}
 	}
 	return service
--- a/backend/pool_snapshot.go
+++ b/backend/pool_snapshot.go
@@ -77,7 +77,7 @@
 	snapshot := &Snapshot{
 		Document:          service.document,
 		Servers:           make([]*Server, len(service.members)),
-		ServerListVersion: service.layout,
+		ServerListVersion: service.serverListVersion,
 		SlowStart:         p.options.SlowStart,
 	}
 	for i, member := range service.members {
--- a/entryhost/homes.go
+++ b/entryhost/home_router.go
@@ -25,7 +25,7 @@
 	maxQueryFailures = 2 // consecutive queries without a response
 )
 
-// peers is the part of the membership that homes uses.
+// peers is the part of the membership that homeRouter uses.
 type peers interface {
 	Members() []peer.Member
 	Forward(ctx context.Context, host string, request *peerpb.ForwardRequest) (*peerpb.ForwardResponse, error)
@@ -36,10 +36,10 @@
 	RunOnce(ctx context.Context, key record.Key, request *peerpb.ForwardRequest) record.Answer
 }
 
-// homes forwards a request to the home of its key, the only host that may run
-// it: if the home cannot be reached the outcome is "unknown"; the request never
+// homeRouter forwards a request to the home of its key, the only host that may
+// run it: if the home cannot be reached the outcome is "unknown"; the request never
 // runs at another host. It implements relay.HomeRouter.
-type homes struct {
+type homeRouter struct {
 	self   string
 	ledger *record.Ledger
 	local  runner
@@ -47,7 +47,7 @@
 }
 
 // Run implements relay.HomeRouter.
-func (h *homes) Run(ctx context.Context, key record.Key, request *peerpb.ForwardRequest) record.Answer {
+func (h *homeRouter) Run(ctx context.Context, key record.Key, request *peerpb.ForwardRequest) record.Answer {
 	if h.ledger.AnswersFor(key.Home) {
 		return h.local.RunOnce(ctx, key, request)
 	}
@@ -71,7 +71,7 @@
 // a new connection: a connection between hosts can stop delivering data without
 // being closed, so that waiting longer would not help. Repeating the query is
 // safe, since the key makes it idempotent.
-func (h *homes) query(ctx context.Context, host string, request *peerpb.ForwardRequest) (record.Answer, error) {
+func (h *homeRouter) query(ctx context.Context, host string, request *peerpb.ForwardRequest) (record.Answer, error) {
 	for failed := 0; ; {
 		short, stop := context.WithTimeout(ctx, queryTimeout)
 		response, err := h.peers.Forward(short, host, request)
@@ -91,7 +91,7 @@
 }
 
 // mayBeRunning reports whether the incarnation in a key may still be running.
-func (h *homes) mayBeRunning(member peer.Member, home record.Home) bool {
+func (h *homeRouter) mayBeRunning(member peer.Member, home record.Home) bool {
 	return member.Host != h.self && member.Incarnation <= home.Incarnation && member.State != peer.StateGone
 }
 
@@ -106,7 +106,7 @@
 // queryHolders queries the hosts that may have taken over the records of an
 // incarnation that has ended. Successors are selected in the same order in which
 // they are queried here, so a few queries find the holder without a directory.
-func (h *homes) queryHolders(ctx context.Context, members []peer.Member, key record.Key, request *peerpb.ForwardRequest) record.Answer {
+func (h *homeRouter) queryHolders(ctx context.Context, members []peer.Member, key record.Key, request *peerpb.ForwardRequest) record.Answer {
 	holders := ranked(members, h.self, key.Home.IncarnationID(), mayHold)
 	var failed error
 	for _, holder := range holders[:min(len(holders), maxHolders)] {
@@ -184,14 +184,14 @@
 // Forward serves a request that another host forwarded to this one. It implements
 // peer.Handler. It never forwards the request again, so there are no forwarding
 // loops.
-func (h *homes) Forward(ctx context.Context, request *peerpb.ForwardRequest) *peerpb.ForwardResponse {
+func (h *homeRouter) Forward(ctx context.Context, request *peerpb.ForwardRequest) *peerpb.ForwardResponse {
 	ctx, stop := context.WithTimeout(ctx, replyTimeout)
 	defer stop()
 	answer := h.handleForwarded(ctx, request)
 	return answer.ToProto()
 }
 
-func (h *homes) handleForwarded(ctx context.Context, request *peerpb.ForwardRequest) record.Answer {
+func (h *homeRouter) handleForwarded(ctx context.Context, request *peerpb.ForwardRequest) record.Answer {
 	key, err := record.ParseKey(request.GetKey())
 	if err != nil {
 		return record.Answer{Refusal: contract.NotRun(contract.ReasonKeyInvalid, 0, err.Error()).WithStatus(400)}
@@ -204,6 +204,6 @@
 
 // HandOver adopts a page of the records of a stopping host. It implements
 // peer.Handler.
-func (h *homes) HandOver(_ context.Context, page *peerpb.HandOverRequest) error {
+func (h *homeRouter) HandOver(_ context.Context, page *peerpb.HandOverRequest) error {
 	return h.ledger.Adopt(page)
 }
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -97,10 +97,10 @@
 	h.quarantine = quarantine.NewTable(o.Logger, o.Registry)
 	h.quarantine.Changed = func() { h.node.Announce() }
 	h.relay = h.newRelay()
-	homes := &homes{self: o.Settings.Host, ledger: h.ledger, local: h.relay}
-	h.node = h.newNode(homes)
-	homes.peers = h.node
-	h.relay.SetHomeRouter(homes)
+	router := &homeRouter{self: o.Settings.Host, ledger: h.ledger, local: h.relay}
+	h.node = h.newNode(router)
+	router.peers = h.node
+	h.relay.SetHomeRouter(router)
 	h.watchDuty = h.newWatchDuty()
 	h.hostList = newHostList(o.Store, h.pool, h.watchDuty.Watches)
 	h.orderController = h.newOrderController()
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -50,9 +50,9 @@
 
 // Lease is a granted lease. Its methods may be called from any goroutine.
 type Lease struct {
-	name       string
-	fence      uint64
-	quietUntil time.Time // earliest time at which the holder may begin an action
+	name          string
+	fence         uint64
+	firstActionAt time.Time // earliest time at which the holder may begin an action
 
 	// writeLock serialises writes to the store: a sender acquires it, and receives
 	// to release it. It is acquired before mu. It is a channel because the store
@@ -76,7 +76,7 @@
 
 // FirstActionDelay returns how long the holder must still wait before its first action,
 // because an action that the previous holder began in time may still be running.
-func (l *Lease) FirstActionDelay() time.Duration { return max(0, time.Until(l.quietUntil)) }
+func (l *Lease) FirstActionDelay() time.Duration { return max(0, time.Until(l.firstActionAt)) }
 
 // Remaining returns how long the holder may still begin actions; at zero or less
 // it must not begin any. It reaches zero well before others may take over the
--- a/lease/store_lessor.go
+++ b/lease/store_lessor.go
@@ -106,13 +106,13 @@
 		return nil, err
 	}
 	events.WithLabelValues(eventAcquired).Inc()
-	lease := &Lease{name: name, fence: uint64(acquired), quietUntil: time.Now(), writeLock: make(chan struct{}, 1), unknownWrites: map[uint64]time.Time{}}
+	lease := &Lease{name: name, fence: uint64(acquired), firstActionAt: time.Now(), writeLock: make(chan struct{}, 1), unknownWrites: map[uint64]time.Time{}}
 	if version != 0 && !current.Released {
 		// Failure: an order that the previous holder sent just before its lease
 		// expired is still being executed by an engine that ignores fencing
 		// numbers, and reverts an order of this holder. Waiting for the longest
 		// action lets it end first.
-		lease.quietUntil = lease.quietUntil.Add(current.maxActionTime())
+		lease.firstActionAt = lease.firstActionAt.Add(current.maxActionTime())
 	}
 	next.Fence = acquired
 	lease.recordWrite(acquired, next, since)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -246,14 +246,14 @@
 }
 
 // notify cancels runs and calls the callbacks, which must not happen with mu held.
-func (t *Table) notify(ends []*func(), changed, kept bool) {
+func (t *Table) notify(ends []*func(), changed, quarantineChanged bool) {
 	for _, end := range ends {
 		(*end)()
 	}
 	if changed && t.Changed != nil {
 		t.Changed()
 	}
-	if kept && t.QuarantineChanged != nil {
+	if quarantineChanged && t.QuarantineChanged != nil {
 		t.QuarantineChanged()
 	}
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -126,7 +126,7 @@
 }
 
 // SetHomeRouter sets the router of non-idempotent requests.
-func (r *Relay) SetHomeRouter(homes HomeRouter) { r.homeRouter = homes }
+func (r *Relay) SetHomeRouter(router HomeRouter) { r.homeRouter = router }
 
 // authenticate authenticates a request and returns its organisation and the
 // document of its service.
--- a/routing/view.go
+++ b/routing/view.go
@@ -22,11 +22,11 @@
 
 // view joins a snapshot of the pool with this host's own load data.
 type view struct {
-	snapshot *backend.Snapshot
-	layout   uint64
-	servers  []*candidate // one for each server in the snapshot, in its order
-	subset   []int        // indexes into servers of this host's subset
-	scratch  []*candidate // buffer for service.candidates
+	snapshot          *backend.Snapshot
+	serverListVersion uint64
+	servers           []*candidate // one for each server in the snapshot, in its order
+	subset            []int        // indexes into servers of this host's subset
+	scratch           []*candidate // buffer for service.candidates
 }
 
 // candidate is one server with this host's data about its load.
@@ -41,8 +41,8 @@
 	if v.snapshot == nil || v.snapshot.Document != snapshot.Document {
 		s.z = quantile(snapshot.Document.Placement.Risk)
 	}
-	if v.snapshot == nil || v.layout != snapshot.ServerListVersion {
-		v.layout = snapshot.ServerListVersion
+	if v.snapshot == nil || v.serverListVersion != snapshot.ServerListVersion {
+		v.serverListVersion = snapshot.ServerListVersion
 		v.servers = make([]*candidate, len(snapshot.Servers))
 		for i, server := range snapshot.Servers {
 			v.servers[i] = &candidate{serverLoad: s.serverLoad(server.Address)}
