--- a/allocation/allocation_test.go
+++ b/allocation/allocation_test.go
@@ -97,10 +97,10 @@
 	at, from := engines("a", "e1", "e2"), engines("b", "e1", "e2")
 	_, allocator, client := pair(t, at, from)
 	need := placement.Need{PromptTokens: 6000, OutputTokens: 400}
-	own := allocator.Place("other", "d", WholeService(llm), Asked{Request: "r1", Need: need}, nil)
-	other := client.Place(context.Background(), llm, Asked{Request: "r2", Need: need}, nil)
+	own := allocator.Place("other", "d", WholeService(llm), PlacementRequest{Request: "r1", Need: need}, nil)
+	other := client.Place(context.Background(), llm, PlacementRequest{Request: "r2", Need: need}, nil)
 	is.True(own.Server != other)
-	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r3", Need: need}, []string{"e1", "e2"}), "") // both already tried
+	is.Equal(client.Place(context.Background(), llm, PlacementRequest{Request: "r3", Need: need}, []string{"e1", "e2"}), "") // both already tried
 }
 
 // Guards against callers that retry when they were told to and are refused again.
@@ -112,7 +112,7 @@
 		at.SetOthers("h", llm, map[string]fleet.Load{"e1": {Requests: 9, HeldTokens: 31000}}, WholeService(llm).Contains)
 		need := placement.Need{PromptTokens: 3000, OutputTokens: 400}
 		ask := func(request string, fingerprint uint64) string {
-			return allocator.Place("h", "d", WholeService(llm), Asked{Request: request, Fingerprint: fingerprint, Need: need}, nil).Server
+			return allocator.Place("h", "d", WholeService(llm), PlacementRequest{Request: request, Fingerprint: fingerprint, Need: need}, nil).Server
 		}
 		is.Equal(ask("r1", 7), "")
 		time.Sleep(100 * time.Millisecond)
@@ -129,11 +129,11 @@
 	is := is.New(t)
 	h, _, client := pair(t, engines("a", "e1"), engines("b", "e2"))
 	need := placement.Need{PromptTokens: 100}
-	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r1", Need: need}, nil), "e1")
+	is.Equal(client.Place(context.Background(), llm, PlacementRequest{Request: "r1", Need: need}, nil), "e1")
 	h.setDown(true)
-	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r2", Need: need}, nil), "e2")
+	is.Equal(client.Place(context.Background(), llm, PlacementRequest{Request: "r2", Need: need}, nil), "e2")
 	h.setDown(false)
-	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r3", Need: need}, nil), "e2") // the allocator is in backoff
+	is.Equal(client.Place(context.Background(), llm, PlacementRequest{Request: "r3", Need: need}, nil), "e2") // the allocator is in backoff
 }
 
 func TestReportsTellWhatTheStoreWouldNot(t *testing.T) {
@@ -142,7 +142,7 @@
 	is := is.New(t)
 	at, from := engines("a", "e1", "e2"), engines("b", "e1", "e2")
 	_, allocator, client := pair(t, at, from)
-	allocator.Undisturbed = func() time.Duration { return 4 * time.Second }
+	allocator.SinceStoreFailure = func() time.Duration { return 4 * time.Second }
 	allocator.Revision = func() uint64 { return 17 }
 	work := from.Begin("e1", fleet.Work{ID: "r1", PromptTokens: 3000, OutputTokens: 400}, false)
 	at.Put(fleet.Server{ID: "e1", Service: llm, Address: "e1", Leaving: true})
@@ -155,8 +155,8 @@
 	revision, age := client.Newest()
 	is.Equal(revision, uint64(17))
 	is.True(age < time.Second)
-	is.True(client.Undisturbed() >= 4*time.Second)
-	is.Equal(at.Leaving(llm), []fleet.Life{{ID: "e1"}})
+	is.True(client.SinceStoreFailure() >= 4*time.Second)
+	is.Equal(at.Leaving(llm), []fleet.Incarnation{{ID: "e1"}})
 }
 
 // Guards against calls that fail at one host after another while a plain server
@@ -181,7 +181,7 @@
 		}
 		return ids
 	}
-	at.Witness("other", "p1", fleet.Evidence{Failed: 1})
+	at.ApplyOutcomes("other", "p1", fleet.Evidence{Failed: 1})
 	report()
 	is.Equal(len(doubtful(from)), 0) // a single host may itself be partitioned
 	work := from.Begin("p1", fleet.Work{ID: "r1"}, false)
@@ -204,12 +204,12 @@
 	table := engines("a", "e1")
 	table.Put(fleet.Server{ID: "p1", Service: "plain", Address: "p1", Domain: "d", Slots: 6})
 	for range 3 {
-		table.Begin("p1", fleet.Work{}, false).AnsweredBadly()
+		table.Begin("p1", fleet.Work{}, false).AnsweredWithError()
 	}
 	calls, failed := table.TakeCallEvidence()
 	is.True(!failed)
 	is.Equal(calls, map[string]fleet.Evidence{"p1": {Answered: 3}})
-	table.Witness("other", "p1", fleet.Evidence{Failed: 1})
+	table.ApplyOutcomes("other", "p1", fleet.Evidence{Failed: 1})
 	is.Equal(len(table.Shunned()), 0)
 }
 
@@ -217,9 +217,9 @@
 	is := is.New(t)
 	at, from := engines("a", "e1", "e2"), engines("b", "e1", "e2")
 	_, _, client := pair(t, at, from)
-	at.MarkLeaving(fleet.Life{ID: "e1"}, fleet.SourceList)
+	at.MarkLeaving(fleet.Incarnation{ID: "e1"}, fleet.SourceList)
 	move := func(run string) migration.Move {
-		return migration.Move{Source: "e1", Run: run, Size: 9000, Need: placement.Need{PromptTokens: 3000, OutputTokens: 500}}
+		return migration.Move{Source: "e1", Run: run, LostWork: 9000, Need: placement.Need{PromptTokens: 3000, OutputTokens: 500}}
 	}
 	destination, end, err := client.TakeTurn(context.Background(), llm, move("r1"))
 	is.NoErr(err)
@@ -261,14 +261,14 @@
 	table := engines("b", "e1", "e2")
 	table.Begin("e1", fleet.Work{ID: "r1"}, false)
 	members := []peer.Member{{Host: "a", State: peer.StateAlive, FailureDomain: "d"}}
-	sentinel := &Sentinel{Host: "b", Fleet: table, Client: NewClient("b", "d", &hosts{members: members}, nil, table, zap.NewNop())}
-	serversToQuery := sentinel.serversToQuery(WholeService(llm))
+	monitor := &OutageMonitor{Host: "b", Fleet: table, Client: NewClient("b", "d", &hosts{members: members}, nil, table, zap.NewNop())}
+	serversToQuery := monitor.serversToQuery(WholeService(llm))
 	is.Equal(len(serversToQuery), 1)
 	is.Equal(serversToQuery[0].ID, "e1")
-	sentinel.Host = "a"
-	is.Equal(len(sentinel.serversToQuery(WholeService(llm))), 2)
-	table.Rest("e1", time.Second) // it requested a backoff from this host
-	is.Equal(len(sentinel.serversToQuery(WholeService(llm))), 1)
+	monitor.Host = "a"
+	is.Equal(len(monitor.serversToQuery(WholeService(llm))), 2)
+	table.SetBackoff("e1", time.Second) // it requested a backoff from this host
+	is.Equal(len(monitor.serversToQuery(WholeService(llm))), 1)
 }
 
 // Guards against an allocator that mixes up backoffs for its own host with
@@ -277,10 +277,10 @@
 	is := is.New(t)
 	at, from := engines("a", "e1", "e2"), engines("b", "e1", "e2")
 	_, _, client := pair(t, at, from)
-	at.Rest("e1", time.Second)
-	from.Rest("e2", time.Second)
+	at.SetBackoff("e1", time.Second)
+	from.SetBackoff("e2", time.Second)
 	need := placement.Need{PromptTokens: 100}
-	is.Equal(client.Place(context.Background(), llm, Asked{Request: "r1", Need: need}, nil), "e1")
+	is.Equal(client.Place(context.Background(), llm, PlacementRequest{Request: "r1", Need: need}, nil), "e1")
 }
 
 // Guards against engines that are reclaimed unnoticed during a store outage.
@@ -292,7 +292,7 @@
 		var away atomic.Bool
 		var asked, verified atomic.Int64
 		away.Store(true)
-		sentinel := &Sentinel{
+		monitor := &OutageMonitor{
 			Host: "a", Fleet: table, Logger: zap.NewNop(),
 			Client: NewClient("a", "d", &hosts{members: members}, nil, table, zap.NewNop()),
 			Check: func(context.Context) error {
@@ -309,17 +309,17 @@
 				return nil
 			},
 			Verified: func() time.Duration { return verifyAfter },
-			Ask: func(_ context.Context, server fleet.Server) (fleet.OwnWord, error) {
+			Ask: func(_ context.Context, server fleet.Server) (fleet.SelfReport, error) {
 				asked.Add(1)
-				return fleet.OwnWord{Leaves: server.ID == "e2", ColdFor: time.Second}, nil
+				return fleet.SelfReport{Leaves: server.ID == "e2", ColdFor: time.Second}, nil
 			},
 		}
 		ctx, stop := context.WithCancel(context.Background())
-		go func() { _ = sentinel.Run(ctx) }()
+		go func() { _ = monitor.Run(ctx) }()
 		time.Sleep(checkInterval + time.Millisecond)
 		synctest.Wait()
-		is.Equal(table.Leaving(llm), []fleet.Life{{ID: "e2"}})
-		is.True(table.Candidates(llm, "d")[0].Slow) // e1 reports itself as cold
+		is.Equal(table.Leaving(llm), []fleet.Incarnation{{ID: "e2"}})
+		is.True(table.Candidates(llm, "d")[0].SlowStart) // e1 reports itself as cold
 		away.Store(false)
 		before := asked.Load()
 		time.Sleep(time.Second)
@@ -350,7 +350,7 @@
 		work.End()
 		time.Sleep(2 * reportGap)
 		is.Equal(at.Candidates(llm, "d")[0].Running, 0)
-		at.Witness("other", "e1", fleet.Evidence{Failed: 1}) // with the host that reported its failure, two hosts
+		at.ApplyOutcomes("other", "e1", fleet.Evidence{Failed: 1}) // with the host that reported its failure, two hosts
 		is.Equal(len(at.Candidates(llm, "d")), 0)
 	})
 }
--- a/allocation/allocator.go
+++ b/allocation/allocator.go
@@ -43,19 +43,19 @@
 	limits placement.Limits
 	draw   func(n int) int
 	logger *zap.Logger
-	// Undisturbed returns the time since the store last failed to answer this
+	// SinceStoreFailure returns the time since the store last failed to answer this
 	// host. It is sent to hosts that do not watch the store. Nil: not sent.
-	Undisturbed func() time.Duration
+	SinceStoreFailure func() time.Duration
 	// Revision returns the revision of the newest configuration if this host is
 	// certain to have it, else zero. It is sent to other hosts. Nil: not sent.
 	Revision func() uint64
 	// Verified returns the time since the store was queried for the value that
 	// Revision returns. Nil: not sent to other allocators.
 	Verified func() time.Duration
-	// Relayed is called with the Revision of another allocator and the time
+	// OnRelayedRevision is called with the Revision of another allocator and the time
 	// since that allocator queried the store for it. Nil: not used. It must not
 	// block.
-	Relayed func(allocator string, revision uint64, age time.Duration)
+	OnRelayedRevision func(allocator string, revision uint64, age time.Duration)
 	// Evacuated returns the newest revision of an evacuation known to this
 	// host. It is sent to other hosts. Nil: not sent.
 	Evacuated func() uint64
@@ -70,8 +70,8 @@
 	offerTable *offerTable
 }
 
-// Asked is a generation that needs a server.
-type Asked struct {
+// PlacementRequest is a generation that needs a server.
+type PlacementRequest struct {
 	Request string // request ID, for the log
 	// Fingerprint is the same if a request is retried with another ID; zero: unknown.
 	Fingerprint uint64
@@ -80,7 +80,7 @@
 	Settled bool
 }
 
-// Placement is the result of a placement: a server, another part to be asked instead, or neither.
+// Placement is the result of a placement: a server, another part to send the request to instead, or neither.
 type Placement struct {
 	Server    string
 	Elsewhere Part // none if its service is empty
@@ -100,18 +100,18 @@
 // Place chooses a server for a host's generation and reserves it there until
 // the host's own report includes it. If another part is cheaper by more than
 // the cost of crossing failure domains, that part is returned instead.
-func (a *Allocator) Place(host, domain string, part Part, asked Asked, except []string) Placement {
-	need, request := asked.Need, asked.Request
-	need.Returning = a.refusals.returning(asked.Fingerprint, request)
+func (a *Allocator) Place(host, domain string, part Part, req PlacementRequest, except []string) Placement {
+	need, request := req.Need, req.Request
+	need.Returning = a.refusals.returning(req.Fingerprint, request)
 	candidates := a.candidates(part, domain, except...)
 	i := placement.Pick(need, candidates, a.limits, a.draw)
-	if betterPart, found := a.betterPart(part, asked, candidates, i >= 0); found {
+	if betterPart, found := a.betterPart(part, req, candidates, i >= 0); found {
 		a.logger.Info(msgOnward, zap.String("request", request), zap.String("for", host), zap.String("domain", betterPart.Domain),
 			zap.Bool("place_here", i >= 0), zap.Int("candidates", len(candidates)))
 		return Placement{Elsewhere: betterPart}
 	}
 	if i < 0 {
-		a.refusals.record(asked.Fingerprint, request)
+		a.refusals.record(req.Fingerprint, request)
 		shortage := placement.ShortageOf(need, candidates, a.limits)
 		a.logger.Info(MsgNoPlace, zap.String("request", request), zap.String("for", host), zap.Int("candidates", len(candidates)),
 			zap.Int("prompt_tokens", need.PromptTokens), zap.Int("output_tokens", need.OutputTokens), zap.Bool("returning", need.Returning),
@@ -127,14 +127,14 @@
 	return Placement{Server: candidates[i].ID}
 }
 
-// betterPart returns the part to be asked instead, if any. Costs are compared
+// betterPart returns the part to send the request to instead, if any. Costs are compared
 // for a typical generation, because other parts make their offers for one.
-func (a *Allocator) betterPart(part Part, asked Asked, candidates []placement.Candidate, placeHere bool) (Part, bool) {
-	if part.Domain == "" || asked.Settled {
+func (a *Allocator) betterPart(part Part, req PlacementRequest, candidates []placement.Candidate, placeHere bool) (Part, bool) {
+	if part.Domain == "" || req.Settled {
 		return Part{}, false
 	}
-	a.offerTable.observe(asked.Need)
-	brief := asked.Need.Brief()
+	a.offerTable.observe(req.Need)
+	brief := req.Need.Brief()
 	limit := math.Inf(1)
 	if placeHere {
 		typical := a.offerTable.typical(brief)
@@ -169,7 +169,7 @@
 func (a *Allocator) TakeTurn(ctx context.Context, host string, part Part, move migration.Move) (to Placement, err error) {
 	m := a.moveQueue(part)
 	entered := time.Now()
-	granted, cancel := m.queue.Enter(move)
+	granted, cancel := m.queue.Enqueue(move)
 	m.signal()
 	select {
 	case grant := <-granted:
@@ -226,7 +226,7 @@
 // run steps the queue until the process ends. There are few parts, so queues are never stopped.
 func (m *moveQueue) run() {
 	for range m.wake {
-		for next := m.queue.Step(); next > 0; next = m.queue.Step() {
+		for next := m.queue.GrantReady(); next > 0; next = m.queue.GrantReady() {
 			select {
 			case <-m.wake:
 			case <-time.After(next):
--- a/allocation/report.go
+++ b/allocation/report.go
@@ -196,15 +196,15 @@
 	})
 	if revision := response.GetConfigurationRevision(); revision > 0 {
 		c.recordRevision(revision, requestedAt)
-		if c.Told != nil {
-			c.Told(allocator, revision)
+		if c.OnRevision != nil {
+			c.OnRevision(allocator, revision)
 		}
 	}
-	if revision := response.GetEvacuationRevision(); revision > 0 && c.ToldEvacuated != nil {
-		c.ToldEvacuated(allocator, revision)
+	if revision := response.GetEvacuationRevision(); revision > 0 && c.OnEvacuation != nil {
+		c.OnEvacuation(allocator, revision)
 	}
 	for _, rest := range response.GetShunned() {
-		c.fleet.Shun(fleet.Life{ID: rest.GetServer(), Born: rest.GetBorn()}, time.Duration(rest.GetLeftMs())*time.Millisecond)
+		c.fleet.Shun(fleet.Incarnation{ID: rest.GetServer(), Born: rest.GetBorn()}, time.Duration(rest.GetLeftMs())*time.Millisecond)
 	}
 	if ms := response.GetUndisturbedMs(); ms > 0 {
 		c.recordDisturbance(time.Duration(ms) * time.Millisecond)
@@ -212,8 +212,8 @@
 	if err == nil {
 		c.recordLeavingList(allocator, response.GetLeavingDigest(), request.GetLeavingDigest())
 	}
-	for _, life := range response.GetLeaving() {
-		c.fleet.MarkLeaving(fleet.Life{ID: life.GetServer(), Born: life.GetBorn()}, fleet.SourcePeer)
+	for _, incarnation := range response.GetLeaving() {
+		c.fleet.MarkLeaving(fleet.Incarnation{ID: incarnation.GetServer(), Born: incarnation.GetBorn()}, fleet.SourcePeer)
 	}
 	return err == nil
 }
--- a/allocation/server.go
+++ b/allocation/server.go
@@ -26,12 +26,12 @@
 
 // Place implements allocationpb.AllocationServer.
 func (s *server) Place(_ context.Context, r *allocationpb.PlaceRequest) (*allocationpb.PlaceResponse, error) {
-	asked := Asked{
+	req := PlacementRequest{
 		Request: r.GetRequest(), Fingerprint: r.GetFingerprint(),
 		Need:    placement.Need{PromptTokens: int(r.GetPromptTokens()), OutputTokens: int(r.GetOutputTokens())},
 		Settled: r.GetSettled(),
 	}
-	placed := s.allocator.Place(r.GetHost(), r.GetFailureDomain(), partFromProto(r.GetPart()), asked, r.GetExcept())
+	placed := s.allocator.Place(r.GetHost(), r.GetFailureDomain(), partFromProto(r.GetPart()), req, r.GetExcept())
 	return &allocationpb.PlaceResponse{Server: placed.Server, Elsewhere: placed.Elsewhere.toProto()}, nil
 }
 
@@ -40,8 +40,8 @@
 	for _, o := range r.GetOffers() {
 		s.allocator.offerTable.update(partFromProto(o.GetPart()), costsFromProto(o.GetBrief()), costsFromProto(o.GetLong()))
 	}
-	if revision := r.GetConfigurationRevision(); revision > 0 && s.allocator.Relayed != nil {
-		s.allocator.Relayed(r.GetHost(), revision, time.Duration(r.GetVerifiedMs())*time.Millisecond)
+	if revision := r.GetConfigurationRevision(); revision > 0 && s.allocator.OnRelayedRevision != nil {
+		s.allocator.OnRelayedRevision(r.GetHost(), revision, time.Duration(r.GetVerifiedMs())*time.Millisecond)
 	}
 	return &allocationpb.OfferResponse{}, nil
 }
@@ -73,7 +73,7 @@
 		}
 	}
 	for _, e := range r.GetEvidence() {
-		s.allocator.fleet.Witness(r.GetHost(), e.GetServer(), fleet.Evidence{Failed: int(e.GetFailed()), Answered: int(e.GetAnswered()), Born: e.GetBorn()})
+		s.allocator.fleet.ApplyOutcomes(r.GetHost(), e.GetServer(), fleet.Evidence{Failed: int(e.GetFailed()), Answered: int(e.GetAnswered()), Born: e.GetBorn()})
 	}
 	part := partFromProto(r.GetPart())
 	s.allocator.fleet.SetOthers(r.GetHost(), part.Service, loads, part.Contains)
@@ -81,15 +81,15 @@
 	leaving := s.allocator.fleet.Leaving(part.Service)
 	response.LeavingDigest = digestOf(leaving)
 	if response.LeavingDigest != r.GetLeavingDigest() {
-		for _, life := range leaving {
-			response.Leaving = append(response.Leaving, &allocationpb.ServerLife{Server: life.ID, Born: life.Born})
+		for _, incarnation := range leaving {
+			response.Leaving = append(response.Leaving, &allocationpb.ServerLife{Server: incarnation.ID, Born: incarnation.Born})
 		}
 	}
-	for life, left := range s.allocator.fleet.Shunned() {
-		response.Shunned = append(response.Shunned, &allocationpb.ServerRest{Server: life.ID, Born: life.Born, LeftMs: uint32(left.Milliseconds())})
+	for incarnation, left := range s.allocator.fleet.Shunned() {
+		response.Shunned = append(response.Shunned, &allocationpb.ServerRest{Server: incarnation.ID, Born: incarnation.Born, LeftMs: uint32(left.Milliseconds())})
 	}
-	if s.allocator.Undisturbed != nil {
-		response.UndisturbedMs = uint32(min(s.allocator.Undisturbed(), time.Hour).Milliseconds())
+	if s.allocator.SinceStoreFailure != nil {
+		response.UndisturbedMs = uint32(min(s.allocator.SinceStoreFailure(), time.Hour).Milliseconds())
 	}
 	if s.allocator.Revision != nil {
 		response.ConfigurationRevision = s.allocator.Revision()
@@ -102,11 +102,11 @@
 
 // digestOf identifies a list of incarnations. Zero, which stands for no list,
 // is not the digest of the empty list.
-func digestOf(lives []fleet.Life) uint64 {
+func digestOf(incarnations []fleet.Incarnation) uint64 {
 	digest := xxhash.New()
-	for _, life := range lives {
-		_, _ = digest.WriteString(life.ID)
-		_, _ = digest.Write(binary.BigEndian.AppendUint64([]byte{0}, uint64(life.Born)))
+	for _, incarnation := range incarnations {
+		_, _ = digest.WriteString(incarnation.ID)
+		_, _ = digest.Write(binary.BigEndian.AppendUint64([]byte{0}, uint64(incarnation.Born)))
 	}
 	return digest.Sum64()
 }
@@ -114,7 +114,7 @@
 // TakeTurn implements allocationpb.AllocationServer.
 func (s *server) TakeTurn(ctx context.Context, r *allocationpb.TakeTurnRequest) (*allocationpb.TakeTurnResponse, error) {
 	to, err := s.allocator.TakeTurn(ctx, r.GetHost(), partFromProto(r.GetPart()), migration.Move{
-		Source: r.GetSource(), Run: r.GetRun(), Size: int(r.GetSize()),
+		Source: r.GetSource(), Run: r.GetRun(), LostWork: int(r.GetSize()),
 		Need: placement.Need{PromptTokens: int(r.GetHeldTokens()), OutputTokens: int(r.GetRemainingTokens())},
 	})
 	return &allocationpb.TakeTurnResponse{Destination: to.Server, Elsewhere: to.Elsewhere.toProto()}, err
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -117,10 +117,10 @@
 
 // poolService is one service in force and its cached snapshot.
 type poolService struct {
-	document *contract.Document
-	layout   uint64 // increases when the list of servers changes
-	members  []*poolServer
-	snapshot *Snapshot // nil if it must be rebuilt
+	document          *contract.Document
+	serverListVersion uint64 // increases when the list of servers changes
+	members           []*poolServer
+	snapshot          *Snapshot // nil if it must be rebuilt
 }
 
 // NewPool returns an empty pool.
@@ -167,7 +167,7 @@
 // updateService builds the entry of one service from its document. The caller
 // holds mu.
 func (p *Pool) updateService(document *contract.Document, servers map[string]*poolServer, now time.Time) *poolService {
-	service := &poolService{document: document, layout: 1}
+	service := &poolService{document: document, serverListVersion: 1}
 	for _, declared := range document.BackendServers {
 		server := servers[declared.Address]
 		if server == nil {
@@ -177,9 +177,9 @@
 		service.members = append(service.members, server)
 	}
 	if before := p.services[document.Service]; before != nil {
-		service.layout = before.layout
+		service.serverListVersion = before.serverListVersion
 		if !sameServers(before.document, document) {
-			service.layout++
+			service.serverListVersion++
 		}
 	}
 	return service
@@ -288,10 +288,10 @@
 	p.notifyListeners()
 }
 
-// Failed records a failure of the server at address. A refused connection
+// RecordFailure records a failure of the server at address. A refused connection
 // makes it unreachable at once. EjectAfter consecutive failures of other kinds
 // eject it, unless that would exceed MaxEjectedShare of a service's servers.
-func (p *Pool) Failed(address string, kind FailureKind) {
+func (p *Pool) RecordFailure(address string, kind FailureKind) {
 	failuresTotal.WithLabelValues(string(kind)).Inc()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -339,8 +339,8 @@
 	return true
 }
 
-// Succeeded records a successful exchange with the server at address.
-func (p *Pool) Succeeded(address string) {
+// RecordSuccess records a successful exchange with the server at address.
+func (p *Pool) RecordSuccess(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	server := p.servers[address]
--- a/bench/control/fleet.go
+++ b/bench/control/fleet.go
@@ -138,7 +138,7 @@
 	h.client = platform.NewObjectStore(f.network, f.platformAddress)
 	h.store = store.NewLimited(h.client, store.Budget{})
 	h.acceptor = configuration.NewAcceptor(h.store, contract.ParseDocument)
-	h.acceptor.Seen = func(object store.Object) { h.table.Adopt([]store.Object{object}) }
+	h.acceptor.OnObject = func(object store.Object) { h.table.Adopt([]store.Object{object}) }
 	h.node = peer.New(peer.Options{
 		Self: peer.Member{
 			Host: fmt.Sprintf("host-%d", i), FailureDomain: h.domain,
@@ -167,7 +167,7 @@
 }
 
 func (h *host) watches() bool {
-	return domain.Watches(h.node.Members(), h.node.Self().Host)
+	return domain.IsWatcher(h.node.Members(), h.node.Self().Host)
 }
 
 // putDocuments accepts the documents of all services, at different hosts, so
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -39,27 +39,27 @@
 
 // Host is one entry host.
 type Host struct {
-	options    Options
-	settings   *settings.Settings
-	tokens     *settings.Tokens
-	logger     *zap.Logger
-	table      *configuration.Table
-	follower   *replica.Follower
-	watchDuty  *domain.WatchDuty
-	hostList   *hostList
-	orderDuty  *order.Duty
-	acceptor   *configuration.Acceptor
-	node       *peer.Node
-	distances  *domain.Distances
-	pool       *backend.Pool
-	poller     *backend.Poller
-	client     *backend.Client
-	scheduler  *routing.Dispatcher
-	ledger     *record.Ledger
-	quarantine *quarantine.Table
-	relay      *relay.Relay
-	server     *http.Server
-	inFlight   *inFlightCounter
+	options         Options
+	settings        *settings.Settings
+	tokens          *settings.Tokens
+	logger          *zap.Logger
+	table           *configuration.Table
+	follower        *replica.Follower
+	watchDuty       *domain.WatchDuty
+	hostList        *hostList
+	orderController *order.Controller
+	acceptor        *configuration.Acceptor
+	node            *peer.Node
+	distances       *domain.Distances
+	pool            *backend.Pool
+	poller          *backend.Poller
+	client          *backend.Client
+	scheduler       *routing.Dispatcher
+	ledger          *record.Ledger
+	quarantine      *quarantine.Table
+	relay           *relay.Relay
+	server          *http.Server
+	inFlight        *inFlightCounter
 
 	liveHosts atomic.Int64 // number of live entry hosts in the membership
 	refusing  atomic.Bool  // new work is refused
@@ -79,11 +79,11 @@
 		options: o, settings: o.Settings, tokens: o.Settings.Tokens(), logger: o.Logger,
 		table: configuration.NewTable(contract.ParseDocument), distances: distancesOf(o.Settings),
 		pool: backend.NewPool(backend.PoolOptions{Logger: o.Logger}), inFlight: newInFlightCounter(), stopped: make(chan struct{}),
-		client: backend.NewClient(o.Network, backend.ClientOptions{Silence: o.BackendSilence}),
+		client: backend.NewClient(o.Network, backend.ClientOptions{StreamReadTimeout: o.BackendReadTimeout}),
 	}
 	h.acceptor = configuration.NewAcceptor(o.Store, acceptanceParser(o.Settings))
-	h.acceptor.Seen = func(object store.Object) { h.table.Adopt([]store.Object{object}) }
-	h.acceptor.Clash = h.organisations().checkConflict
+	h.acceptor.OnObject = func(object store.Object) { h.table.Adopt([]store.Object{object}) }
+	h.acceptor.CheckConflict = h.organisations().checkConflict
 	h.ledger = newLedger(o.Settings)
 	scheduler, err := routing.New(routing.Options{Pool: h.pool, Policy: o.Policy, Host: o.Settings.Host, Share: h.limitShare})
 	if err != nil {
@@ -97,13 +97,13 @@
 	h.quarantine = quarantine.NewTable(o.Logger, o.Registry)
 	h.quarantine.Changed = func() { h.node.Announce() }
 	h.relay = h.newRelay()
-	homes := &homes{self: o.Settings.Host, ledger: h.ledger, local: h.relay}
-	h.node = h.newNode(homes)
-	homes.peers = h.node
-	h.relay.SetHomes(homes)
+	router := &homeRouter{self: o.Settings.Host, ledger: h.ledger, local: h.relay}
+	h.node = h.newNode(router)
+	router.peers = h.node
+	h.relay.SetHomeRouter(router)
 	h.watchDuty = h.newWatchDuty()
 	h.hostList = newHostList(o.Store, h.pool, h.watchDuty.Watches)
-	h.orderDuty = h.newOrderDuty()
+	h.orderController = h.newOrderController()
 	h.follower = &replica.Follower{Store: o.Store, Kind: configuration.Kind, Table: h.table.Table, Logger: o.Logger, Active: h.followsStore}
 	h.server = &http.Server{Handler: h.handler(), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
 	registerCollectors()
@@ -128,7 +128,7 @@
 func newLedger(s *settings.Settings) *record.Ledger {
 	epoch := s.Limits.KeepAddresses
 	return record.NewLedger(record.Options{
-		Host: s.Host, Incarnation: uint64(time.Now().UnixMicro()), Epoch: epoch,
+		Host: s.Host, Incarnation: uint64(time.Now().UnixMicro()), EpochLength: epoch,
 		RetainEpochs: uint64(s.Limits.RecordAge/epoch) + 1, MaxBytes: s.Limits.RecordBytes, MaxRecords: s.Limits.Records,
 	})
 }
@@ -154,9 +154,9 @@
 		Signer: h.signer(), Ledger: h.ledger, Quarantine: h.quarantine, Metrics: relay.NewMetrics(h.options.Registry),
 		MaxBodyBytes: int64(limits.BodyBytes), WriteTimeout: limits.WriteDeadline, KeepAlive: limits.KeepAlive,
 		Accepting: func() bool { return !h.refusing.Load() }, Closing: h.closing.Load,
-		OnLoad:    func(address string, report backend.LoadReport) { h.pool.StreamReport(address, report, time.Now()) },
-		OnBackend: h.observeBackend,
-		Starting:  func() bool { return !h.table.Complete() },
+		OnLoadReport: func(address string, report backend.LoadReport) { h.pool.StreamReport(address, report, time.Now()) },
+		OnBackend:    h.observeBackend,
+		Starting:     func() bool { return !h.table.Complete() },
 	})
 }
 
@@ -173,7 +173,7 @@
 			Host: s.Host, Incarnation: h.ledger.Home().Incarnation, FailureDomain: s.FailureDomain,
 			PeerAddress: s.PeerAddress, CallerAddress: scheme + s.CallerAddress,
 		},
-		Network: h.options.Network, Seeds: s.Peers, Configuration: peerTable{h.table}, Handler: handler, Suspects: h.quarantine,
+		Network: h.options.Network, Seeds: s.Peers, Configuration: peerTable{h.table}, Handler: handler, Quarantine: h.quarantine,
 		Logger: h.logger, Registerer: h.options.Registry, ProbeInterval: h.options.ProbeInterval,
 		Scope: peer.Scope{Near: h.distances.Near(s.FailureDomain, s.FailureDomains(), regionRadius)},
 	})
@@ -220,8 +220,8 @@
 }
 
 // followsStore reports whether this host watches the documents in the store: it
-// is one of the few watchers, or has the lease of the order duty.
-func (h *Host) followsStore() bool { return h.watchDuty.Watches() || h.orderDuty.Holding() }
+// is one of the few watchers, or has the lease of the order controller.
+func (h *Host) followsStore() bool { return h.watchDuty.Watches() || h.orderController.Holding() }
 
 // subscribe registers the callbacks by which changes of one component reach the
 // others.
@@ -271,7 +271,7 @@
 // pool.
 func (h *Host) observeBackend(address string, err error) {
 	if err == nil {
-		h.pool.Succeeded(address)
+		h.pool.RecordSuccess(address)
 		return
 	}
 	var call *backend.CallError
@@ -279,7 +279,7 @@
 		return
 	}
 	if kind, ok := failureKinds[call.Evidence]; ok {
-		h.pool.Failed(address, kind)
+		h.pool.RecordFailure(address, kind)
 	}
 }
 
@@ -302,7 +302,7 @@
 	group.Go(func() error { return ignoreCanceled(h.watchDuty.Run(ctx)) })
 	group.Go(func() error { h.poller.Run(ctx); return nil })
 	group.Go(func() error { h.hostList.run(ctx); return nil })
-	group.Go(func() error { return ignoreCanceled(h.orderDuty.Run(ctx)) })
+	group.Go(func() error { return ignoreCanceled(h.orderController.Run(ctx)) })
 	group.Go(func() error {
 		<-ctx.Done()
 		return h.server.Close()
--- a/entryhost/duty.go
+++ b/entryhost/order_controller.go
@@ -10,14 +10,14 @@
 	"github.com/papayasail/papayasail/order"
 )
 
-// newOrderDuty returns the duty of sending orders to engines. The hosts that
+// newOrderController returns the controller that sends orders to engines. The hosts that
 // watch the store contend for its lease.
-func (h *Host) newOrderDuty() *order.Duty {
+func (h *Host) newOrderController() *order.Controller {
 	engines := backend.NewClient(h.options.Network, backend.ClientOptions{ControlTimeout: orderTimeout, OrderToken: h.settings.OrderToken})
 	return order.New(order.Options{
 		Host: h.settings.Host, FailureDomain: h.settings.FailureDomain, Store: h.options.Store, Engine: engines,
 		Documents: h.table, Leaving: h.serverLeaving, Contend: h.contends, Refresh: h.refreshDocuments,
-		LoadsPerMinute: float64(h.settings.Limits.LoadsPerMinute), Longest: orderTimeout, Logger: h.logger,
+		LoadsPerMinute: float64(h.settings.Limits.LoadsPerMinute), MaxExecutionTime: orderTimeout, Logger: h.logger,
 	})
 }
 
@@ -25,7 +25,7 @@
 // loading a model.
 const orderTimeout = 30 * time.Second
 
-// contends reports whether this host contends for the lease of the order duty.
+// contends reports whether this host contends for the lease of the order controller.
 func (h *Host) contends() bool { return !h.leaving.Load() && h.watchDuty.Watches() }
 
 // refreshDocuments reads all documents from the store and applies them.
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -49,7 +49,7 @@
 	memoryTokens int
 	coldRate     float64 // requests per second that a cold server accepts; zero: unlimited
 	members      []*entry
-	departed     map[Life]time.Time // incarnations dropped from the table, and when
+	departed     map[Incarnation]time.Time // incarnations dropped from the table, and when
 }
 
 // departedTTL is how long a dropped server is still reported as leaving to
@@ -59,29 +59,29 @@
 
 // entry is the state of one incarnation of a server.
 type entry struct {
-	server           Server
-	life             context.Context // cancelled once another incarnation is known
-	endLife          context.CancelFunc
-	leaving          bool
-	removed          bool
-	invalid          bool        // its host list entry is invalid
-	evacuated        bool        // its failure domain is evacuated
-	listedColdUntil  time.Time   // cold until then, according to its host list entry
-	coldUntil        time.Time   // cold until then, as it reported itself or as assumed after an evacuation
-	starts           []time.Time // times of requests that this host sent or placed there within coldWindow
-	reported         reportedLoad
-	shunnedUntil     time.Time // until then it gets calls only if no other server has capacity
-	unavailableUntil time.Time // until then it gets no work
-	health           health
-	pace             pace
-	evidence         Evidence             // outcomes of this host's requests since the last report
-	failedHosts      map[string]time.Time // entry hosts whose requests failed there, and when; cleared by an answer
-	lastAnswer       time.Time            // when it last answered a request of any host
-	work             map[*Work]struct{}
-	others           map[string]Load // load of other entry hosts, by host name
-	sum              loadSum         // cached sum of others
-	leavingCh        chan struct{}   // closed when the server starts leaving
-	leavingBecause   LeavingSource
+	server             Server
+	incarnationContext context.Context // cancelled once another incarnation is known
+	endIncarnation     context.CancelFunc
+	leaving            bool
+	removed            bool
+	invalid            bool        // its host list entry is invalid
+	evacuated          bool        // its failure domain is evacuated
+	listedColdUntil    time.Time   // cold until then, according to its host list entry
+	coldUntil          time.Time   // cold until then, as it reported itself or as assumed after an evacuation
+	starts             []time.Time // times of requests that this host sent or placed there within coldWindow
+	reported           reportedLoad
+	shunnedUntil       time.Time // until then it gets calls only if no other server has capacity
+	unavailableUntil   time.Time // until then it gets no work
+	health             health
+	pace               pace
+	evidence           Evidence             // outcomes of this host's requests since the last report
+	failedHosts        map[string]time.Time // entry hosts whose requests failed there, and when; cleared by an answer
+	lastAnswer         time.Time            // when it last answered a request of any host
+	work               map[*Work]struct{}
+	others             map[string]Load // load of other entry hosts, by host name
+	sum                loadSum         // cached sum of others
+	leavingCh          chan struct{}   // closed when the server starts leaving
+	leavingBecause     LeavingSource
 }
 
 // NewTable returns an empty table for the entry host of that name.
@@ -103,7 +103,7 @@
 func (t *Table) service(name string) *service {
 	s := t.services[name]
 	if s == nil {
-		s = &service{departed: map[Life]time.Time{}}
+		s = &service{departed: map[Incarnation]time.Time{}}
 		t.services[name] = s
 	}
 	return s
@@ -120,7 +120,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.servers[server.ID]
-	if e != nil && !e.server.Life().Is(server.Life()) {
+	if e != nil && !e.server.Incarnation().Is(server.Incarnation()) {
 		t.replace(e, server)
 		e = nil
 	}
@@ -136,9 +136,9 @@
 	}
 	e.server, e.invalid, e.evacuated = server, false, t.evacuated[server.Domain]
 	e.listedColdUntil = time.Now().Add(min(server.SlowFor, maxColdTime))
-	delete(t.service(server.Service).departed, server.Life())
+	delete(t.service(server.Service).departed, server.Incarnation())
 	switch {
-	case t.reportedLeaving(server.Life()):
+	case t.reportedLeaving(server.Incarnation()):
 		e.removed = false
 		t.setLeaving(e, SourceAnswer)
 	case server.Leaving:
@@ -155,7 +155,7 @@
 		server: server, health: newHealth(), work: map[*Work]struct{}{}, others: map[string]Load{}, failedHosts: map[string]time.Time{},
 		leavingCh: make(chan struct{}),
 	}
-	e.life, e.endLife = context.WithCancel(context.Background())
+	e.incarnationContext, e.endIncarnation = context.WithCancel(context.Background())
 	t.servers[server.ID] = e
 	s := t.service(server.Service)
 	s.members = append(s.members, e)
@@ -182,13 +182,13 @@
 }
 
 // MarkLeaving records that an incarnation of a server accepts no new work.
-func (t *Table) MarkLeaving(life Life, because LeavingSource) {
+func (t *Table) MarkLeaving(incarnation Incarnation, because LeavingSource) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if because == SourceAnswer {
-		t.recordLeavingReport(life)
+		t.recordLeavingReport(incarnation)
 	}
-	if e := t.entryOf(life); e != nil {
+	if e := t.entryOf(incarnation); e != nil {
 		t.setLeaving(e, because)
 	}
 }
@@ -217,7 +217,7 @@
 	delete(t.servers, e.server.ID)
 	s := t.service(e.server.Service)
 	s.members = slices.DeleteFunc(s.members, func(m *entry) bool { return m == e })
-	s.departed[e.server.Life()] = time.Now()
+	s.departed[e.server.Incarnation()] = time.Now()
 }
 
 // Get returns a server and whether requests may be sent to it. The ID is empty
@@ -238,25 +238,25 @@
 
 // Leaving returns, in order, the incarnations of a service's servers that are
 // leaving or were dropped within departedTTL.
-func (t *Table) Leaving(name string) []Life {
+func (t *Table) Leaving(name string) []Incarnation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var lives []Life
+	var incarnations []Incarnation
 	s := t.service(name)
 	for _, e := range s.members {
 		if e.leaving {
-			lives = append(lives, e.server.Life())
+			incarnations = append(incarnations, e.server.Incarnation())
 		}
 	}
-	for life, at := range s.departed {
+	for incarnation, at := range s.departed {
 		if time.Since(at) > departedTTL {
-			delete(s.departed, life)
+			delete(s.departed, incarnation)
 			continue
 		}
-		lives = append(lives, life)
+		incarnations = append(incarnations, incarnation)
 	}
-	slices.SortFunc(lives, func(a, b Life) int { return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Born, b.Born)) })
-	return lives
+	slices.SortFunc(incarnations, func(a, b Incarnation) int { return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Born, b.Born)) })
+	return incarnations
 }
 
 // Usable returns the servers of a service that accept new work.
--- a/gateway/backend.go
+++ b/gateway/backend.go
@@ -17,8 +17,8 @@
 	Request      *Request
 	Organisation string // "": none
 	Priority     int
-	// Until is the deadline, after which the server may stop working on the request.
-	Until time.Time
+	// Deadline is when the server may stop working on the request.
+	Deadline time.Time
 	// Resume is set for a run that is resumed on another server.
 	Resume *Resume
 	// Stream is set if the answer is relayed while it is generated.
@@ -46,18 +46,18 @@
 	WrongServer bool
 	// Leaving is set if the server reports that it accepts no new work.
 	Leaving bool
-	// RestFor is how long the server asks this host to send it no requests; zero:
+	// BackoffFor is how long the server asks this host to send it no requests; zero:
 	// not reported.
-	RestFor time.Duration
-	// Whole is set if the answer carries the server's marker of a complete answer.
-	Whole bool
+	BackoffFor time.Duration
+	// Complete is set if the answer carries the server's marker of a complete answer.
+	Complete bool
 	// Load is the number of requests that the server reports as running or queued;
 	// nil: not reported.
 	Load *int
 }
 
-// Copied is the result of copying a run's memory.
-type Copied struct {
+// CopyResult is the result of copying a run's memory.
+type CopyResult struct {
 	// Handle identifies the copy, or the memory that a stopped source retains.
 	Handle string
 	// Done is set if the copy has arrived at the destination.
@@ -70,7 +70,7 @@
 type Allocator interface {
 	// Place returns the ID of the server for a generation, or "" if none has
 	// capacity. Servers in except are not considered.
-	Place(ctx context.Context, service string, asked allocation.Asked, except []string) string
+	Place(ctx context.Context, service string, req allocation.PlacementRequest, except []string) string
 	// TakeTurn waits until a run may move and returns the ID of the destination
 	// ("": there is none) and a function that ends the turn.
 	TakeTurn(ctx context.Context, service string, move migration.Move) (destination string, end func(), err error)
@@ -81,13 +81,13 @@
 type Backend interface {
 	// Send sends a request and returns the answer.
 	Send(ctx context.Context, call Call) (*Reply, error)
-	// Ended reports whether a server's process has ended, which is the case if
+	// RefusesConnection reports whether a server's process has ended, which is the case if
 	// nothing listens at its address. A server that cannot be reached counts as
 	// running.
-	Ended(ctx context.Context, server fleet.Server) bool
+	RefusesConnection(ctx context.Context, server fleet.Server) bool
 	// Copy copies a run's memory from source to destination. If last is set, the
 	// source stops the run first, and its stream ends there without an end event.
-	Copy(ctx context.Context, source, destination fleet.Server, run string, last bool) (Copied, error)
+	Copy(ctx context.Context, source, destination fleet.Server, run string, last bool) (CopyResult, error)
 	// Discard frees a copy that will not be used.
 	Discard(ctx context.Context, source fleet.Server, handle string) error
 }
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -32,7 +32,7 @@
 	endedServers map[string]bool // servers whose process has ended
 	calls        []Call
 	send         func(ctx context.Context, call Call) (*Reply, error)
-	copy         func(source, destination fleet.Server, last bool) (Copied, error)
+	copy         func(source, destination fleet.Server, last bool) (CopyResult, error)
 	turns        int // turns that have not ended
 }
 
@@ -42,7 +42,7 @@
 		Domain: "d1", Fleet: w.fleet, Backend: w, Allocator: w, Logger: zap.NewNop(), Limits: placement.DefaultLimits,
 		Quarantine: quarantine.NewTable(zap.NewNop(), prometheus.NewRegistry()),
 		Budget:     &Budget{Ratio: 0.2, Allowance: 54, Window: 10 * time.Second, Hosts: func() int { return 7 }},
-		Confirm:    func(context.Context) bool { return w.configurationConfirmed }, Others: func() bool { return !w.noOtherHosts }, Metrics: NewMetrics(prometheus.NewRegistry()),
+		Confirm:    func(context.Context) bool { return w.configurationConfirmed }, OtherHostsAvailable: func() bool { return !w.noOtherHosts }, Metrics: NewMetrics(prometheus.NewRegistry()),
 	})
 	w.put("e1", "llm")
 	w.put("e2", "llm")
@@ -82,11 +82,11 @@
 	return w.send(ctx, call)
 }
 
-func (w *harness) Copy(_ context.Context, source, destination fleet.Server, _ string, last bool) (Copied, error) {
+func (w *harness) Copy(_ context.Context, source, destination fleet.Server, _ string, last bool) (CopyResult, error) {
 	return w.copy(source, destination, last)
 }
 
-func (w *harness) Ended(_ context.Context, server fleet.Server) bool {
+func (w *harness) RefusesConnection(_ context.Context, server fleet.Server) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.endedServers[server.ID]
@@ -94,9 +94,9 @@
 
 func (w *harness) Discard(context.Context, fleet.Server, string) error { return nil }
 
-func (w *harness) Place(_ context.Context, service string, asked allocation.Asked, except []string) string {
+func (w *harness) Place(_ context.Context, service string, req allocation.PlacementRequest, except []string) string {
 	candidates := w.fleet.Candidates(service, "d1", except...)
-	if i := placement.Pick(asked.Need, candidates, placement.DefaultLimits, func(int) int { return 0 }); i >= 0 {
+	if i := placement.Pick(req.Need, candidates, placement.DefaultLimits, func(int) int { return 0 }); i >= 0 {
 		return candidates[i].ID
 	}
 	return ""
@@ -106,7 +106,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.turns++
-	return w.Place(ctx, service, allocation.Asked{Need: move.Need}, nil), func() {
+	return w.Place(ctx, service, allocation.PlacementRequest{Need: move.Need}, nil), func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.turns--
@@ -126,7 +126,7 @@
 }
 
 func answer(status int, body string) *Reply {
-	return &Reply{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body)), Whole: true}
+	return &Reply{Status: status, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body)), Complete: true}
 }
 
 func notRunReply() *Reply {
@@ -201,7 +201,7 @@
 func eventText(id int) string { return fmt.Sprintf("id: %d\ndata: t%d\n\n", id, id) }
 
 func (g *generation) reply() *Reply {
-	return &Reply{Status: http.StatusOK, Header: http.Header{}, Body: g.reader, Whole: true}
+	return &Reply{Status: http.StatusOK, Header: http.Header{}, Body: g.reader, Complete: true}
 }
 
 // wholeStream returns the bytes of events 1 to last.
--- a/gateway/migrate.go
+++ b/gateway/migrate.go
@@ -54,7 +54,7 @@
 	source, id := run.server(), run.task.request.ID
 	turnCtx, cancel := context.WithTimeout(ctx, turnTimeout)
 	defer cancel()
-	move := migration.Move{Source: source.ID, Run: id, Size: run.lostWork(), Need: placement.Need{PromptTokens: run.memoryTokens(), OutputTokens: run.expectedRemaining()}}
+	move := migration.Move{Source: source.ID, Run: id, LostWork: run.lostWork(), Need: placement.Need{PromptTokens: run.memoryTokens(), OutputTokens: run.expectedRemaining()}}
 	destination, end, err := g.options.Allocator.TakeTurn(turnCtx, run.task.service.Name, move)
 	if err != nil {
 		return
@@ -85,7 +85,7 @@
 		g.recordMove(run, source, "copy_failed", err)
 		return
 	}
-	if current, usable := g.options.Fleet.Get(target.ID); !usable || !current.Life().Is(target.Life()) {
+	if current, usable := g.options.Fleet.Get(target.ID); !usable || !current.Incarnation().Is(target.Incarnation()) {
 		reservation.End()
 		g.discard(source, first.Handle)
 		g.recordMove(run, source, "destination_left", nil)
@@ -136,7 +136,7 @@
 	_ = g.options.Backend.Discard(ctx, source, handle)
 }
 
-func moveResult(last Copied, err error) string {
+func moveResult(last CopyResult, err error) string {
 	switch {
 	case err != nil:
 		return "stop_unanswered"
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -68,7 +68,7 @@
 	if table.EvacuatedOnly(t.service.Name) {
 		return ReasonEvacuated
 	}
-	switch rest := table.RestLeft(t.service.Name); {
+	switch rest := table.BackoffLeft(t.service.Name); {
 	case rest == 0:
 		return ReasonNoServer
 	case rest > wait:
@@ -92,8 +92,8 @@
 // capacity.
 func (t *task) chooseServer(ctx context.Context, need placement.Need, candidates []placement.Candidate) string {
 	if t.service.Engine != nil && t.route.Kind == Generation {
-		asked := allocation.Asked{Request: t.request.ID, Fingerprint: t.fingerprint, Need: need}
-		return t.gateway.options.Allocator.Place(ctx, t.service.Name, asked, t.tried)
+		req := allocation.PlacementRequest{Request: t.request.ID, Fingerprint: t.fingerprint, Need: need}
+		return t.gateway.options.Allocator.Place(ctx, t.service.Name, req, t.tried)
 	}
 	if i := placement.Pick(need, candidates, t.gateway.options.Limits, rand.IntN); i >= 0 {
 		return candidates[i].ID
--- a/gatewayhost/host.go
+++ b/gatewayhost/host.go
@@ -81,17 +81,17 @@
 // Backend communicates with backend servers.
 type Backend interface {
 	gateway.Backend
-	// Ask queries the status that a server reports about itself. HealthPath is
+	// QueryStatus queries the status that a server reports about itself. HealthPath is
 	// the path at which the servers of its service report health; empty if they
 	// do not.
-	Ask(ctx context.Context, server fleet.Server, healthPath string) (fleet.OwnWord, error)
-	// Held queries which generations an engine has. It returns an error if the
+	QueryStatus(ctx context.Context, server fleet.Server, healthPath string) (fleet.SelfReport, error)
+	// QueryGenerations queries which generations an engine has. It returns an error if the
 	// engine does not report them, or if another incarnation of the server
 	// answers.
-	Held(ctx context.Context, server fleet.Server) (fleet.Held, error)
-	// OnBroken sets the callback for a broken connection, including an idle
+	QueryGenerations(ctx context.Context, server fleet.Server) (fleet.Held, error)
+	// OnConnectionBroken sets the callback for a broken connection, including an idle
 	// one, to an address. The callback must not block.
-	OnBroken(callback func(address string))
+	OnConnectionBroken(callback func(address string))
 }
 
 // Server is an HTTP server of the host. Address is an IP:port.
@@ -102,16 +102,16 @@
 
 // Options configure a Host. All fields are required.
 type Options struct {
-	Name           string
-	Domain         string // failure domain
-	Capacity       int    // CPU capacity in thousandths of a core; zero if unknown
-	PeerAddress    string
-	CallersAddress string // address advertised to callers
-	Seeds          []string
-	Network        link.Network
-	Store          store.Checker
-	Objects        Objects
-	Backend        Backend
+	Name          string
+	Domain        string // failure domain
+	Capacity      int    // CPU capacity in thousandths of a core; zero if unknown
+	PeerAddress   string
+	CallerAddress string // address advertised to callers
+	Seeds         []string
+	Network       link.Network
+	Store         store.Checker
+	Objects       Objects
+	Backend       Backend
 	// RepeatRatio, RepeatAllowance and RepeatWindow are the retry budget; see
 	// [gateway.Budget].
 	RepeatRatio, RepeatAllowance float64
@@ -141,7 +141,7 @@
 	coldQueries        sync.Map      // addresses whose servers are being queried whether they are cold
 	allocator          *allocation.Allocator
 	allocation         *allocation.Client
-	sentinel           *allocation.Sentinel
+	outageMonitor      *allocation.OutageMonitor
 	gateway            *gateway.Gateway
 	verifiedAt         moment.Moment // start of the last successful read of the configuration from the store
 	relayedVerifiedAt  moment.Moment // same for a read by another host that found the same revision
@@ -158,7 +158,7 @@
 	h := &Host{options: o, logger: o.Logger, quarantineDirty: make(chan struct{}, 1)}
 	h.table = replica.New(h.apply)
 	h.watch = &domain.WatchDuty{
-		Host: o.Name, Fleet: h, Check: h.checkStore, Returned: h.relist, Active: func() bool { return !h.booting.Load() },
+		Host: o.Name, Fleet: h, Check: h.checkStore, OnStoreRecovered: h.relist, Active: func() bool { return !h.booting.Load() },
 		Interval: storeCheckInterval, Timeout: storeCheckTimeout,
 	}
 	h.configuration = h.newFollower(o.Objects.Configuration, configurationSpacing)
@@ -166,18 +166,18 @@
 	h.evacuations = h.newFollower(o.Objects.Evacuations, 0)
 	h.fleet = fleet.NewTable(o.Name, o.Logger)
 	h.allocator = allocation.NewAllocator(h.fleet, placement.DefaultLimits, rand.IntN, o.Logger)
-	h.allocator.Undisturbed = h.servers.Undisturbed
-	h.allocator.Revision, h.allocator.Verified, h.allocator.Relayed = h.verifiedRevision, h.verificationAge, h.recordRelayedVerification
+	h.allocator.SinceStoreFailure = h.servers.SinceStoreFailure
+	h.allocator.Revision, h.allocator.Verified, h.allocator.OnRelayedRevision = h.verifiedRevision, h.verificationAge, h.recordRelayedVerification
 	h.quarantine = quarantine.NewTable(o.Logger, o.Registerer)
 	h.quarantine.Changed = func() { h.node.Load().Announce() }
-	h.quarantine.Kept = h.scheduleQuarantineWrite
+	h.quarantine.QuarantineChanged = h.scheduleQuarantineWrite
 	h.node.Store(h.newNode(0, o.Registerer))
 	h.table.Subscribe(func() { h.node.Load().Announce() })
-	o.Backend.OnBroken(h.handleBrokenConnection)
+	o.Backend.OnConnectionBroken(h.handleBrokenConnection)
 	h.allocation = allocation.NewClient(o.Name, o.Domain, h, h.allocator, h.fleet, o.Logger)
 	h.allocator.Evacuated = h.evacuationRevision.Load
-	h.allocation.Told, h.allocation.ToldEvacuated = h.catchUp, h.catchUpEvacuations
-	h.sentinel = &allocation.Sentinel{
+	h.allocation.OnRevision, h.allocation.OnEvacuation = h.catchUp, h.catchUpEvacuations
+	h.outageMonitor = &allocation.OutageMonitor{
 		Host: o.Name, Client: h.allocation, Fleet: h.fleet, Check: o.Store.Check, Verify: h.verify, Verified: h.verificationAge, Ask: h.queryStatus,
 		Logger: o.Logger,
 	}
@@ -185,7 +185,7 @@
 		Domain: o.Domain, Fleet: h.fleet, Backend: o.Backend, Allocator: h.allocation, Quarantine: h.quarantine, Logger: o.Logger,
 		Limits:  placement.DefaultLimits,
 		Budget:  &gateway.Budget{Ratio: o.RepeatRatio, Allowance: o.RepeatAllowance, Window: o.RepeatWindow, Hosts: h.liveHosts},
-		Confirm: h.confirm, Others: h.hasLivePeers, Metrics: gateway.NewMetrics(o.Registerer),
+		Confirm: h.confirm, OtherHostsAvailable: h.hasLivePeers, Metrics: gateway.NewMetrics(o.Registerer),
 	})
 	return h
 }
@@ -235,7 +235,7 @@
 func (h *Host) background() []func(context.Context) error {
 	return []func(context.Context) error{
 		h.boot, h.configuration.Run, h.servers.Run, h.evacuations.Run, h.watch.Run, h.syncQuarantine, h.releaseLostGenerations,
-		h.runNode, h.allocation.Run, h.allocation.Exchange, h.sentinel.Run,
+		h.runNode, h.allocation.Run, h.allocation.Exchange, h.outageMonitor.Run,
 	}
 }
 
--- a/gatewayhost/members.go
+++ b/gatewayhost/members.go
@@ -39,10 +39,10 @@
 	o := h.options
 	return peer.New(peer.Options{
 		Self: peer.Member{
-			Host: o.Name, Incarnation: incarnation, FailureDomain: o.Domain, PeerAddress: o.PeerAddress, CallerAddress: o.CallersAddress,
+			Host: o.Name, Incarnation: incarnation, FailureDomain: o.Domain, PeerAddress: o.PeerAddress, CallerAddress: o.CallerAddress,
 			Capacity: o.Capacity,
 		},
-		Network: o.Network, Seeds: o.Seeds, Configuration: gossipedTable{h.table}, Handler: noForwarding{}, Suspects: h.quarantine,
+		Network: o.Network, Seeds: o.Seeds, Configuration: gossipedTable{h.table}, Handler: noForwarding{}, Quarantine: h.quarantine,
 		Logger:     o.Logger,
 		Register:   func(registrar grpc.ServiceRegistrar) { allocation.Register(registrar, h.allocator) },
 		Registerer: registerer, ProbeInterval: probeInterval, SuspicionTimeout: suspicionTimeout,
@@ -80,9 +80,9 @@
 	return h.rejoins.Load()<<rejoinShift + h.node.Load().Generation()
 }
 
-// SetStoreAway sets whether this host advertises to its peers that it cannot
+// SetStoreUnreachable sets whether this host advertises to its peers that it cannot
 // reach the store.
-func (h *Host) SetStoreAway(away bool) { h.node.Load().SetStoreAway(away) }
+func (h *Host) SetStoreUnreachable(away bool) { h.node.Load().SetStoreUnreachable(away) }
 
 // Call calls f with a gRPC connection to another entry host.
 func (h *Host) Call(host string, f func(grpc.ClientConnInterface) error) error {
@@ -113,7 +113,7 @@
 	if h.gateway.Configuration() == nil {
 		return nil, 0, false
 	}
-	for _, m := range domain.Spread(h.Members(), callerDomain) {
+	for _, m := range domain.UnorderedHosts(h.Members(), callerDomain) {
 		addresses = append(addresses, m.CallerAddress)
 	}
 	return addresses, addressesTTL, true
--- a/gatewayhost/quarantine_test.go
+++ b/gatewayhost/quarantine_test.go
@@ -89,8 +89,8 @@
 	return c.crashSignals[id]
 }
 
-// Ended reports whether a server has crashed.
-func (c *crashing) Ended(_ context.Context, server fleet.Server) bool {
+// RefusesConnection reports whether a server has crashed.
+func (c *crashing) RefusesConnection(_ context.Context, server fleet.Server) bool {
 	select {
 	case <-c.crashSignal(server.ID):
 		return true
@@ -99,16 +99,18 @@
 	}
 }
 
-func (c *crashing) Ask(context.Context, fleet.Server, string) (fleet.OwnWord, error) {
-	return fleet.OwnWord{}, nil
+func (c *crashing) QueryStatus(context.Context, fleet.Server, string) (fleet.SelfReport, error) {
+	return fleet.SelfReport{}, nil
 }
 
-func (c *crashing) OnBroken(func(string)) {}
+func (c *crashing) OnConnectionBroken(func(string)) {}
 
-func (c *crashing) Held(context.Context, fleet.Server) (fleet.Held, error) { return fleet.Held{}, nil }
+func (c *crashing) QueryGenerations(context.Context, fleet.Server) (fleet.Held, error) {
+	return fleet.Held{}, nil
+}
 
 func (c *crashing) Send(ctx context.Context, call gateway.Call) (*gateway.Reply, error) {
-	if c.Ended(ctx, call.Server) {
+	if c.RefusesConnection(ctx, call.Server) {
 		return nil, &backend.CallError{Evidence: backend.NothingSent, Err: errors.New("refused")}
 	}
 	runs := time.NewTimer(2 * crashAfter)
@@ -126,7 +128,7 @@
 	case <-ctx.Done():
 		return nil, &backend.CallError{Evidence: backend.Broken, Err: ctx.Err()}
 	}
-	return &gateway.Reply{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("ok")), Whole: true}, nil
+	return &gateway.Reply{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("ok")), Complete: true}, nil
 }
 
 // retriesAfterThird returns how often crashingBody was sent later than
@@ -278,13 +280,13 @@
 		is.True(err != nil)
 	}
 	now := time.Now()
-	records := []quarantine.Record{{Fingerprint: 1 << 63, Epoch: 3, Crashes: 2, Left: time.Minute}}
+	records := []quarantine.Record{{Fingerprint: 1 << 63, Epoch: 3, Crashes: 2, Remaining: time.Minute}}
 	data, err := encodeQuarantine(records, now)
 	is.NoErr(err)
 	read, err := decodeQuarantine(data, now)
 	is.NoErr(err)
-	is.True(read[0].Left > time.Minute-time.Second && read[0].Left <= time.Minute)
-	read[0].Left = records[0].Left
+	is.True(read[0].Remaining > time.Minute-time.Second && read[0].Remaining <= time.Minute)
+	read[0].Remaining = records[0].Remaining
 	is.Equal(read, records)
 }
 
@@ -302,10 +304,10 @@
 	}
 	const request = 7
 	for range 2 {
-		h.quarantine.Crashed(quarantine.Run{Fingerprint: request, Sent: h.quarantine.Mark(request), Early: true, Request: "r", Server: "i"})
+		h.quarantine.ReportCrash(quarantine.Run{Fingerprint: request, Sent: h.quarantine.Mark(request), Early: true, Request: "r", Server: "i"})
 	}
 	is.Equal(len(stored()), 1)
-	h.quarantine.Completed(request)
+	h.quarantine.ReportCompleted(request)
 	is.Equal(len(stored()), 0)
 	is.Equal(h.quarantine.Quarantined(request), time.Duration(0))
 }
--- a/lease/store_lessor.go
+++ b/lease/store_lessor.go
@@ -42,8 +42,8 @@
 
 // Options configure a StoreLessor. Zero values have defaults.
 type Options struct {
-	Term    time.Duration // default 20 s
-	Longest time.Duration // how long an action that was begun in time may run; default 30 s
+	Term          time.Duration // default 20 s
+	MaxActionTime time.Duration // how long an action that was begun in time may run; default 30 s
 }
 
 // StoreLessor grants leases by conditional writes to the platform's store. It
@@ -70,8 +70,8 @@
 	if options.Term <= 0 {
 		options.Term = defaultTerm
 	}
-	if options.Longest <= 0 {
-		options.Longest = defaultMaxActionTime
+	if options.MaxActionTime <= 0 {
+		options.MaxActionTime = defaultMaxActionTime
 	}
 	return &StoreLessor{store: store, host: host, options: options, seen: map[string]observation{}}
 }
@@ -93,7 +93,7 @@
 		Holder:          s.host,
 		Acquisition:     uuid.NewString(),
 		TermMillis:      s.options.Term.Milliseconds(),
-		MaxActionMillis: s.options.Longest.Milliseconds(),
+		MaxActionMillis: s.options.MaxActionTime.Milliseconds(),
 		State:           current.State,
 	}
 	since := time.Now()
@@ -106,13 +106,13 @@
 		return nil, err
 	}
 	events.WithLabelValues(eventAcquired).Inc()
-	lease := &Lease{name: name, fence: uint64(acquired), quietUntil: time.Now(), writeLock: make(chan struct{}, 1), unknownWrites: map[uint64]time.Time{}}
+	lease := &Lease{name: name, fence: uint64(acquired), firstActionAt: time.Now(), writeLock: make(chan struct{}, 1), unknownWrites: map[uint64]time.Time{}}
 	if version != 0 && !current.Released {
 		// Failure: an order that the previous holder sent just before its lease
 		// expired is still being executed by an engine that ignores fencing
 		// numbers, and reverts an order of this holder. Waiting for the longest
 		// action lets it end first.
-		lease.quietUntil = lease.quietUntil.Add(current.maxActionTime())
+		lease.firstActionAt = lease.firstActionAt.Add(current.maxActionTime())
 	}
 	next.Fence = acquired
 	lease.recordWrite(acquired, next, since)
--- a/order/fuzz_test.go
+++ b/order/fuzz_test.go
@@ -335,11 +335,11 @@
 	}
 	have := 0
 	for _, server := range source.BackendServers {
-		state, _ := f.engineSet.State(f.ctx, server.Address)
+		state, _ := f.engineSet.ReadState(f.ctx, server.Address)
 		for _, model := range state.Models {
 			if model == source.Model.Target() {
 				have++
-			} else if source.Model.Names(model) {
+			} else if source.Model.Matches(model) {
 				f.recordViolation("%s has %s, the document requires %s", server.Address, model, source.Model.Target())
 			}
 		}
--- a/peer/suspects.go
+++ b/peer/suspects.go
@@ -13,7 +13,7 @@
 // mergeQuarantine merges records of requests that crash backend servers, and
 // starts an early round of gossip if any of them was new.
 func (n *Node) mergeQuarantine(list []*peerpb.Suspect) {
-	if len(list) > 0 && n.options.Suspects.Merge(quarantineFromProto(list), quarantineSource) {
+	if len(list) > 0 && n.options.Quarantine.Merge(quarantineFromProto(list), quarantineSource) {
 		signal(n.pushSignal)
 	}
 }
@@ -22,7 +22,7 @@
 	records := make([]quarantine.Record, 0, len(list))
 	for _, p := range list {
 		records = append(records, quarantine.Record{
-			Fingerprint: p.GetFingerprint(), Epoch: p.GetEpoch(), Crashes: p.GetCrashes(), Left: time.Duration(p.GetLeftMs()) * time.Millisecond,
+			Fingerprint: p.GetFingerprint(), Epoch: p.GetEpoch(), Crashes: p.GetCrashes(), Remaining: time.Duration(p.GetLeftMs()) * time.Millisecond,
 		})
 	}
 	return records
@@ -31,7 +31,7 @@
 func quarantineToProto(records []quarantine.Record) []*peerpb.Suspect {
 	list := make([]*peerpb.Suspect, 0, len(records))
 	for _, r := range records {
-		list = append(list, &peerpb.Suspect{Fingerprint: r.Fingerprint, Epoch: r.Epoch, Crashes: r.Crashes, LeftMs: uint32(r.Left.Milliseconds())})
+		list = append(list, &peerpb.Suspect{Fingerprint: r.Fingerprint, Epoch: r.Epoch, Crashes: r.Crashes, LeftMs: uint32(r.Remaining.Milliseconds())})
 	}
 	return list
 }
@@ -39,6 +39,6 @@
 // noQuarantine is the empty set, for hosts that do not track such requests.
 type noQuarantine struct{}
 
-func (noQuarantine) News() []quarantine.Record              { return nil }
+func (noQuarantine) GossipRecords() []quarantine.Record     { return nil }
 func (noQuarantine) All() []quarantine.Record               { return nil }
 func (noQuarantine) Merge([]quarantine.Record, string) bool { return false }
--- a/quarantine/news.go
+++ b/quarantine/gossip.go
@@ -20,8 +20,8 @@
 	repeatsPerMessage = 2
 )
 
-// News returns the records for one gossip message to another host.
-func (t *Table) News() []Record {
+// GossipRecords returns the records for one gossip message to another host.
+func (t *Table) GossipRecords() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
@@ -97,6 +97,6 @@
 // snapshot returns the record with its remaining time.
 func (e *entry) snapshot(now time.Time) Record {
 	r := e.Record
-	r.Left = e.expires.Sub(now)
+	r.Remaining = e.expires.Sub(now)
 	return r
 }
