--- a/domain/watchduty.go
+++ b/domain/watchduty.go
@@ -18,7 +18,7 @@
 type Fleet interface {
 	Members() []peer.Member
 	Generation() uint64
-	SetStoreUnreachable(away bool)
+	SetStoreUnreachable(unreachable bool)
 }
 
 // WatchDuty decides whether this host watches the platform's store for the
--- a/fleet/cold_test.go
+++ b/fleet/cold_test.go
@@ -36,7 +36,7 @@
 }
 
 func TestSelfReportedColdTime(t *testing.T) {
-	// A server becomes cold during its lifetime while the store is down, and
+	// A server becomes cold during an incarnation while the store is down, and
 	// reports so in health responses. An implausibly long time is capped.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/fleet/incarnation.go
+++ b/fleet/incarnation.go
@@ -2,9 +2,9 @@
 
 import "go.uber.org/zap"
 
-// Incarnation identifies one incarnation of a backend server. A restarted server has a
-// new ID, or the same ID with another start time. Either way it has no state of
-// the earlier incarnation.
+// Incarnation identifies one incarnation of a backend server. A restarted server
+// has a new ID, or the same ID with another start time. Either way it has no
+// state of the earlier incarnation.
 type Incarnation struct {
 	ID string
 	// Born is the start time in Unix ms, as reported by the server; zero: not reported.
--- a/gatewayhost/members.go
+++ b/gatewayhost/members.go
@@ -82,7 +82,7 @@
 
 // SetStoreUnreachable sets whether this host advertises to its peers that it cannot
 // reach the store.
-func (h *Host) SetStoreUnreachable(away bool) { h.node.Load().SetStoreUnreachable(away) }
+func (h *Host) SetStoreUnreachable(unreachable bool) { h.node.Load().SetStoreUnreachable(unreachable) }
 
 // Call calls f with a gRPC connection to another entry host.
 func (h *Host) Call(host string, f func(grpc.ClientConnInterface) error) error {
--- a/internal/strictyaml/mapping.go
+++ b/internal/strictyaml/mapping.go
@@ -73,8 +73,8 @@
 	return ok
 }
 
-// AddFinding adds a finding at a field's value, or at the mapping's start if the field
-// is missing.
+// AddFinding adds a finding at a field's value, or at the mapping's start if the
+// field is missing.
 func (m *Mapping) AddFinding(name, format string, arguments ...any) {
 	if m.unreadable {
 		return
@@ -89,8 +89,8 @@
 	m.reader.list.Add(findings.At(m.reader.file, place, "%s: %s", name, fmt.Sprintf(format, arguments...)))
 }
 
-// ReportUnknownFields adds a finding for each field that is present but was never read. The
-// finding lists the allowed names.
+// ReportUnknownFields adds a finding for each field that is present but was never
+// read. The finding lists the allowed names.
 func (m *Mapping) ReportUnknownFields() {
 	for _, name := range m.order {
 		if !slices.Contains(m.known, name) {
