--- a/routing/dispatcher.go
+++ b/routing/dispatcher.go
@@ -23,7 +23,7 @@
 	}, []string{"reason"})
 	preemptionsTotal = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "papayasail_routing_preemptions_total",
-		Help: "Preemptions seen in the streams that this host placed.",
+		Help: "Preemptions of generations that this host placed, as reported in their streams.",
 	})
 	waitSeconds = prometheus.NewHistogram(prometheus.HistogramOpts{
 		Name:    "papayasail_routing_wait_seconds",
@@ -48,7 +48,7 @@
 // Options configures a Dispatcher. Pool and Policy are required.
 type Options struct {
 	Pool   *backend.Pool
-	Policy string // one of Policies()
+	Policy string // a name from Policies() or Ablations()
 	Host   string // name of this entry host; it selects the host's subset of servers
 	Seed   uint64 // seed of the random choices
 	// Share returns the share of each configured limit that this host may
--- a/routing/dispatcher_bench_test.go
+++ b/routing/dispatcher_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/papayasail/papayasail/contract"
 )
 
-// BenchmarkDecision places and ends one request while sixteen generations run on
-// each server.
+// BenchmarkDecision places and ends one request while this host runs 200
+// generations and each server reports sixteen.
 func BenchmarkDecision(b *testing.B) {
 	for _, workers := range []int{12, 600} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
--- a/routing/dispatcher_test.go
+++ b/routing/dispatcher_test.go
@@ -88,7 +88,8 @@
 	}
 }
 
-// Guards against requests that wait in vain when all servers are leaving.
+// Guards against requests that wait until their deadline although all servers are
+// leaving.
 func TestNoServerIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/routing/forecast.go
+++ b/routing/forecast.go
@@ -44,7 +44,7 @@
 			chance = 1
 		case maxTokens > 0 && total >= maxTokens:
 		case produced == 0:
-			chance = table.fromStart[k] // every decision needs it: precomputed to save the logarithm
+			chance = table.fromStart[k] // precomputed, because each decision needs it and it takes a logarithm
 		case reached > 0:
 			chance = table.longerThan(float64(total)) / reached
 		}
--- a/routing/gap.go
+++ b/routing/gap.go
@@ -38,8 +38,8 @@
 
 // runningLimit is an adaptive concurrency limit for the generations on one
 // server: additive increase while the gaps between tokens meet the target,
-// multiplicative decrease if too many exceed it. A constant limit would have to
-// be set for each model and machine.
+// multiplicative decrease if too many exceed it. It is not a constant, because the
+// right value differs by model and machine.
 type runningLimit struct {
 	limit   float64 // 0: no limit yet
 	updated time.Time
--- a/routing/lag.go
+++ b/routing/lag.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	lagSteps  = 16
-	lagStep   = 250 * time.Millisecond
-	lagWindow = 400 // averaging window, in reports
+	lagSteps  = 16                     // number of assumed ages
+	lagStep   = 250 * time.Millisecond // difference between two assumed ages
+	lagWindow = 400                    // averaging window, in reports
 	// lagSamples is the minimum number of reports for an estimate.
 	lagSamples = 100
 )
@@ -15,12 +15,13 @@
 //
 // Between two reports the number of running generations changes by this host's
 // own change plus the change of all other hosts. The own change is known for
-// each time step of the last seconds. The age for which subtracting it leaves
-// the least variance is therefore the age of the reports. Without this estimate
-// all hosts would place work at once on engines that had free memory only
-// seconds ago.
+// each time step of the last seconds. For each assumed age, the meter subtracts
+// the own change from the reported change. The age with the smallest variance of
+// the remainder is the estimate. Without this estimate, all hosts would place
+// work at once on engines that had free memory seconds ago, which may have been
+// used since.
 type lagMeter struct {
-	variance [lagSteps]float64 // residual variance, by assumed age in lagSteps
+	variance [lagSteps]float64 // residual variance, by assumed age in units of lagStep
 	samples  int
 }
 
@@ -28,7 +29,7 @@
 type lagSample struct {
 	known    bool              // there was a report
 	reported float64           // generations in the report
-	own      [lagSteps]float64 // this host's generations, by assumed age
+	own      [lagSteps]float64 // this host's generations, by assumed age in units of lagStep
 }
 
 // add updates the estimate with a report of a server. reported is the number of
--- a/routing/policy_forecast.go
+++ b/routing/policy_forecast.go
@@ -11,8 +11,8 @@
 	// maxRunningUnreported is the maximum number of own generations on a server
 	// whose capacity is not known yet.
 	maxRunningUnreported = 4
-	// prefixWeight is the score of a cached prefix, in the unit of free memory
-	// as a share of the capacity.
+	// prefixWeight is the score added for a prefix that is certainly cached. The
+	// rest of the score is the free share of the server's memory.
 	prefixWeight = 0.05
 )
 
@@ -79,7 +79,9 @@
 
 // room returns the share of a server's memory that stays free with the request
 // placed there. It returns false if the request does not fit, or exceeds the
-// running limit or this host's share of the free memory.
+// running limit or this host's share of the free memory. If the server's capacity
+// is unknown, it returns minus the number of this host's generations there, and
+// false if they have reached maxRunningUnreported.
 func (p *forecastPolicy) room(c *choice, cand *candidate, demand *forecast) (float64, bool) {
 	l := cand.serverLoad
 	if c.now.Sub(l.refreshed) > refreshInterval {
@@ -120,12 +122,14 @@
 // tell. A stale report is no evidence of load.
 //
 // An idle engine always accepts one request, so that a service cannot starve.
-// If one generation may outgrow an empty engine (small memory, or a slow start
-// that counts only part of it), no forecast fits. If long gaps and a slow start
-// have lowered the running limit to one, any fraction of a generation expected
-// from other hosts exceeds it. In both cases each request would wait until its
-// deadline beside idle engines. If several hosts place on the same idle engine
-// at once, the engine preempts.
+// Otherwise requests would wait until their deadline beside idle engines in two
+// cases:
+//   - A generation may outgrow an empty engine, because the engine has little
+//     memory or because its slow start counts only part of the memory.
+//   - Long gaps and a slow start have lowered the running limit to one. The
+//     request and any fraction of a generation expected from other hosts exceed it.
+//
+// If several hosts place on the same idle engine at once, the engine preempts.
 func idle(l *serverLoad, now time.Time) bool {
 	return l.running == 0 && (l.otherGenerations < 1 || !l.reportUsable(now))
 }
@@ -165,8 +169,9 @@
 // This prevents a thundering herd: when an engine frees memory, every host with
 // a queue sees it in the same report and places there at once, so the same
 // memory is used several times and the engine preempts. Each host therefore
-// uses only its share of the free memory. If the share is less than the request
-// needs, the host places one request with probability share/needed.
+// uses only its share of the free memory. If the request needs more than the
+// share, the host places it only if it has placed nothing on the server since the
+// report, and then with probability share/used.
 func (p *forecastPolicy) fairShare(c *choice, l *serverLoad, total, demand *forecast, capacity, spare float64) bool {
 	before := *total
 	before.add(&l.recent, -1)
--- a/routing/policy_forecast_test.go
+++ b/routing/policy_forecast_test.go
@@ -99,7 +99,7 @@
 }
 
 // Guards against engines that run out of memory as the placed generations grow.
-func TestPlacedWorkKeepsWithinTheForecast(t *testing.T) {
+func TestForecastStaysWithinCapacity(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		prompts := rapid.SliceOfN(rapid.IntRange(1, 3000), 1, 200).Draw(r, "prompts")
 		wrong := inBubble(t, func(t *testing.T) string {
@@ -351,7 +351,8 @@
 	})
 }
 
-// The estimated mean has to converge to the mean of the samples.
+// Guards against an estimated mean that does not converge to the mean of the
+// samples.
 func TestMeanIsLearned(t *testing.T) {
 	is := is.New(t)
 	l := newLengths(func(string) (counts [lengthBuckets]float64) { return counts })
--- a/routing/server_load.go
+++ b/routing/server_load.go
@@ -122,10 +122,11 @@
 	l.limit.update(&l.gaps, float64(load.Running), now)
 }
 
-// plausible rejects reports that cannot be true, with more memory in use than
-// the server has or with generations that hold no memory. They are handled as
-// missing: a wrong report would take its server out of use and, through the mean
-// over all servers, the other servers too.
+// plausible reports whether a report can be true: the memory in use is within the
+// capacity, each running generation holds memory, and no more generations wait
+// than the capacity has tokens. An implausible report is handled as missing:
+// otherwise it would take its server out of use and, through the mean over all
+// servers, the other servers too.
 func plausible(load backend.LoadReport) bool {
 	return load.TokensHeld >= 0 && load.TokensHeld <= load.TokenCapacity &&
 		load.Running >= 0 && load.Running <= load.TokensHeld &&
@@ -167,11 +168,12 @@
 const (
 	marginStep  = 0.01  // share of the capacity added for each report with new preemptions
 	maxMargin   = 0.3   // upper bound
-	marginDecay = 0.002 // share of the capacity released per second
+	marginDecay = 0.002 // share of the capacity by which the margin falls per second
 )
 
-// learnMargin increases the free memory margin after preemptions, whatever made
-// the forecast too low, and releases it slowly.
+// learnMargin increases the memory margin of a server if its report shows new
+// preemptions, for whatever reason the forecast was too low, and lowers the margin
+// slowly over time.
 func (l *serverLoad) learnMargin(preemptions uint64, now time.Time) {
 	if !l.marginAt.IsZero() {
 		l.margin = max(0, l.margin-marginDecay*now.Sub(l.marginAt).Seconds())
@@ -191,7 +193,9 @@
 }
 
 // historyLength is the number of samples in a history. At one sample per
-// refreshInterval it covers historyLength * refreshInterval.
+// refreshInterval a history covers historyLength * refreshInterval; each report
+// adds a sample too, so frequent reports shorten that time. It has to cover the
+// ages that lagMeter considers.
 const historyLength = 32
 
 // history is a ring buffer of samples of this host's own load. Reports lag, so
--- a/routing/trial_test.go
+++ b/routing/trial_test.go
@@ -38,18 +38,18 @@
 )
 
 const (
-	trialCapacity    = 6000
-	trialBatch       = 48
-	trialBase        = 20 * time.Millisecond
-	trialPerRunning  = 400 * time.Microsecond
-	trialPerPrefill  = 20 * time.Microsecond
-	trialMedian      = 100
-	trialSigma       = 1.0
-	trialMaxTokens   = 1500
-	trialPromptMed   = 120
-	trialPromptSigma = 0.7
-	trialStall       = 250 * time.Millisecond
-	trialWarm        = 12 * time.Second
+	trialCapacity    = 6000                   // memory of one engine, tokens
+	trialBatch       = 48                     // maximum running generations of one engine
+	trialBase        = 20 * time.Millisecond  // time of one step, plus the two below
+	trialPerRunning  = 400 * time.Microsecond // per running generation
+	trialPerPrefill  = 20 * time.Microsecond  // per token prefilled in the step
+	trialMedian      = 100                    // median output length (log-normal), tokens
+	trialSigma       = 1.0                    // sigma of its logarithm
+	trialMaxTokens   = 1500                   // maximum output length, tokens
+	trialPromptMed   = 120                    // median prompt length (log-normal), tokens
+	trialPromptSigma = 0.7                    // sigma of its logarithm
+	trialStall       = 250 * time.Millisecond // a gap counts as a stall for its part above this
+	trialWarm        = 12 * time.Second       // warm-up that is not measured
 	// trialPeak is the throughput of one engine, in tokens per second, that is
 	// defined as load 1.
 	trialPeak = 600
@@ -387,7 +387,7 @@
 					if engines[grant.Address()].submit(g) {
 						break
 					}
-					pools[r.host].Failed(grant.Address(), backend.FailureRefusedConnection)
+					pools[r.host].RecordFailure(grant.Address(), backend.FailureRefusedConnection)
 					grant.Done(Result{Failed: true, NotRun: true})
 				}
 				mu.Lock()
--- a/routing/view.go
+++ b/routing/view.go
@@ -65,9 +65,10 @@
 }
 
 // candidates returns the servers that may run a request: those in this host's
-// subset, or if there are none, those in the whole list. recoverable reports that
-// a server is or may become available without operator action. Called with mu
-// held; the result is valid until the next call.
+// subset, or if there are none, those in the whole list. If no server is found,
+// recoverable reports whether one may become available without operator action;
+// otherwise it has no meaning. Called with mu held; the result is valid until the
+// next call.
 func (s *service) candidates(request *Request) (found []*candidate, recoverable bool) {
 	found = s.view.scratch[:0]
 	for _, i := range s.view.subset {
--- a/routing/waiter.go
+++ b/routing/waiter.go
@@ -22,9 +22,9 @@
 // its deadline, and the time after which it may be retried.
 //
 // Without this check, each request under overload would wait until its deadline
-// before it is refused, callers would occupy hosts in vain, and requests that
-// could be served in time would queue behind requests that cannot. Called with
-// mu held.
+// before it is refused. Callers would occupy hosts without being served, and
+// requests that could be served in time would queue behind requests that cannot.
+// Called with mu held.
 func (s *service) missesDeadline(request *Request, now time.Time) (wait time.Duration, missesDeadline bool) {
 	if s.queue.Len() == 0 {
 		return 0, false
