--- a/gatewayhost/apply.go
+++ b/gatewayhost/apply.go
@@ -73,9 +73,10 @@
 //
 // Failure: servers cannot renew their entries during a store outage, so the
 // entries expire, and after the outage all servers appear removed although they
-// are alive. After a store failure, a server that does not report that it is
-// leaving is therefore removed only if its entry has not been recreated within
-// entryRecoveryTime.
+// are alive. Within ListChangedSlack after a store failure, a server is therefore
+// removed only if its entry is not recreated within entryRecoveryTime. Hosts that
+// watch the store query the server, and remove it earlier if it reports that it
+// is leaving or if a query fails.
 //
 // It is called with the replica table's lock held. The membership acquires that
 // lock as well, so calling WatchDuty.Watches here would deadlock the host.
@@ -95,7 +96,7 @@
 		h.removeAfterPolling(server)
 		return
 	}
-	_ = sleep.For(context.Background(), entryRecoveryTime) // the context never ends
+	_ = sleep.For(context.Background(), entryRecoveryTime) // fails only when the context ends, which this one never does
 	h.removeUnlessRecreated(id)
 }
 
@@ -108,8 +109,8 @@
 
 // removeAfterPolling polls a server until its entry has been recreated, the
 // server reports that it is leaving, a query fails, or entryRecoveryTime has
-// passed. It polls repeatedly because a server's status is some hundred
-// milliseconds old: the first answer may predate its decision to leave.
+// passed. It polls repeatedly because a server's status may be several
+// hundred milliseconds old: the first answer may predate its decision to leave.
 func (h *Host) removeAfterPolling(server fleet.Server) {
 	for elapsed := time.Duration(0); elapsed < entryRecoveryTime; elapsed += leavingQueryInterval {
 		leaving, err := h.queryLeaving(server)
@@ -117,7 +118,7 @@
 			h.logger.Info(msgEntryGone, zap.String("server", server.ID), zap.Bool("departs", leaving), zap.Duration("after", elapsed), zap.Error(err))
 			break
 		}
-		_ = sleep.For(context.Background(), leavingQueryInterval) // the context never ends
+		_ = sleep.For(context.Background(), leavingQueryInterval) // fails only when the context ends, which this one never does
 		if _, back := h.table.Get(h.options.Objects.Servers, server.ID); back {
 			return
 		}
@@ -125,7 +126,7 @@
 	h.removeUnlessRecreated(server.ID)
 }
 
-// queryLeaving queries whether a server is leaving.
+// queryLeaving queries the status of a server and returns whether it is leaving.
 func (h *Host) queryLeaving(server fleet.Server) (bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), leavingQueryTimeout)
 	defer cancel()
--- a/gatewayhost/boot.go
+++ b/gatewayhost/boot.go
@@ -15,10 +15,9 @@
 	msgStaleReadFailed = "store not read at the start; peers are asked"
 	msgJoined          = "entry host has met its peers"
 
-	// joinTimeout bounds how long a starting host waits for the first exchange
-	// with a peer before it may watch the store. Probes of the seeds take a few
-	// milliseconds, and probes from hosts that start at the same time arrive
-	// within half a second.
+	// joinTimeout bounds how long a starting host waits for the first sync with
+	// a seed before it may watch the store. A sync takes a few milliseconds; with
+	// seeds that start at the same time it is retried after half a second.
 	joinTimeout = time.Second
 	// membershipStableTime is how long the member count must not change for the
 	// membership to count as complete: an update takes one probe interval to
@@ -31,7 +30,7 @@
 
 // boot loads the stored objects once with inexpensive stale reads, and keeps
 // this host from watching the store until it has joined its peers, or until
-// joinTimeout has passed without an exchange with one.
+// joinTimeout has passed without a sync with a seed.
 //
 // Load: when all hosts of a large fleet start together, each sees no other
 // member at first and would watch the store until the membership has converged.
--- a/gatewayhost/broken.go
+++ b/gatewayhost/broken.go
@@ -21,8 +21,8 @@
 	coldQueryTimeout  = 200 * time.Millisecond
 )
 
-// handleBrokenConnection queries whether the servers at an address are cold, for
-// servers whose admission is limited while they are cold.
+// handleBrokenConnection queries the servers at an address to learn whether they
+// are cold, if their service has a rate limit for cold servers.
 //
 // Failure: a server restarts under the same id during a store outage. Its entry
 // cannot be updated to report that it is cold, and hosts keep sending it the
@@ -51,7 +51,7 @@
 	for range coldQueryAttempts {
 		status, err = h.queryColdOnce(server)
 		h.fleet.ApplySelfReport(server.Incarnation(), status)
-		_ = sleep.For(context.Background(), coldQueryInterval) // the context never ends
+		_ = sleep.For(context.Background(), coldQueryInterval) // fails only when the context ends, which this one never does
 		if known, _ := h.fleet.Get(server.ID); err == nil || !known.Incarnation().Is(server.Incarnation()) {
 			break
 		}
--- a/gatewayhost/evacuation_test.go
+++ b/gatewayhost/evacuation_test.go
@@ -58,8 +58,8 @@
 }
 
 func TestStartingHostAppliesEvacuations(t *testing.T) {
-	// Guards against a host that starts before it has joined any peer, and uses a
-	// domain whose evacuation order is in its stale read of the store.
+	// Guards against a starting host without peers that uses a domain although the
+	// domain's evacuation order is in its stale read of the store.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(t.Context())
@@ -111,8 +111,8 @@
 	return nil, 0, ctx.Err()
 }
 
-// Guards against an evacuation missed by a watch before the store compacted its
-// history, which only the watch of another kind reports.
+// Guards against an evacuation that its own watch missed and the store has
+// compacted since. Only the watch of another kind reports the compaction.
 func TestEvacuationMissedBeforeCompaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -151,8 +151,8 @@
 }
 
 func TestAllocatorReportsEvacuations(t *testing.T) {
-	// Guards against an evacuation order that gossip did not deliver to a host: the
-	// allocator's next answer has a newer revision, which the host then pulls.
+	// Guards against an order that a host missed in gossip because the allocator
+	// does not report it, and against a pull of a revision that the host has.
 	is := is.New(t)
 	h, _ := standaloneHost(notLeaving)
 	h.table.Adopt([]store.Object{{Kind: kindOfEvacuations, Name: evacuatedDomain, Version: 9}})
--- a/gatewayhost/freshness.go
+++ b/gatewayhost/freshness.go
@@ -21,14 +21,15 @@
 	// the newest; verificationTTL is how long such a verification remains valid.
 	confirmTimeout  = 400 * time.Millisecond
 	verificationTTL = 700 * time.Millisecond
-	// allocatorReportTTL is how long an allocator's report of the newest
-	// configuration remains valid; each host sends a report, which the allocator
-	// answers, at least every 0.7 s. verificationTTL and allocatorReportTTL add
-	// up to less than the 2 s that the operator allows until a configuration is
-	// active.
+	// allocatorReportTTL is how long after its request the newest configuration
+	// revision received from an allocator remains valid. A host requests it with
+	// its first report 0.7 s after the last request; in large fleets the reports
+	// of idle hosts are further apart. Together with verificationTTL it must stay
+	// below the 2 s that the operator allows until a configuration is active.
 	allocatorReportTTL = 900 * time.Millisecond
-	// storeCheckInterval separates the store checks of the hosts that watch it; one
-	// check costs a tenth of a full call. storeCheckTimeout bounds one check.
+	// storeCheckInterval is the interval between two store checks by a host that
+	// watches the store; a check costs the store a tenth of a list or watch.
+	// storeCheckTimeout bounds one check.
 	storeCheckInterval = 500 * time.Millisecond
 	storeCheckTimeout  = 250 * time.Millisecond
 	// watchLagLimit is how long a watch may take to deliver a change that the
@@ -136,10 +137,11 @@
 //
 // Failure: the store answers calls, but its watches deliver nothing for seconds
 // until they end because the history was compacted, and engines leave in the
-// meantime. A change of a kind that is not followed costs one list of each kind.
+// meantime. A change of a kind that is not followed also looks like a missed one
+// and costs an unnecessary list of each kind.
 func (h *Host) relistIfBehind(stored storeState) {
 	defer h.checkingWatches.Store(false)
-	_ = sleep.For(context.Background(), watchLagLimit) // the context never ends
+	_ = sleep.For(context.Background(), watchLagLimit) // fails only when the context ends, which this one never does
 	if h.watchesBehind(stored) {
 		h.logger.Warn(msgWatchesBehind, zap.Uint64("revision", uint64(stored.revision)), zap.Uint64("own", uint64(h.reachedRevision())))
 		h.relistExcept("")
--- a/gatewayhost/host.go
+++ b/gatewayhost/host.go
@@ -36,18 +36,20 @@
 	MsgStart   = "entry host starts"
 	msgStopped = "entry host stopped"
 
-	// configurationSpacing batches configurations written in quick succession.
-	// It delays their activation by up to this much of the two seconds that the
-	// operator allows.
+	// configurationSpacing is the pause between two watches of the configuration,
+	// so that changes in quick succession are read together. It delays their
+	// activation, for which the operator allows two seconds, by up to that time.
 	configurationSpacing = 100 * time.Millisecond
-	// serversSpacing batches replacements of servers. The delay is acceptable
-	// because the watchers of the failure domains do not pause at the same time
-	// and notify each other, and a server announces that it is leaving at least
-	// 1.5 s ahead.
+	// serversSpacing is the pause between two watches of the servers, so that
+	// replacements in quick succession are read together. It must be shorter than
+	// the notice of at least 1.5 s with which a server announces that it is
+	// leaving. The watchers of the failure domains pause at different times and
+	// gossip changes to each other, which shortens the delay.
 	serversSpacing = 400 * time.Millisecond
 	// storeBackoff and storeBackoffMax are the initial and the longest interval
-	// between attempts while the store is unavailable. Hosts that are cut off
-	// from all others retry too, and these can be a third of the fleet.
+	// between attempts while the store is unavailable. They limit its load:
+	// hosts that are cut off from all others watch the store too, and these can
+	// be a third of the fleet.
 	storeBackoff    = 60 * time.Millisecond
 	storeBackoffMax = time.Second
 
@@ -116,8 +118,8 @@
 	// [gateway.Budget].
 	RepeatRatio, RepeatAllowance float64
 	RepeatWindow                 time.Duration
-	// ListChangedSlack is how long after a store failure the store's list of
-	// servers may lack live servers.
+	// ListChangedSlack is how long after a store failure entries of live servers
+	// may be missing from the store.
 	ListChangedSlack time.Duration
 	// StopGrace is the time from the stop signal until the process is killed.
 	StopGrace  time.Duration
@@ -138,7 +140,7 @@
 	fleet              *fleet.Table
 	quarantine         *quarantine.Table
 	quarantineDirty    chan struct{} // has a token while changes of the quarantine are to be stored
-	coldQueries        sync.Map      // addresses whose servers are being queried whether they are cold
+	coldQueries        sync.Map      // addresses for which a query of handleBrokenConnection is running
 	allocator          *allocation.Allocator
 	allocation         *allocation.Client
 	outageMonitor      *allocation.OutageMonitor
@@ -202,8 +204,9 @@
 // Gateway returns the gateway that serves decoded callers' requests.
 func (h *Host) Gateway() *gateway.Gateway { return h.gateway }
 
-// Run serves until ctx ends, then stops gracefully. Callers' requests are served
-// at callers; other endpoints, which need no graceful stop, at others.
+// Run serves until ctx ends, then stops gracefully. The server callers takes
+// callers' requests and is drained; the servers others, which need no graceful
+// stop, are closed after that.
 func (h *Host) Run(ctx context.Context, callers Server, others ...Server) error {
 	h.logger.Info(MsgStart, zap.String("host", h.options.Name), zap.String("domain", h.options.Domain))
 	inner, cancel := context.WithCancel(context.Background())
--- a/gatewayhost/large_test.go
+++ b/gatewayhost/large_test.go
@@ -15,8 +15,8 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// countingStore counts full-price calls (lists and watches). It can refuse all
-// calls of its host.
+// countingStore counts lists and watches, each of which costs the store ten times
+// as much as a check. It can refuse the checks, lists and watches of its host.
 type countingStore struct {
 	checkedStore
 	calls    *callCount
@@ -83,10 +83,10 @@
 	for i := range count {
 		address := fmt.Sprintf("10.0.0.%d", i+1)
 		h := newHost(fmt.Sprintf("h%02d", i), fabric.Host(address), address, f.memory, notLeaving, "10.0.0.1"+peerPort)
-		priced := &countingStore{checkedStore: checkedStore{f.memory}, calls: &f.calls}
-		h.options.Store, h.servers.Store, h.configuration.Store, h.evacuations.Store = priced, priced, priced, priced
+		counting := &countingStore{checkedStore: checkedStore{f.memory}, calls: &f.calls}
+		h.options.Store, h.servers.Store, h.configuration.Store, h.evacuations.Store = counting, counting, counting, counting
 		h.booting.Store(true)
-		f.hosts, f.stores = append(f.hosts, h), append(f.stores, priced)
+		f.hosts, f.stores = append(f.hosts, h), append(f.stores, counting)
 		for _, run := range []func(context.Context) error{h.runNode, h.boot, h.servers.Run, h.configuration.Run, h.evacuations.Run, h.watch.Run} {
 			go func() { _ = run(ctx) }()
 		}
@@ -120,7 +120,7 @@
 		time.Sleep(5 * time.Second)
 		is.Equal(len(f.watching()), 3)
 		for _, kind := range []string{kindOfConfiguration, kindOfServers, kindOfEvacuations} {
-			is.True(f.calls.forKind(kind) <= 12) // 48 if each host watched until it had joined the others
+			is.True(f.calls.forKind(kind) <= 12) // by the three watching hosts; 48 if all hosts watched until they had joined the others
 		}
 		stop()
 		time.Sleep(time.Minute) // lets connection timers expire
--- a/gatewayhost/members.go
+++ b/gatewayhost/members.go
@@ -21,10 +21,10 @@
 const (
 	msgRejoining = "fleet knows a newer life of this host; it joins as a newer one"
 
-	// probeInterval is the interval between probes of peers. A dead host is
-	// suspected within about a second, which matches the interval at which
-	// callers query addresses.
-	probeInterval    = 500 * time.Millisecond
+	// probeInterval is the interval between probes of peers. With it a dead host
+	// is suspected within about a second; callers query addresses every second.
+	probeInterval = 500 * time.Millisecond
+	// suspicionTimeout is the time from suspicion until a host is declared gone.
 	suspicionTimeout = 4 * time.Second
 	// addressesTTL is how long callers may cache an address list.
 	addressesTTL = time.Second
@@ -46,8 +46,8 @@
 		Logger:     o.Logger,
 		Register:   func(registrar grpc.ServiceRegistrar) { allocation.Register(registrar, h.allocator) },
 		Registerer: registerer, ProbeInterval: probeInterval, SuspicionTimeout: suspicionTimeout,
-		// Traffic between failure domains is expensive: probes, gossip and pulls
-		// stay within the domain, except for a few hosts of other domains.
+		// Traffic between failure domains is expensive: this host probes, gossips
+		// with and pulls from hosts of its own domain and only a few of others.
 		Scope: peer.Scope{Near: []string{o.Domain}},
 	})
 }
@@ -132,8 +132,9 @@
 	return count, nil
 }
 
-// noForwarding rejects forwarded and handed-over requests. Only entry hosts that
-// serve papayasail's own caller API exchange those.
+// noForwarding answers forwarded requests with an empty response and rejects
+// handed-over records. Only entry hosts that serve papayasail's own caller API
+// send them.
 type noForwarding struct{}
 
 var errNoForwarding = errors.New("gatewayhost: nothing is forwarded between hosts here")
--- a/gatewayhost/quarantine.go
+++ b/gatewayhost/quarantine.go
@@ -31,7 +31,8 @@
 	// object again: the first read may have returned data that is some seconds
 	// old.
 	quarantineRereadDelay = 4 * time.Second
-	// quarantineTimeout bounds one attempt to write the object.
+	// quarantineTimeout bounds one attempt to update the object: a read and a
+	// write.
 	quarantineTimeout = 2 * time.Second
 )
 
@@ -62,13 +63,13 @@
 func decodeQuarantine(data []byte, now time.Time) ([]quarantine.Record, error) {
 	var content storedQuarantine
 	if err := json.Unmarshal(data, &content); err != nil {
-		return nil, errors.Wrap(err, "gatewayhost: quarantined requests")
+		return nil, errors.Wrap(err, "gatewayhost: decode quarantined requests")
 	}
 	var records []quarantine.Record
 	for _, r := range content.Requests {
 		fingerprint, err := strconv.ParseUint(r.Fingerprint, 16, 64)
 		if err != nil {
-			return nil, errors.Wrap(err, "gatewayhost: fingerprint of a quarantined request")
+			return nil, errors.Wrap(err, "gatewayhost: decode fingerprint of a quarantined request")
 		}
 		records = append(records, quarantine.Record{
 			Fingerprint: fingerprint, Epoch: r.Epoch, Crashes: r.Crashes, Remaining: time.UnixMilli(r.UntilMs).Sub(now),
@@ -78,9 +79,10 @@
 }
 
 // syncQuarantine synchronises the quarantine with the store until ctx ends: it
-// reads the stored object twice, at startup and after quarantineRereadDelay, and
-// writes it when this host's quarantine changes. Running hosts learn of changes
-// by gossip; the stored object is for hosts that start while no peer is alive.
+// reads the stored object at startup and again after quarantineRereadDelay,
+// repeats the second read until the store answers, and updates the object when
+// this host's quarantine changes. Running hosts receive changes by gossip; the
+// stored object is for hosts that start while no peer is alive.
 func (h *Host) syncQuarantine(ctx context.Context) error {
 	h.readQuarantine(ctx)
 	reread := time.NewTimer(quarantineRereadDelay)
--- a/gatewayhost/release.go
+++ b/gatewayhost/release.go
@@ -21,10 +21,10 @@
 	releaseTimeout  = 500 * time.Millisecond
 )
 
-// releaseLostGenerations queries engines at which generations make no progress
-// for the generations that they have, and releases the reservations of all
-// others, until ctx ends. The generations themselves keep waiting, as output that
-// the engine has already sent may still arrive.
+// releaseLostGenerations queries each engine that has stalled generations of this
+// host, and releases the reservations of those that the engine no longer has,
+// until ctx ends. The generations themselves keep waiting, as output that the
+// engine has already sent may still arrive.
 func (h *Host) releaseLostGenerations(ctx context.Context) error {
 	for sleep.For(ctx, releaseInterval) == nil {
 		var group sync.WaitGroup
--- a/gatewayhost/stop.go
+++ b/gatewayhost/stop.go
@@ -48,9 +48,9 @@
 	deadline := time.Now().Add(h.options.StopGrace - stopMargin)
 	h.gateway.Stop(deadline)
 	h.node.Load().Leave("")
-	_ = sleep.For(context.Background(), addressRefreshTime) // the context never ends
+	_ = sleep.For(context.Background(), addressRefreshTime) // fails only when the context ends, which this one never does
 	for h.gateway.InFlightGenerations() > 0 && time.Until(deadline) > stopAcceptingBefore {
-		_ = sleep.For(context.Background(), stopCheckInterval) // the context never ends
+		_ = sleep.For(context.Background(), stopCheckInterval) // fails only when the context ends, which this one never does
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
