--- a/peer/dispute.go
+++ b/peer/dispute.go
@@ -7,11 +7,12 @@
 )
 
 const (
-	// maxQueuedDisputes is the maximum number of members queued for such a
-	// probe. Members beyond it are queued again by a later message or sync.
+	// maxQueuedDisputes is the maximum number of members queued for a probe
+	// because hosts disagree on their state; see queueDisputes. Members beyond it
+	// are queued again by a later message or sync.
 	maxQueuedDisputes = 512
-	// disputeProbesPerInterval is the number of such probes in one probe
-	// interval.
+	// disputeProbesPerInterval is the maximum number of probes of disputed
+	// members in one probe interval.
 	disputeProbesPerInterval = 2
 )
 
@@ -21,8 +22,8 @@
 // Failure: after a network partition each part of the fleet lists the other as
 // gone, and hosts stay gone for minutes after the partition heals: an alive
 // record does not override a gone record of the same sequence, and the members
-// concerned are not aware of it. The probe carries the gone record to the
-// member, whose answer has the next sequence.
+// do not know that they are listed as gone. The probe carries the gone record to
+// the member, whose answer has the next sequence.
 func (n *Node) queueDisputes(members []Member) {
 	for _, m := range members {
 		select {
--- a/peer/member.go
+++ b/peer/member.go
@@ -36,7 +36,7 @@
 // Member is the record of one entry host in this host's view.
 type Member struct {
 	Host          string
-	Incarnation   uint64 // increases with every start of the host
+	Incarnation   uint64 // identifies a start of the host; normally higher with each, see Options.Self
 	Sequence      uint64 // increases with every change that the host makes to its own record
 	State         State
 	FailureDomain string
--- a/peer/node.go
+++ b/peer/node.go
@@ -1,11 +1,11 @@
 // Package peer connects the entry hosts of a fleet. It implements a gossip
 // membership in the manner of SWIM (probes, suspicion and refutation), gossips
-// configuration and leaving backend servers, and forwards requests and records
-// to their home.
+// leaving backend servers and quarantined requests, pulls configuration from
+// peers, forwards requests to their home and hands records over to a successor.
 //
 // The membership is eventually consistent. It decides which addresses callers
-// receive, which hosts watch the platform and which host takes over records; it
-// never decides which host may run a request.
+// receive, which hosts watch the platform's store and which host takes over
+// records; it never decides which host may run a request.
 //
 // Locks: table.mu, leavingTable.mu, pool.mu and Node.mu are never nested,
 // except that Node.neighbours takes table.mu while it holds Node.mu.
@@ -36,7 +36,7 @@
 	// ErrUnreachable means that the host did not answer; it may have received
 	// the request.
 	ErrUnreachable = errors.New("peer: host unreachable")
-	// ErrRefused means that the host rejected the request.
+	// ErrRefused means that the host answered and rejected handed-over records.
 	ErrRefused = errors.New("peer: host refused")
 )
 
--- a/peer/node_test.go
+++ b/peer/node_test.go
@@ -193,7 +193,7 @@
 				late++
 			}
 		}
-		is.True(late <= 5) // hosts that no push selected; without pushes about half
+		is.True(late <= 5) // pushes may miss a few hosts; without pushes about half would be late
 	})
 }
 
@@ -279,7 +279,7 @@
 					alive++
 				}
 			}
-			is.True(alive >= 14) // of 24; 9 or 10 without the check of recent exchanges, 17 or 18 with it
+			is.True(alive >= 14) // of 24; without refutedByExchange only 9 or 10 stay alive, with it 17 or 18
 		}
 		for _, host := range f.names() {
 			for _, state := range f.states(host) {
--- a/peer/options.go
+++ b/peer/options.go
@@ -26,9 +26,9 @@
 )
 
 // Completeness is an optional interface of a ConfigurationTable. It tracks
-// whether the table has once held a complete snapshot of all objects.
+// whether the table has ever held a complete snapshot of all objects.
 type Completeness interface {
-	// Complete reports whether the table has held a complete snapshot.
+	// Complete reports whether the table has ever held a complete snapshot.
 	Complete() bool
 	// SetComplete records that the table holds a complete snapshot.
 	SetComplete()
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -17,8 +17,9 @@
 )
 
 const (
-	// bufferBytes is the read and write buffer size of one connection. Control
-	// messages are small, and buffers add up in a fleet of 390 hosts.
+	// bufferBytes is the size of the read buffer and of the write buffer of one
+	// connection. It is small because control messages are small, and because the
+	// buffers of all connections add up in a fleet of 390 hosts.
 	bufferBytes = 4 << 10
 	// windowBytes is the flow control window. A fixed window also disables the
 	// pings of the bandwidth estimator.
--- a/peer/probe.go
+++ b/peer/probe.go
@@ -190,13 +190,13 @@
 	if ctx.Err() != nil {
 		return
 	}
-	reached, asked := n.probeIndirectly(ctx, target)
+	reached, answered := n.probeIndirectly(ctx, target)
 	if reached {
 		n.counters.probes.WithLabelValues(probeIndirect).Inc()
 		return
 	}
 	n.counters.probes.WithLabelValues(probeFailed).Inc()
-	n.suspect(target, asked)
+	n.suspect(target, answered)
 }
 
 // suspect marks target as suspect. The suspicion is confirmed if another host
@@ -245,7 +245,7 @@
 // probeIndirectly requests indirect probes of target from helpers. It reports
 // whether one reached target, and whether any helper answered. With one-way
 // loss between two hosts a third still reaches both, so no suspicion is raised.
-func (n *Node) probeIndirectly(ctx context.Context, target Member) (reached, asked bool) {
+func (n *Node) probeIndirectly(ctx context.Context, target Member) (reached, answered bool) {
 	helpers := n.helpers(target)
 	ctx, cancel := context.WithTimeout(ctx, 3*n.options.ProbeTimeout)
 	defer cancel()
@@ -258,7 +258,7 @@
 		if answer == nil {
 			continue
 		}
-		asked = true
+		answered = true
 		if answer.GetReached() {
 			cancel()
 			n.mergeMembers([]Member{memberFromProto(answer.GetMember())})
@@ -266,7 +266,7 @@
 			return true, true
 		}
 	}
-	return false, asked
+	return false, answered
 }
 
 // helpers returns up to IndirectProbes hosts for an indirect probe of target.
@@ -317,8 +317,8 @@
 	}
 }
 
-// pushLoop probes a few neighbours early when there is an urgent update: a
-// change of configuration, a leaving backend server or host.
+// pushLoop probes a few neighbours early when there is an urgent update, for
+// example a change of configuration, or a leaving backend server or host.
 func (n *Node) pushLoop(ctx context.Context) error {
 	pause := n.options.ProbeInterval / pushesPerInterval
 	for {
--- a/peer/pullpage_test.go
+++ b/peer/pullpage_test.go
@@ -21,8 +21,8 @@
 func (s *startingTable) Digest() uint64                     { return 7 }
 func (s *startingTable) Since(store.Version) []store.Object { return nil }
 
-// Guards against a starting host that pulls from another starting host, treats
-// its incomplete table as complete and rejects valid tokens.
+// Guards against a starting host that pulls from another starting host, takes the
+// incomplete table for a complete one, and rejects callers' valid tokens.
 func TestStartingHostReportsMoreObjects(t *testing.T) {
 	is := is.New(t)
 	table := &startingTable{}
--- a/peer/refresh.go
+++ b/peer/refresh.go
@@ -13,10 +13,12 @@
 // received version is behind this host's, so that Members is also current for
 // hosts outside the scope. Hosts that do not answer keep their last version. At
 // most one Refresh per probe interval sends requests and the others return
-// immediately, which bounds the cost of a command that polls.
+// immediately, which bounds the cost of a command that polls, such as
+// "papayasail wait".
 //
-// It runs on demand, because gossiping the version of every host to all others
-// would cost more than all other control traffic: 390 records for each change.
+// It runs on demand. Gossiping the versions of all hosts to all others would take
+// a record for each host and change, 390 in a fleet of 390 hosts, and cost more
+// than all other control traffic.
 func (n *Node) Refresh(ctx context.Context) {
 	if !n.refreshLimit.Allow() {
 		return
--- a/peer/scenario_test.go
+++ b/peer/scenario_test.go
@@ -23,7 +23,7 @@
 //	heal                     states [HOST...]       versions
 //
 // silence drops bytes in both directions, lose in one; stall delays them until
-// heal. Without from, the fault applies to all other hosts.
+// heal. Without from or to, the fault applies to all other hosts.
 func TestScenarios(t *testing.T) {
 	t.Parallel()
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
--- a/peer/scope.go
+++ b/peer/scope.go
@@ -17,8 +17,8 @@
 )
 
 // Scope limits the hosts that this host probes, so that its number of messages
-// and connections does not grow with the fleet. With up to Peers+Bridges other
-// hosts it probes all of them.
+// and connections does not grow with the fleet. If the fleet has at most
+// Peers+Bridges other hosts, this host probes all of them.
 type Scope struct {
 	Near    []string // failure domains with low delay; empty: all are near
 	Peers   int      // hosts probed in near failure domains
--- a/peer/spread.go
+++ b/peer/spread.go
@@ -29,10 +29,12 @@
 	// maxOtherDigests is the number of other digests above which they are
 	// cleared.
 	maxOtherDigests = 64
-	// joinSeeds is the number of seeds that have to answer on joining.
+	// joinSeeds is the maximum number of seeds that a joining host syncs with;
+	// it has joined after the first.
 	joinSeeds = 3
 	// exchangeIntervals is the number of probe intervals within which a direct
-	// exchange is recent: two rounds of the scope.
+	// exchange is recent. It covers two rounds of probes of all neighbours in
+	// the default scope.
 	exchangeIntervals = 30
 	// pullTimeout is the timeout of one page of a pull or one sync.
 	pullTimeout = 5 * time.Second
@@ -158,8 +160,8 @@
 // Failure: a host adopts an object before one with a lower version that was
 // written through another host, so a pull of "newer than my version" would skip
 // that one permanently. The digests then still differ after the pull. A pull by
-// object has no gaps, and is used only in this case, since the list of all
-// objects takes most of the bytes of a change.
+// object has no gaps. It is used only in this case and while the table is empty,
+// since the list of all objects takes most of the bytes of a change.
 func heldVersions(table ConfigurationTable) []*peerpb.ObjectVersion {
 	objects := table.Since(0)
 	list := make([]*peerpb.ObjectVersion, 0, len(objects))
@@ -229,8 +231,9 @@
 // ago while this host's own digest stayed the same.
 //
 // Failure: several hosts missed the same update. Their digests match each
-// other, so with a time counted from the last match they would never sync with
-// the others.
+// other. If the time were measured from the last matching digest, each match
+// would restart it, and they would never sync with the hosts that have the
+// update.
 func (n *Node) digestsDifferPersistently(own, received uint64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -334,9 +337,10 @@
 // syncAgain syncs the membership once more with a seed.
 //
 // Failure: the whole fleet starts at once. Hosts sync with their seeds before
-// these have the other members, and gossip misses a host. Until the digests
-// have differed for some seconds that host takes on duties of others: one host
-// in a thousand watched the store beside the three that should.
+// these have the other members, and gossip misses a host. Until its digest has
+// differed for some seconds, that host has an incomplete membership and takes on
+// duties of other hosts: about one host in a thousand then watches the store in
+// addition to the three that should.
 func (n *Node) syncAgain(ctx context.Context) error {
 	if err := sleep.For(ctx, propagationIntervals*n.options.ProbeInterval); err != nil {
 		return err
--- a/peer/suspects.go
+++ b/peer/suspects.go
@@ -36,7 +36,7 @@
 	return list
 }
 
-// noQuarantine is the empty set, for hosts that do not track such requests.
+// noQuarantine is an empty Quarantine, for hosts that exchange no quarantine records.
 type noQuarantine struct{}
 
 func (noQuarantine) GossipRecords() []quarantine.Record     { return nil }
--- a/peer/table.go
+++ b/peer/table.go
@@ -152,8 +152,8 @@
 }
 
 // refutedByExchange reports whether a received record declares a member gone
-// that this host does not suspect and has exchanged messages with recently.
-// Such a record is ignored.
+// although this host does not suspect it and has recently exchanged messages
+// with it. Such a record is ignored.
 //
 // Failure: after a network partition heals, a small part of the fleet lists
 // all other hosts as gone. Its records override those of the same sequence, so
--- a/peer/table_test.go
+++ b/peer/table_test.go
@@ -64,8 +64,8 @@
 	})
 }
 
-// Guards against the old process of a replaced host that returns and serves
-// under the same name, so that its callers reach two ledgers.
+// Guards against the old process of a replaced host that keeps serving under the
+// same name, beside its replacement, so that callers reach two sets of records.
 func TestReplacedHostEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -87,9 +87,9 @@
 	})
 }
 
-// Guards against a host that recovers in time and is still declared gone,
-// because the gossip of its suspicion has ended and it has nothing to refute.
-func TestSuspectReceivesItsSuspicion(t *testing.T) {
+// Guards against a host that recovers in time and is still declared gone, because
+// the gossip that lists it as suspect has ended before it could refute it.
+func TestSuspectedHostIsInformed(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	table := newTable(Member{Host: "a1", Incarnation: 1, PeerAddress: "x", State: StateAlive})
