--- a/fleet/backoff.go
+++ b/fleet/backoff.go
@@ -13,8 +13,8 @@
 // time. The server notifies other hosts itself. The backoff is kept by server
 // ID, also while the server has no host list entry and after it has restarted.
 //
-// Without it, each host would keep sending requests that a full server has to
-// reject, although the server has reported when it will have capacity.
+// Without backoffs, each host would keep sending requests that a full server has
+// to reject, although the server has reported when it will have capacity.
 func (t *Table) SetBackoff(id string, left time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/fleet/cold.go
+++ b/fleet/cold.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// BoundWhenCold returns the servers at an address whose service has a rate limit for cold servers.
+// BoundWhenCold returns the servers at an address that belong to a service with a
+// rate limit for cold servers and accept requests.
 func (t *Table) BoundWhenCold(address string) []Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,7 +68,8 @@
 	return now.Before(e.listedColdUntil) || now.Before(e.coldUntil)
 }
 
-// recordStart counts a request sent to the server. Requires mu.
+// recordStart counts a request that this host sent to the server, or placed there
+// for another host. Requires mu.
 func (e *entry) recordStart(now time.Time) {
 	e.pruneStarts(now)
 	e.starts = append(e.starts, now)
@@ -81,14 +83,16 @@
 	e.starts = slices.Delete(e.starts, 0, expired)
 }
 
-// coldFull reports whether a host has used up its share of a cold server's
-// rate.
+// coldFull reports whether a host has used up its share of a cold server's rate:
+// it has sent or placed the allowed number of requests within coldWindow.
 //
 // A server that has just started, or a whole failure domain after an outage,
 // looks like the emptiest to every host. Together the hosts would send it more
-// than it can handle, and it would crash again. Hosts that decide by themselves
-// do not coordinate: if a host's share is below one request, a hash decides
-// which hosts may send one and which none, and spreads servers over hosts.
+// than it can handle, and it would crash. Hosts that decide by themselves do not
+// coordinate: if a host's share is not a whole number, a hash of host and server
+// decides whether the host may send one request more. With a share below one,
+// some hosts send one request and the others none, and servers are spread over
+// hosts.
 func (e *entry) coldFull(host string, allowed float64, now time.Time) bool {
 	e.pruneStarts(now)
 	limit := int(allowed)
--- a/fleet/cold_test.go
+++ b/fleet/cold_test.go
@@ -31,7 +31,9 @@
 			}
 		}
 		t.Logf("%d requests", sent)
-		is.True(sent > 0 && sent <= 37) // expected 25, varies with the hashes of 72 hosts, below the limit of 42
+		// About 25 are expected; the number varies with the hashes of 72 hosts.
+		// 37 is 1.5 times the rate, below the limit of 42 (1.5 times the rate plus 5).
+		is.True(sent > 0 && sent <= 37)
 	})
 }
 
--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -11,9 +11,9 @@
 	msgEvacuated = "failure domain is evacuated: its backend servers get no requests"
 	msgReturned  = "failure domain is not evacuated any more"
 
-	// returnedCold is how long servers of a restored domain count as cold
-	// regardless of their host list entries, which lag behind the servers by
-	// two seconds.
+	// returnedCold is how long servers count as cold after the evacuation of
+	// their domain ends, regardless of their host list entries, which lag
+	// behind the servers by two seconds.
 	returnedCold = 3 * time.Second
 )
 
@@ -22,10 +22,10 @@
 // is resumed there. A domain without known servers is recorded too, as servers
 // may be added later.
 //
-// After an evacuation the servers of a domain may be cold, which their host
-// list entries show only after a heartbeat. As the emptiest servers they would
-// get all waiting requests at once, at a rate that crashes cold servers. So
-// they count as cold for returnedCold.
+// After an evacuation the servers of a domain may be cold, but their host list
+// entries show it only after the next heartbeat. Because the servers are empty,
+// they would get all waiting requests at once, and cold servers crash at that
+// rate. They therefore count as cold for returnedCold.
 func (t *Table) SetEvacuated(domain string, evacuated bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/fleet/evidence.go
+++ b/fleet/evidence.go
@@ -12,14 +12,18 @@
 	msgAvoided = "backend server is avoided: requests of several hosts failed there"
 
 	// failureWindow is how long a host's failure counts. Hosts report failures
-	// immediately, and every 0.7 s at the latest.
+	// after 20 ms. A host that has used up its early reports reports them at its
+	// report interval, which is 0.2 s in a fleet of up to 64 hosts, 0.7 s with
+	// 224 hosts, and longer in larger fleets.
 	failureWindow = time.Second
-	// failureQuorum is the number of hosts that must have failed at a server
-	// with no request answered since. A single host may be partitioned from the
-	// server itself.
+	// failureQuorum is the number of hosts whose requests must have failed at a
+	// server, with no request answered since the first failure, before the
+	// server is avoided. A single host may be partitioned from the server.
 	failureQuorum = 2
-	// avoidedFor is how long such a server gets no work. A crashed server
-	// returns as a new incarnation and is not held back by a longer time.
+	// avoidedFor is how long a server is avoided after failures of failureQuorum
+	// hosts: an engine gets no work, a plain server gets calls only if no other
+	// server has capacity. A server that crashed and restarted is a new
+	// incarnation and is not avoided, so a longer time would not delay it.
 	avoidedFor = 3 * time.Second
 )
 
@@ -82,9 +86,9 @@
 	return outcomes, failed
 }
 
-// Shunned returns the plain servers at which calls of several hosts failed,
-// with the time for which they still get calls only if no other server has
-// capacity.
+// Shunned returns the plain servers at which calls of several hosts failed, and
+// the remaining time during which they get calls only if no other server has
+// capacity. A call is a request to a plain server.
 func (t *Table) Shunned() map[Incarnation]time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -151,10 +155,10 @@
 		zap.Strings("witnesses", slices.Sorted(maps.Keys(e.failedHosts))), zap.Duration("for", avoidedFor))
 }
 
-// avoidedUntil returns the field with the end of the time for which a server is
-// avoided after failures of several hosts. An engine gets nothing during that
-// time. Plain servers are few, so an avoided one still gets calls if no other
-// has capacity.
+// avoidedUntil returns a pointer to the time until which a server is avoided
+// after failures of several hosts. For an engine that is unavailableUntil: it
+// gets no work. For a plain server it is shunnedUntil: plain servers are few, so
+// it still gets calls if no other server has capacity.
 func (e *entry) avoidedUntil(engine bool) *time.Time {
 	if engine {
 		return &e.unavailableUntil
@@ -163,9 +167,9 @@
 }
 
 // Avoided returns the IDs of a service's servers that currently get no work
-// from this host for reasons other hosts may not have observed: they are
-// unreachable or avoided after failures, requested a backoff from this host, or
-// reported to it that they are leaving.
+// from this host for reasons that other hosts may not have observed: the server
+// is unreachable, is an engine at which requests of several hosts failed,
+// requested a backoff from this host, or reported to it that it is leaving.
 func (t *Table) Avoided(service string) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/fleet/incarnation.go
+++ b/fleet/incarnation.go
@@ -28,7 +28,9 @@
 func (t *Table) replace(e *entry, server Server) {
 	t.logger.Info(msgRestarted, zap.String("server", server.ID), zap.Int64("born", server.Born), zap.Int64("born_before", e.server.Born),
 		zap.Int("own_work", len(e.work)))
-	e.endIncarnation() // before leave, whose waiters must not request a run from the new incarnation
+	// Before setLeaving: goroutines that it wakes must find the incarnation
+	// ended, so that they do not request their run from the new incarnation.
+	e.endIncarnation()
 	e.removed = true
 	t.setLeaving(e, SourceRestarted)
 	t.drop(e)
@@ -63,7 +65,7 @@
 	return e
 }
 
-// Superseded reports whether a later incarnation of the server is known.
+// Superseded reports whether the table has another incarnation of the server.
 func (t *Table) Superseded(incarnation Incarnation) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/fleet/incarnation_test.go
+++ b/fleet/incarnation_test.go
@@ -45,7 +45,7 @@
 }
 
 // Guards against applying other hosts' reports on an earlier incarnation to the current one.
-func TestWordsOfAnEarlierLifeAreNotOfTheLater(t *testing.T) {
+func TestReportsOnEarlierIncarnationAreIgnored(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
 	table.Put(serverBorn(200))
@@ -62,7 +62,7 @@
 	is.Equal(table.Leaving("llm"), []Incarnation{{"a", 200}})
 }
 
-func TestUnreadableEntryNamesNoServer(t *testing.T) {
+func TestInvalidEntryMakesServerUnusable(t *testing.T) {
 	// Somebody else overwrites an engine's entry. Nothing new is sent to the engine, its running
 	// generation continues, and a valid entry makes it usable again.
 	is := is.New(t)
@@ -83,7 +83,7 @@
 }
 
 // Guards against an entry that assigns a running server to another service or address.
-func TestEntryThatMovesAServerNamesNone(t *testing.T) {
+func TestEntryWithOtherServiceOrAddressIsInvalid(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
 	table.Put(serverBorn(100))
--- a/fleet/leaving.go
+++ b/fleet/leaving.go
@@ -14,7 +14,8 @@
 }
 
 // recordLeavingReport records that a server reported itself as leaving. The
-// report holds for the rest of the incarnation, whatever the host list
+// report is kept while the server is in the table, and for at least
+// leavingReportTTL. It holds for that incarnation, whatever the host list
 // contains. Requires mu.
 func (t *Table) recordLeavingReport(incarnation Incarnation) {
 	for id, report := range t.leavingReports {
--- a/fleet/leaving_test.go
+++ b/fleet/leaving_test.go
@@ -10,7 +10,7 @@
 
 // Guards against requests to a server that reported itself as leaving, after
 // its entry expired during a store outage and returned unchanged.
-func TestServerThatSaidItLeavesIsNotBackWithItsEntry(t *testing.T) {
+func TestServerThatReportedLeavingStaysLeaving(t *testing.T) {
 	entry := Server{ID: "a", Born: 100, Service: "llm", Address: "10.0.0.1:1"}
 	for name, lapse := range map[string]func(*Table){
 		"not expired":               func(*Table) {},
--- a/fleet/reportedload.go
+++ b/fleet/reportedload.go
@@ -22,10 +22,10 @@
 
 // SetReportedLoad records the number of requests that the server reported with its answer.
 //
-// Hosts with few calls in flight cannot see overload from their own calls. When
+// Hosts with few calls in flight cannot detect overload from their own calls. If
 // one of three plain servers is down and calls arrive faster than the other two
-// can answer, each of 72 hosts has one call in flight there and takes the
-// servers for empty, while their queues are full and every call is late.
+// can answer, each of 72 hosts has one call in flight on them and considers them
+// empty, while their queues are full and every call is late.
 func (w *Work) SetReportedLoad(requests int) {
 	w.table.mu.Lock()
 	defer w.table.mu.Unlock()
--- a/fleet/reportedload_test.go
+++ b/fleet/reportedload_test.go
@@ -137,13 +137,13 @@
 
 // Guards against calls that are all late because each host takes servers with
 // full queues for empty.
-func TestCallsKeepOutOfFullQueues(t *testing.T) {
+func TestCallsAvoidFullQueues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		informed, uninformed := newLoadReplay(true), newLoadReplay(false)
 		informed.play()
 		uninformed.play()
-		t.Logf("%d came, %d on time; %d without the servers' word", informed.total, informed.onTime, uninformed.onTime)
+		t.Logf("%d calls, %d on time; %d on time without reported loads", informed.total, informed.onTime, uninformed.onTime)
 		is.True(informed.onTime*100 > informed.total*80) // two servers can answer 89 of 100
 		is.True(informed.onTime > uninformed.onTime)
 	})
--- a/fleet/server.go
+++ b/fleet/server.go
@@ -15,13 +15,13 @@
 	Slots   int    // requests that it runs concurrently
 	// Leaving is set if the server accepts no new work.
 	Leaving bool
-	// SlowFor is how much longer the server is cold after its start.
+	// SlowFor is how much longer the server is cold; zero: not cold, or not reported.
 	SlowFor time.Duration
 }
 
 // SelfReport is the status that a server reports about itself when queried.
 type SelfReport struct {
-	Leaves bool
+	Leaves bool // it accepts no new work
 	// ColdFor is how much longer it is cold; zero: not cold, or not reported.
 	ColdFor time.Duration
 }
@@ -39,5 +39,5 @@
 	SourceReplaced  LeavingSource = "replaced"    // another server has its address
 	SourceAnswer    LeavingSource = "its_answers" // it reported so itself
 	SourcePeer      LeavingSource = "peer"        // another entry host reported so
-	SourceRestarted LeavingSource = "reborn"      // a later incarnation is known
+	SourceRestarted LeavingSource = "reborn"      // another incarnation is known
 )
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -110,8 +110,10 @@
 }
 
 // Put applies a server's host list entry. A leaving server remains leaving for
-// the rest of its incarnation, unless the only reason was that its entry had
-// expired and it never reported itself as leaving.
+// the rest of its incarnation, with one exception: if its entry was missing
+// here, or if this host first learned from another host that it is leaving, an
+// entry that is not marked as leaving makes the server usable again. A server
+// that reported itself as leaving does not become usable again.
 //
 // Service and address never change within one incarnation. An entry that
 // changes either was written by somebody else and is invalid: using it would
@@ -164,8 +166,9 @@
 	return e
 }
 
-// mayReturn reports whether the server counts as leaving only because its host
-// list entry was missing, here or at another host.
+// mayReturn reports whether a host list entry that is not marked as leaving makes
+// a leaving server usable again: its entry was missing here, or another host,
+// whose entry may have been missing, was the first to report it as leaving.
 func (e *entry) mayReturn() bool {
 	return e.leaving && (e.removed || e.leavingBecause == SourcePeer)
 }
@@ -220,9 +223,10 @@
 	s.departed[e.server.Incarnation()] = time.Now()
 }
 
-// Get returns a server and whether requests may be sent to it. The ID is empty
-// if the server is not in the table.
-func (t *Table) Get(id string) (server Server, usable bool) {
+// Get returns a server and whether requests may be sent to it. Servers in
+// evacuated failure domains get no requests. The ID is empty if the server is
+// not in the table.
+func (t *Table) Get(id string) (server Server, accepts bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.servers[id]
@@ -232,8 +236,8 @@
 	return e.server, e.acceptsRequests()
 }
 
-// acceptsWork reports whether the server accepts new work according to its host
-// list entry and its own reports.
+// acceptsWork reports whether the server is neither leaving nor has an invalid
+// host list entry. Unlike acceptsRequests, it ignores evacuations.
 func (e *entry) acceptsWork() bool { return !e.leaving && !e.invalid }
 
 // Leaving returns, in order, the incarnations of a service's servers that are
@@ -259,7 +263,8 @@
 	return incarnations
 }
 
-// Usable returns the servers of a service that accept new work.
+// Usable returns the servers of a service that are neither leaving nor have an
+// invalid host list entry, including those in evacuated failure domains.
 func (t *Table) Usable(name string) []Server {
 	return t.usable(name, func(*entry) bool { return true })
 }
--- a/fleet/table_test.go
+++ b/fleet/table_test.go
@@ -35,7 +35,7 @@
 	is.Equal(len(table.Candidates("llm", "d1")), 1)
 }
 
-func TestLapsedEntryComesBack(t *testing.T) {
+func TestExpiredEntryReturns(t *testing.T) {
 	// Guards against servers that get no work after a store outage: their
 	// entries expired, this host took them for gone, and the entries are back.
 	is := is.New(t)
--- a/fleet/work.go
+++ b/fleet/work.go
@@ -13,23 +13,25 @@
 	entry        *entry
 	ID           string // request ID
 	PromptTokens int
-	OutputTokens int       // expected
-	Copied       bool      // its memory is being copied there; it runs elsewhere until it produces tokens there
-	began        time.Time // guarded by Table.mu, as are all fields below
-	progress     time.Time // when it began or last produced tokens
-	produced     int       // number of tokens
-	window       paceWindow
+	OutputTokens int // expected
+	// Copied is set for a reservation at the destination of a move: the run
+	// continues on its source until it produces tokens on this server.
+	Copied   bool
+	began    time.Time // guarded by Table.mu, as are all fields below
+	progress time.Time // when it began or last produced tokens
+	produced int       // number of tokens
+	window   paceWindow
 }
 
 // Load is the load of one entry host on a server. Its fields correspond to
-// those of placement.Candidate.
+// those of placement.Candidate, whose number of requests is named Running.
 type Load struct {
 	Requests          int
-	HeldTokens        int
-	UsedTokens        int
-	UnreadTokens      int
-	BriefUnreadTokens int
-	Pace              time.Duration // lowest time per token of the server that the host observed; zero: unknown
+	HeldTokens        int           // memory used or expected to be used, in tokens
+	UsedTokens        int           // memory used now, in tokens
+	UnreadTokens      int           // prompt tokens not yet read
+	BriefUnreadTokens int           // those of brief generations
+	Pace              time.Duration // estimated time per token of the server, weighted towards fast measurements; zero: unknown
 	Born              int64         // start time of the server's incarnation, Unix ms; zero: not reported
 	At                time.Time     // when the load was reported
 }
@@ -224,14 +226,14 @@
 }
 
 // SetOthers applies another entry host's report of its load on the servers of a
-// service. It replaces all earlier reports and reservations of that host on the
-// servers that the report covers.
-func (t *Table) SetOthers(host, service string, loads map[string]Load, reported func(Server) bool) {
+// service. covers reports whether the report includes a server. The report
+// replaces all earlier reports and reservations of that host on those servers.
+func (t *Table) SetOthers(host, service string, loads map[string]Load, covers func(Server) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	for _, e := range t.service(service).members {
-		if !reported(e.server) {
+		if !covers(e.server) {
 			continue
 		}
 		load, has := loads[e.server.ID]
@@ -251,7 +253,9 @@
 	t.notifyChanged()
 }
 
-// ReserveFor adds a reservation to another host's load until its next report.
+// ReserveFor adds a reservation to another host's load on a server. The
+// reservation lasts until that host's next report on the server, and expires
+// loadLifetime after the last reservation.
 func (t *Table) ReserveFor(host, server string, load Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
