--- a/allocation/allocation_test.go
+++ b/allocation/allocation_test.go
@@ -136,7 +136,7 @@
 	is.Equal(client.Place(context.Background(), llm, PlacementRequest{Request: "r3", Need: need}, nil), "e2") // the allocator is in backoff
 }
 
-func TestReportsTellWhatTheStoreWouldNot(t *testing.T) {
+func TestReportResponseListsLeavingServersAndRevision(t *testing.T) {
 	// Guards against generations that are lost on a leaving engine because
 	// their host is partitioned from the store and does not learn of it.
 	is := is.New(t)
@@ -246,7 +246,7 @@
 	is.True(390/client.interval().Seconds() <= reportingHosts/reportInterval.Seconds())
 }
 
-func TestAllocatorWatchesTheStore(t *testing.T) {
+func TestGoneHostIsNotAllocator(t *testing.T) {
 	is := is.New(t)
 	members := []peer.Member{{Host: "gone", State: peer.StateGone, FailureDomain: "d"}}
 	is.Equal(PreferredAllocator(members, WholeService(llm)), "")
@@ -273,7 +273,7 @@
 
 // Guards against an allocator that mixes up backoffs for its own host with
 // those for the requesting host.
-func TestAllocatorPlacesWhereTheAskingHostIsWanted(t *testing.T) {
+func TestBackoffsAreAppliedPerHost(t *testing.T) {
 	is := is.New(t)
 	at, from := engines("a", "e1", "e2"), engines("b", "e1", "e2")
 	_, _, client := pair(t, at, from)
@@ -332,7 +332,7 @@
 
 // Guards against refusals although capacity has become available through the
 // end of another host's work.
-func TestEndsAreToldAtOnce(t *testing.T) {
+func TestEndedGenerationsAreReportedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		at, from := engines("a", "e1"), engines("b", "e1")
--- a/allocation/allocator.go
+++ b/allocation/allocator.go
@@ -1,5 +1,6 @@
 // Package allocation places generations, and the moves of generations, through
-// one entry host that acts as the allocator of each service.
+// one entry host for each part of a service, its allocator. In a small fleet a
+// service has one part; in a large fleet it is divided into several.
 //
 // Each host knows only its own share of the load on an engine, and engines'
 // load reports are half a second old. Hosts that choose independently send
@@ -8,10 +9,13 @@
 // allocator knows the load of all hosts, at most one report interval old, and
 // the placements that it has made since.
 //
-// The allocator is chosen by rendezvous hashing among the live hosts. It
-// affects only the quality of placement: with two allocators, or none, each
-// request is still sent exactly once, by the host that received it. A host
-// whose allocator does not answer places by itself.
+// All hosts derive the allocator from the membership: by rendezvous hashing
+// among the hosts that watch the store, or, if the service is divided, among the
+// live hosts of the part's failure domain, where hosts that watch the store and
+// strong hosts are preferred. The allocator affects only the quality of
+// placement. With two allocators, or none, a generation still does not run
+// twice, because only the host that received it sends it. A host whose allocators
+// do not answer places by itself.
 package allocation
 
 import (
@@ -29,8 +33,8 @@
 
 const (
 	msgGranted = "turn to move granted"
-	// MsgPlaced and MsgNoPlace are the log messages that distinguish the causes
-	// of lost generations.
+	// MsgPlaced and MsgNoPlace are the log messages of placement results.
+	// Package explain uses them to distinguish the causes of lost generations.
 	MsgPlaced  = "generation placed"
 	MsgNoPlace = "no server has a place"
 	msgOnward  = "generation goes to another part of the service"
@@ -43,11 +47,13 @@
 	limits placement.Limits
 	draw   func(n int) int
 	logger *zap.Logger
-	// SinceStoreFailure returns the time since the store last failed to answer this
-	// host. It is sent to hosts that do not watch the store. Nil: not sent.
+	// SinceStoreFailure returns the time since the store last failed to answer
+	// this host. It is sent in responses to reports, for hosts that do not watch
+	// the store. If it is nil, nothing is sent.
 	SinceStoreFailure func() time.Duration
-	// Revision returns the revision of the newest configuration if this host is
-	// certain to have it, else zero. It is sent to other hosts. Nil: not sent.
+	// Revision returns the revision of this host's configuration if this host is
+	// certain that it is the newest, else zero. It is sent in responses to
+	// reports and, if Verified is set, with offers. If it is nil, nothing is sent.
 	Revision func() uint64
 	// Verified returns the time since the store was queried for the value that
 	// Revision returns. Nil: not sent to other allocators.
@@ -97,9 +103,11 @@
 	return &Allocator{fleet: table, limits: limits, draw: draw, logger: logger, queues: map[Part]*moveQueue{}, refusals: newRefusals(), offerTable: newOfferTable()}
 }
 
-// Place chooses a server for a host's generation and reserves it there until
-// the host's own report includes it. If another part is cheaper by more than
-// the cost of crossing failure domains, that part is returned instead.
+// Place chooses a server for a host's generation and reserves capacity for it
+// there until the host's own report includes it. If no server of the part has a
+// place, or another part is cheaper by more than the cost of crossing failure
+// domains, that other part is returned instead, provided it has an offer. Parts
+// of undivided services and settled requests are not sent to another part.
 func (a *Allocator) Place(host, domain string, part Part, req PlacementRequest, except []string) Placement {
 	need, request := req.Need, req.Request
 	need.Returning = a.refusals.returning(req.Fingerprint, request)
@@ -154,7 +162,7 @@
 
 // candidates returns the servers of a part that may get work.
 func (a *Allocator) candidates(part Part, domain string, except ...string) []placement.Candidate {
-	share := 0.0 // unlimited
+	share := 0.0 // all of the cold rate
 	if a.ColdShare != nil {
 		share = a.ColdShare(part)
 	}
--- a/allocation/client.go
+++ b/allocation/client.go
@@ -21,10 +21,12 @@
 	msgLost     = "allocator does not answer"
 	msgRegained = "allocator answers again"
 
-	// placeTimeout bounds a placement call, which takes 3 ms between failure domains.
+	// placeTimeout bounds a placement, a report, an exchange of offers and the
+	// end of a turn. A placement call takes 3 ms between failure domains.
 	placeTimeout = 80 * time.Millisecond
-	// minBackoff is how long an allocator that did not answer is not called. It
-	// doubles with each further failure, up to maxBackoff.
+	// minBackoff is how long an allocator is not called after its first
+	// unanswered call. Each unanswered call after a backoff doubles the backoff,
+	// up to maxBackoff.
 	minBackoff = time.Second
 	maxBackoff = 8 * time.Second
 )
@@ -32,7 +34,8 @@
 // Peers calls other entry hosts. *peer.Node implements it.
 type Peers interface {
 	Members() []peer.Member
-	// Generation increases on every change of Members other than a change of versions.
+	// Generation returns a counter that increases on every change of Members,
+	// except changes of the configuration version of a member.
 	Generation() uint64
 	Call(host string, f func(grpc.ClientConnInterface) error) error
 }
@@ -64,7 +67,8 @@
 }
 
 // Newest returns the newest configuration revision received from an allocator,
-// and the time since it was requested.
+// and the time since it was requested. If none was received, the revision is
+// zero and the time is the maximum duration.
 func (c *Client) Newest() (revision uint64, age time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,7 +84,8 @@
 }
 
 // SinceStoreFailure returns the time since the store last failed to answer an
-// allocator, as reported to this host.
+// allocator, as reported to this host. If no failure was reported, it is the
+// maximum duration.
 func (c *Client) SinceStoreFailure() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,8 +111,9 @@
 
 // allocatorsColdShare is the share of cold servers' request rate that the
 // allocator of a part may use. Hosts that place by themselves divide the rest.
-// The rate that servers can handle beyond the configured one covers periods in
-// which two hosts consider themselves the allocator.
+// While two hosts consider themselves the allocator, all hosts together may use
+// up to 1.5 times the configured rate. Servers can handle more than the
+// configured rate, which covers these periods.
 const allocatorsColdShare = 0.5
 
 // coldShare returns the share of cold servers' request rate in a part that this host may use.
@@ -154,11 +160,12 @@
 	return Placement{Server: response.GetServer(), Elsewhere: partFromProto(response.GetElsewhere())}
 }
 
-// placeHere places with this host's own table: on the part if other hosts may
-// consider this one its allocator, else on all servers, as no allocator
-// answers.
+// placeHere places with this host's own table. If this host is one of the part's
+// allocators, it places on the part, because other hosts may consider it the
+// allocator too. Otherwise no allocator answers, and it places on all servers of
+// the service.
 func (c *Client) placeHere(part Part, req PlacementRequest, except []string) Placement {
-	if !c.decidesFor(part) {
+	if !c.mayAllocate(part) {
 		part = WholeService(part.Service)
 	}
 	return c.local.Place(c.host, c.domain, part, req, except)
--- a/allocation/cold_test.go
+++ b/allocation/cold_test.go
@@ -14,7 +14,7 @@
 	"github.com/papayasail/papayasail/placement"
 )
 
-// Replayed load: domain d0 is back with six cold engines, d1 has four warm ones, three times as many
+// Simulated load: domain d0 is back with six cold engines, d1 has four warm ones, three times as many
 // brief generations arrive as d1 can run, and a third of the hosts cannot reach the allocator.
 const (
 	coldEngines   = 6
--- a/allocation/exchange_test.go
+++ b/allocation/exchange_test.go
@@ -83,7 +83,7 @@
 }
 
 // Guards against reports whose responses list all leaving servers each time.
-func TestLeavingServersAreToldOnce(t *testing.T) {
+func TestLeavingListIsSentOnlyWhenItChanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		at, from := engines("a", "e1", "e2"), engines("b", "e1", "e2")
@@ -105,7 +105,7 @@
 	})
 }
 
-func TestWaitingForATurnIsNoSilence(t *testing.T) {
+func TestTurnTimeoutIsNoAllocatorFailure(t *testing.T) {
 	// Guards against a host that takes its allocator for dead because it gave
 	// up waiting for a turn, and then places by itself for a second or more.
 	is := is.New(t)
--- a/allocation/offers.go
+++ b/allocation/offers.go
@@ -12,16 +12,18 @@
 	// Reading a prompt takes about twice as long, so the cost of an engine is
 	// received while it is still valid.
 	offerInterval = 200 * time.Millisecond
-	// offersPerPart is how many servers of a part are offered at a time. Each
-	// offer is for one generation from each other part.
+	// offersPerPart is the maximum number of places, each on another server, in
+	// each list of an offer.
 	offersPerPart = 16
-	// offerLifetime is how long an offer is valid. Three successive offers may be lost.
+	// offerLifetime is how long an offer is valid. Up to three successive offers may be lost.
 	offerLifetime = 4 * offerInterval
 	// typicalWeight is the weight of one generation in the moving average.
 	typicalWeight = 1.0 / 16
 )
 
-// offer is the list of costs of places in a part, in ascending order.
+// offer lists the costs of free places in a part, in ascending order, for brief
+// and for long generations. Each allocator that receives the offer may use each
+// place in a list for one generation.
 type offer struct {
 	brief, long []float64
 	at          time.Time // when it was received
@@ -37,10 +39,10 @@
 
 // offerTable holds the offers of other parts.
 //
-// When callers move to another failure domain, or its engines are lost, the
-// engines of its parts are full while other domains have capacity. Offers are
-// exchanged in advance, because asking the other parts one after the other
-// would take the most calls when there is the least time for them.
+// When callers move to a failure domain, or some of that domain's engines are
+// lost, its remaining engines are full while other domains have capacity. Offers
+// are exchanged in advance, because asking the other parts one after the other
+// would take most calls while callers are waiting.
 type offerTable struct {
 	mu     sync.Mutex // guards all fields below
 	offers map[Part]*offer
@@ -93,8 +95,9 @@
 	}
 }
 
-// takeCheapest consumes and returns the cheapest offer of another part of the
-// service with a cost below limit. The next call then gets another server.
+// takeCheapest removes the cheapest offered place with a cost below limit in
+// another part of the service, and returns that part. The next call gets another
+// place.
 func (m *offerTable) takeCheapest(own Part, brief bool, limit float64) (part Part, found bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/allocation/outage_monitor.go
+++ b/allocation/outage_monitor.go
@@ -14,13 +14,14 @@
 
 const (
 	msgQuerying    = "store does not answer: servers are asked whether they leave"
-	msgNotQuerying = "store answers again: servers are no longer queried"
+	msgNotQuerying = "store answers again: servers are no longer asked whether they leave"
 
 	// checkInterval is the interval at which the allocator checks the store,
 	// and queries servers while the store is down. An engine that is reclaimed
 	// gets at least 1.5 s of notice.
 	checkInterval = 200 * time.Millisecond
-	checkTimeout  = 250 * time.Millisecond
+	// checkTimeout bounds one check of the store, and one round of server queries.
+	checkTimeout = 250 * time.Millisecond
 	// verifyAfter is the maximum age of the information on the newest
 	// configuration before the store is queried for it. The allocators of a
 	// large fleet share that information, so that only one of them queries the
@@ -43,7 +44,8 @@
 	Check func(ctx context.Context) error
 	// Verify reads the configuration, which also shows whether the store
 	// answers. It is called instead of Check when Verified returns verifyAfter
-	// or more. The allocator sends the resulting revision to the other hosts.
+	// or more, unless the previous check failed. The allocator sends the
+	// resulting revision to the other hosts.
 	Verify func(ctx context.Context) error
 	// Verified returns the time since the store was last queried for the configuration.
 	Verified func() time.Duration
@@ -52,7 +54,7 @@
 	Logger *zap.Logger
 }
 
-// Run monitors the parts of services for which this host decides, until ctx ends.
+// Run monitors the parts of services that ownParts returns, until ctx ends.
 func (m *OutageMonitor) Run(ctx context.Context) error {
 	outage := false
 	for sleep.For(ctx, checkInterval) == nil {
@@ -72,8 +74,8 @@
 	return ctx.Err()
 }
 
-// ownParts returns the parts for which this host decides: those that it
-// allocates, and those whose allocators do not answer it.
+// ownParts returns the parts that this host allocates and those whose allocators
+// do not answer it.
 func (m *OutageMonitor) ownParts() []Part {
 	var ownParts []Part
 	for _, service := range m.Fleet.EngineServices() {
@@ -96,10 +98,9 @@
 }
 
 // serversToQuery returns the servers of a part that are queried. The part's
-// allocator queries all of them. A host that decides for itself queries only
-// those on which it has work; otherwise each of many partitioned hosts would
-// query all servers. Servers that requested a backoff from this host are left
-// out.
+// preferred allocator queries all of them. Any other host queries only those on
+// which it has work; otherwise each of many partitioned hosts would query all
+// servers. Servers that requested a backoff from this host are left out.
 func (m *OutageMonitor) serversToQuery(part Part) []fleet.Server {
 	servers := m.Fleet.UsableWithWork(part.Service)
 	if m.Client.preferredAllocator(part) == m.Host {
--- a/allocation/part.go
+++ b/allocation/part.go
@@ -16,7 +16,8 @@
 	// hostsPerPart is how many entry hosts share an allocator before a service
 	// is divided into parts. At the target load of 31 generations per second
 	// and host, a single allocator of 390 hosts would get 12,000 calls per
-	// second; a placement call costs about 60 us.
+	// second. A placement call takes about 60 us of CPU time, so these calls
+	// would take about 0.7 of a core.
 	hostsPerPart = 128
 	// maxAllocators is how many hosts are tried as allocator of a part before
 	// a host decides by itself.
@@ -114,9 +115,11 @@
 // ranked returns the hosts that may allocate a part, in order of preference, at
 // most maxAllocators.
 //
-// Hosts that watch the store come first, because they are the first to learn
-// which servers leave. A domain without live hosts is allocated by a watcher in
-// another domain.
+// The parts of a domain are allocated by its hosts. Those that watch the store
+// come before the others, because they are the first to learn which servers
+// leave; the list is then rotated by the index of the part, so that the parts of
+// a domain have different allocators. Undivided services, and domains without
+// live hosts, are allocated by hosts of any domain that watch the store.
 func ranked(members []peer.Member, watchers []string, part Part) []string {
 	watchers = slices.Clone(watchers)
 	slices.SortFunc(watchers, func(a, b string) int {
--- a/allocation/part_test.go
+++ b/allocation/part_test.go
@@ -37,7 +37,7 @@
 }
 
 // Guards against a single allocator for a whole large fleet.
-func TestLargeFleetsCutAServiceByDomain(t *testing.T) {
+func TestLargeFleetsDivideServicesByDomain(t *testing.T) {
 	is := is.New(t)
 	is.Equal(partition(llm, threeDomains, makeMembers(91)).parts(), []Part{WholeService(llm)})
 	for _, hosts := range []int{300, 600} {
@@ -130,7 +130,7 @@
 }
 
 // Guards against refusals in a full failure domain while others have capacity.
-func TestFullDomainSendsOnward(t *testing.T) {
+func TestGenerationsOfAFullDomainArePlacedInAnother(t *testing.T) {
 	is := is.New(t)
 	allocator, client, table := largeFleet(t)
 	need := placement.Need{PromptTokens: 3000, OutputTokens: 400}
--- a/allocation/refusals.go
+++ b/allocation/refusals.go
@@ -31,8 +31,9 @@
 
 func newRefusals() *refusals { return &refusals{byKey: map[uint64]refusal{}} }
 
-// record records that a request found no place. If a request asks several times,
-// only the first refusal counts.
+// record records that a request found no place. If the fingerprint is already
+// recorded, the first refusal stays, even if it has expired and has not been
+// dropped yet. Expired refusals are dropped when another one is recorded.
 func (r *refusals) record(fingerprint uint64, request string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/allocation/replay_test.go
+++ b/allocation/replay_test.go
@@ -16,7 +16,7 @@
 	"github.com/papayasail/papayasail/placement"
 )
 
-// Replayed load: 120 engines in five failure domains, 94 long and 66 brief generations per second,
+// Simulated load: 120 engines in five failure domains, 94 long and 66 brief generations per second,
 // divided among the callers of the domains. Time advances in steps of 50 ms; hosts report four
 // times per second.
 const (
--- a/allocation/report.go
+++ b/allocation/report.go
@@ -21,20 +21,23 @@
 	reportInterval = 200 * time.Millisecond
 	// reportingHosts is the fleet size up to which hosts report at
 	// reportInterval. In larger fleets each host reports less often, so that an
-	// allocator receives at most 320 such reports per second, and as many
-	// reports of changes: 6% of a core.
+	// allocator receives at most 320 such reports and 320 reports of changes
+	// per second. Processing them takes 6% of a core.
 	reportingHosts = 64
 	// reportGap is the time over which changes are batched. reportBurst is how
 	// many reports of changes a host may send in a row, faster than at the
 	// interval.
 	reportGap   = 20 * time.Millisecond
 	reportBurst = 5
-	// refreshInterval is the interval of reports that are sent even if empty.
+	// refreshInterval is the minimum interval of reports that are sent even if
+	// empty. They are sent with the next report, so in fleets of over 224 hosts
+	// the report interval is longer and applies instead.
 	refreshInterval = 700 * time.Millisecond
-	// leavingListTTL is how long the list of leaving servers is not requested
-	// again. The list makes up most of the bytes of reports. It is refreshed
-	// because a host list entry older than the list may have reverted a part of
-	// it here.
+	// leavingListTTL is how long after receiving the full list of leaving
+	// servers this host accepts responses without it; the list makes up most of
+	// the bytes of reports. After that the list is requested in full, because a
+	// stale host list entry may meanwhile have made one of the servers usable
+	// again in this host's table.
 	leavingListTTL = 3 * time.Second
 )
 
@@ -68,12 +71,13 @@
 
 // Run reports this host's load to the allocators until ctx ends.
 func (c *Client) Run(ctx context.Context) error {
-	reported, at := map[Part]bool{}, time.Time{} // parts whose allocator has been sent work
+	// reported is the set of parts whose allocator has load from this host.
+	reported, refreshedAt := map[Part]bool{}, time.Time{}
 	changes := rate.NewLimiter(rate.Every(c.interval()), reportBurst)
 	for c.waitForReport(ctx, changes) == nil {
-		refresh := time.Since(at) >= refreshInterval
+		refresh := time.Since(refreshedAt) >= refreshInterval
 		if refresh {
-			at = time.Now()
+			refreshedAt = time.Now()
 		}
 		calls, failed := c.fleet.TakeCallEvidence()
 		for service, loads := range c.fleet.OwnGenerations() {
@@ -81,12 +85,12 @@
 			partitioning := c.partitioning(service)
 			home := partitioning.partOf(c.domain, c.host)
 			for _, part := range partitioning.parts() {
-				outcomes, due := forPart(c.fleet, part, evidence), false
+				partEvidence, due := forPart(c.fleet, part, evidence), false
 				if part == home {
-					outcomes, due = merged(outcomes, calls), refresh || failed
+					partEvidence, due = merged(partEvidence, calls), refresh || failed
 					calls = nil // reported once, to the allocator of whichever service comes first
 				}
-				c.reportPart(ctx, part, forPart(c.fleet, part, loads), outcomes, due, reported)
+				c.reportPart(ctx, part, forPart(c.fleet, part, loads), partEvidence, due, reported)
 			}
 		}
 	}
@@ -100,11 +104,13 @@
 	return all
 }
 
-// reportPart reports if there is something to send or to learn. While there is
-// work in the part, the response lists the leaving servers. When a report is
-// due, this host's own part returns the revision of the newest configuration.
-// Outcomes of calls are sent along with other reports, and cause a report only
-// if one failed.
+// reportPart sends a report if there is load or evidence to send, if the
+// allocator still has load from an earlier report, or if a report is due. A
+// response lists the leaving servers if the list differs from the one that this
+// host has, and has the revision of the newest configuration if the allocator
+// is certain of it; reports that are due keep this host informed of both. Outcomes
+// of calls to plain servers are sent at the next report; only a failed call
+// causes an early one.
 func (c *Client) reportPart(ctx context.Context, part Part, loads map[string]fleet.Load, evidence map[string]fleet.Evidence, due bool, reported map[Part]bool) {
 	if len(loads) == 0 && len(evidence) == 0 && !reported[part] && !due {
 		return
--- a/allocation/view.go
+++ b/allocation/view.go
@@ -11,8 +11,8 @@
 // view is derived from one membership list: how services are divided into parts
 // and which hosts allocate them. It is recomputed when the membership changes.
 //
-// It is cached because each host reads it some hundred times per second.
-// Ranking all hosts on each read takes more processor time than all other work.
+// It is cached because each host reads it some hundred times per second, and
+// ranking all hosts on each read takes more CPU time than the rest of the process.
 type view struct {
 	generation uint64
 	members    []peer.Member
@@ -57,8 +57,9 @@
 	return ""
 }
 
-// decidesFor reports whether other hosts may consider this one to be the allocator of a part.
-func (c *Client) decidesFor(part Part) bool {
+// mayAllocate reports whether this host is among the allocators of a part, so that
+// other hosts may consider it to be the allocator.
+func (c *Client) mayAllocate(part Part) bool {
 	return slices.Contains(c.currentView().allocators(part), c.host)
 }
 
