--- a/gateway/backend.go
+++ b/gateway/backend.go
@@ -49,7 +49,9 @@
 	// BackoffFor is how long the server asks this host to send it no requests; zero:
 	// not reported.
 	BackoffFor time.Duration
-	// Complete is set if the answer carries the server's marker of a complete answer.
+	// Complete is set if the head of the answer carries the header with which the
+	// server marks its complete answers. Without it, the answer may come from
+	// something else or be partial.
 	Complete bool
 	// Load is the number of requests that the server reports as running or queued;
 	// nil: not reported.
--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -40,7 +40,9 @@
 	slot              int64 // newest slot, counted from Budget.began
 }
 
-// RecordRequest counts the first send of a request to a service.
+// RecordRequest counts a request to a service. The gateway calls it at the first
+// attempt of a request, and, unless the request is a generation, again at each
+// further attempt until a server may have received the request.
 func (b *Budget) RecordRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -13,8 +13,9 @@
 )
 
 const (
-	// maxDials is how many servers may be unreachable for one request before it
-	// is refused.
+	// maxDials is the number of servers that may be unreachable, or have another
+	// server at their address, before a request is refused. A generation is
+	// tried at one more server, because generate compares before it counts.
 	maxDials = 3
 	// maxAnswerBytes bounds an answer that is buffered whole before it is relayed.
 	maxAnswerBytes = 8 << 20
--- a/gateway/call_test.go
+++ b/gateway/call_test.go
@@ -60,7 +60,7 @@
 	})
 }
 
-func TestReadsStopAtTheirAttempts(t *testing.T) {
+func TestReadsAreSentToAtMostAttemptsServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newHarness()
 		w.put("p3", "plain")
@@ -72,7 +72,7 @@
 
 // Guards against waiting for a hung server until the route's timeout, which fails
 // every read that is sent to it.
-func TestHungServerCostsAReadHalfItsTime(t *testing.T) {
+func TestReadIsRetriedAfterHalfItsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newHarness()
 		w.send = func(ctx context.Context, _ Call) (*Reply, error) {
@@ -106,7 +106,7 @@
 
 // Guards against refusals without "not run" or a retry delay when all servers report
 // that they are full or none accepts a connection.
-func TestRefusalsThatRanNothing(t *testing.T) {
+func TestRefusalsReportNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return notRunReply(), nil }
@@ -166,7 +166,7 @@
 
 // Guards against a 401 or 404 for a key or route that was just added and has not
 // reached this host: the caller would give up permanently.
-func TestStaleHostDeniesNothing(t *testing.T) {
+func TestStaleHostDeniesOnlyWhenConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newHarness()
 		w.send = func(context.Context, Call) (*Reply, error) { return answer(http.StatusOK, "ok"), nil }
@@ -213,8 +213,8 @@
 	})
 }
 
-// Guards against retries that double the load of a failing service: the hosts may
-// add one fifth of the requests plus 54 together.
+// Guards against retries that double the load of a failing service. In a window of 10 s, all seven
+// hosts together may add 54 retries plus one fifth of the requests; one host may use a seventh of the 54.
 func TestRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newHarness()
--- a/gateway/configuration.go
+++ b/gateway/configuration.go
@@ -49,9 +49,9 @@
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	MemoryTokens  int
-	BytesPerToken int
-	LinkMbps      float64
+	MemoryTokens  int     // memory of one engine, in tokens
+	BytesPerToken int     // bytes of memory per token
+	LinkMbps      float64 // rate of an engine's link, Mbit/s
 	// Moves is set if a run's memory can be copied to another engine.
 	Moves bool
 	// TokensPerEvent is the number of tokens in one event of a stream.
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -13,9 +13,10 @@
 
 var errEventTooLarge = errors.New("gateway: event too large")
 
-// eventReader splits a stream of server-sent events into whole events. Only whole
-// events are relayed: if a server fails in the middle of an event, the partial
-// event must not precede the events of the server that resumes the stream.
+// eventReader splits a stream of server-sent events into whole events, so that
+// the partial event of a server that failed never precedes the events of the
+// server that resumes the stream. Bytes after the last whole event are relayed
+// only if the stream ended regularly.
 type eventReader struct {
 	reader *bufio.Reader
 	block  bytes.Buffer
@@ -28,7 +29,8 @@
 }
 
 // next returns the next whole event. At the regular end of the stream it returns
-// the remaining bytes, if any, and io.EOF.
+// the remaining bytes, if any, and io.EOF. An event over maxEventBytes gives
+// errEventTooLarge, or bufio.ErrBufferFull if the limit is reached within a line.
 func (r *eventReader) next() (event, error) {
 	r.block.Reset()
 	id := ""
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -27,8 +27,9 @@
 	// is back after about one second, and the shortest latency goal is 1.5 s.
 	retryStopping    = 20 * time.Millisecond
 	retryAllStopping = time.Second
-	// retryNoServer is the retry delay while no server is known or reachable;
-	// replacing a server takes about one second.
+	// retryNoServer is the retry delay while no server is available or reachable,
+	// another server has the address, or the configuration may be stale.
+	// Replacing a server takes about one second.
 	retryNoServer = 500 * time.Millisecond
 )
 
@@ -81,9 +82,9 @@
 // Configuration returns the configuration in force, or nil.
 func (g *Gateway) Configuration() *Configuration { return g.configuration.Load() }
 
-// Stop makes the gateway accept only requests whose deadline is not after by,
-// when this host cuts off its remaining requests. Short calls are still served
-// for a while, long generations are refused.
+// Stop makes the gateway refuse requests whose deadline is after the given time,
+// at which this host cuts off its remaining requests. Short calls are still
+// served for a while; long generations are refused.
 func (g *Gateway) Stop(by time.Time) { g.stopDeadline.Store(&by) }
 
 // InFlightGenerations returns the number of generations in flight.
@@ -122,7 +123,7 @@
 	service       *Service
 	fingerprint   uint64          // equal for retries by the caller
 	deadline      time.Time       // the earlier of the route's timeout and the caller's deadline
-	sends         int             // sends to servers that may have run it
+	sends         int             // sends to servers that may have received it, including those that reported it as not run
 	sentMark      quarantine.Mark // crash history of the request at the last send
 	server        fleet.Server
 	tried         []string // servers that it was sent to or that refused the connection
--- a/gateway/migrate.go
+++ b/gateway/migrate.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// migrate waits for the run's turn and makes one attempt to move it.
+// migrate waits for the run's turn and makes one attempt to move it. It does
+// nothing before the first event of the run was relayed.
 func (g *Gateway) migrate(ctx context.Context, run *run) {
 	if !run.started() {
 		return
@@ -146,6 +147,9 @@
 	return "copied"
 }
 
+// recordMove counts and logs the result of an attempt to move a run. All results
+// except "copied" are logged as failures, also that of a run that had ended by
+// itself before its move.
 func (g *Gateway) recordMove(run *run, source fleet.Server, result string, err error, more ...zap.Field) {
 	g.options.Metrics.moves.WithLabelValues(result).Inc()
 	fields := append(more, zap.String("request", run.task.request.ID), zap.String("from", source.ID), zap.String("result", result),
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -19,8 +19,9 @@
 	// request waits for capacity. After a longer wait it would rarely be answered
 	// in time, and the caller is better served by another host.
 	waitDivisor = 8
-	// placementInterval is the interval between placement attempts: on one
-	// service, a short generation ends every 50 to 100 ms.
+	// placementInterval is the interval between placement attempts of a waiting
+	// request. On one service, a short generation ends every 50 to 100 ms, and
+	// the interval is a little shorter.
 	placementInterval = 40 * time.Millisecond
 	// retryEvacuated is the retry delay while all servers are in evacuated failure
 	// domains; evacuations last several seconds.
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -13,7 +13,8 @@
 )
 
 // earlyRunWindow is the time after a generation's first event during which its run
-// still counts as just started.
+// still counts as just started. A run without events, as that of a call, always
+// counts as just started.
 const earlyRunWindow = time.Second
 
 var errQuarantined = errors.New("gateway: request was quarantined while it ran")
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -83,14 +83,14 @@
 	ReasonTooLarge        Reason = "too_large"              // body over the configured limit
 	ReasonStopping        Reason = "stopping"               // this host is stopping
 	ReasonHostStopped     Reason = "host_stopped"           // this host's stop deadline passed before the request ended
-	ReasonNoServer        Reason = "no_backend_server"      // no server is known
+	ReasonNoServer        Reason = "no_backend_server"      // no server may get the request: none known, or all leaving, unreachable or already tried
 	ReasonEvacuated       Reason = "evacuated"              // all servers are in evacuated failure domains
 	ReasonQuarantined     Reason = "quarantined"            // servers crash while running it
 	ReasonFull            Reason = "full"                   // no server has capacity in time
 	ReasonServerFull      Reason = "refused_by_server"      // the server reported that it did not run the request
 	ReasonUnreachable     Reason = "server_unreachable"     // no connection to a server
 	ReasonTimeout         Reason = "timeout"                // of the route or the caller
-	ReasonBroken          Reason = "answer_broken"          // lost or corrupted in transit
+	ReasonBroken          Reason = "answer_broken"          // the answer was lost, corrupted, incomplete, unmarked or too large
 	ReasonCallerGone      Reason = "caller_gone"            // the caller disconnected
 	ReasonMoveFailed      Reason = "run_lost_with_server"   // its server left before the run could move
 	ReasonWrongServer     Reason = "address_has_new_server" // another server answered at the address
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -18,7 +18,7 @@
 
 	mu             sync.Mutex // guards all below
 	work           *fleet.Work
-	producedEvents int  // events
+	producedEvents int  // number of events relayed to the caller
 	moveInProgress bool // a move is in progress or its result was not received yet
 	ended          bool
 }
@@ -99,7 +99,7 @@
 
 // overrunFraction estimates the remaining output of a run that has outgrown the
 // caller's estimate, as a fraction of the output so far. The estimate is accurate
-// only at the median.
+// only at the median: half of the runs are longer.
 const overrunFraction = 0.25
 
 // expectedRemaining returns the expected remaining output in tokens.
@@ -110,15 +110,17 @@
 	return max(r.task.request.Prompt.expectedOutput()-produced, int(overrunFraction*float64(produced)))
 }
 
-// lostWork returns the work that is lost if the run is lost, in prompt tokens.
+// lostWork returns the work of the whole run, in prompt tokens: its prompt plus
+// outputWeight for each token that it has produced or is still expected to
+// produce. The order in which runs are moved depends on it.
 func (r *run) lostWork() int {
 	produced := r.memoryTokens() - r.promptTokens
 	return r.promptTokens + outputWeight*(produced+r.expectedRemaining())
 }
 
-// outputWeight is the work of one generated token in prompt tokens: an engine
+// outputWeight is the work of one generated token in prompt tokens. An engine
 // reads about 7,000 prompt tokens per second and generates 125 tokens per second
-// for each stream.
+// for each stream; for a single stream alone the ratio is 56.
 const outputWeight = 10
 
 // serverLeaving returns a channel that is closed when the run's server is known to
@@ -197,9 +199,9 @@
 
 // deliver passes the result of a move to the stream's reader.
 //
-// If the reader has ended meanwhile, the result must not keep its reservations
-// on servers forever: finish discards a result that came earlier, deliver one that
-// comes later.
+// Once the reader has ended, nothing receives the result, and its reservations
+// would stay on the servers forever. finish discards a result that was delivered
+// before the run ended; deliver discards one that is delivered after it.
 func (r *run) deliver(to transfer) {
 	r.transfers <- to
 	if r.hasEnded() {
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// relay forwards the stream to the caller and follows its run from server to
-// server.
+// relay forwards the stream to the caller. If its run is moved, relay continues
+// with the stream of the new server.
 func (t *task) relay(ctx context.Context, sink Sink, work *fleet.Work, reply *Reply) Outcome {
 	if reply.Status != http.StatusOK {
 		return t.bufferedOutcome(ctx, work, reply)
@@ -92,7 +92,8 @@
 	}
 }
 
-// bufferedOutcome returns the outcome of an answer that is not a stream.
+// bufferedOutcome returns the outcome of an answer that is not a stream. An answer
+// over maxAnswerBytes is cut off there and returned as complete, unlike in send.
 func (t *task) bufferedOutcome(ctx context.Context, work *fleet.Work, reply *Reply) Outcome {
 	defer work.End()
 	defer reply.Body.Close()
@@ -109,7 +110,8 @@
 }
 
 // relayEvents relays events until the stream ends. It reports false if the stream
-// was interrupted, so that the run may be resumed elsewhere.
+// ended with an error, including an event that is too large. If the run was moved,
+// it can then be resumed.
 func (t *task) relayEvents(ctx context.Context, sink Sink, run *run, reply *Reply) (Outcome, bool) {
 	events := newEventReader(reply.Body)
 	for {
