--- a/quarantine/broken.go
+++ b/quarantine/broken.go
@@ -13,25 +13,26 @@
 	// checkTimeout bounds one check whether a server has ended; the request's
 	// caller waits for the first one.
 	checkTimeout = 100 * time.Millisecond
-	// maxWatched is the maximum number of broken runs watched at a time.
+	// maxWatched is the maximum number of runs whose connection broke and whose
+	// server is still checked. Above it, the server of a run is checked only once.
 	maxWatched = 256
 )
 
-// checkIntervals are the delays between the checks whether a server has ended.
-var checkIntervals = []time.Duration{10 * time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond, 600 * time.Millisecond}
+// checkDelays are the delays before each further check whether a server has ended.
+var checkDelays = []time.Duration{10 * time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond, 600 * time.Millisecond}
 
 // Run is one run of a request on a backend server.
 type Run struct {
 	Fingerprint uint64
 	Sent        Mark   // crash history of the request when it was sent
-	Early       bool   // the run had just started
+	Early       bool   // the run had just started, or has had no event
 	Request     string // request ID, for logs; empty: none
 	Server      string
 }
 
-// ReportBroken records that the connection to the server of a run broke before the end
-// of the answer. It reports a crash if ended, which checks whether the server's
-// process has ended, returns true. A crashing server may close its connections
+// ReportBroken records that the connection to the server of a run broke before the
+// end of the answer. It calls ended, which checks whether the server's process has
+// ended, and calls ReportCrash if so. A crashing server may close its connections
 // before its port, so the check is repeated for about one second.
 func (t *Table) ReportBroken(run Run, ended func(context.Context) bool) {
 	if checkEnded(ended) {
@@ -44,22 +45,22 @@
 		t.logger.Warn(msgNotWatched, zap.String("request", run.Request), fingerprintField(run.Fingerprint), zap.String("server", run.Server))
 		return
 	}
-	t.watch(run, ended, checkIntervals)
+	t.watch(run, ended, checkDelays)
 }
 
-// watch checks the server after each of the pauses until it has ended.
-func (t *Table) watch(run Run, ended func(context.Context) bool, pauses []time.Duration) {
-	if len(pauses) == 0 {
+// watch checks the server after each of the delays until it has ended.
+func (t *Table) watch(run Run, ended func(context.Context) bool, delays []time.Duration) {
+	if len(delays) == 0 {
 		<-t.watched
 		return
 	}
-	time.AfterFunc(pauses[0], func() {
+	time.AfterFunc(delays[0], func() {
 		if checkEnded(ended) {
 			<-t.watched
 			t.ReportCrash(run)
 			return
 		}
-		t.watch(run, ended, pauses[1:])
+		t.watch(run, ended, delays[1:])
 	})
 }
 
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// retransmits is how often one host gossips a changed record. It is lower for
-	// requests that are only suspected, because each crash makes all requests on
-	// the server suspects.
+	// retransmits is the number of messages in which one host sends a changed
+	// record of a quarantined request. Records of suspected and cleared requests
+	// are sent suspectRetransmits times, which is lower because each crash makes
+	// all requests on the server suspects.
 	retransmits        = 12
 	suspectRetransmits = 4
 	// maxChangedRecords is the maximum number of changed records in one message.
 	maxChangedRecords = 8
-	// repeatsPerMessage is how many quarantined requests each message contains
-	// besides the changed records, so that a host that missed a change still
-	// receives it.
+	// repeatsPerMessage is the maximum number of quarantined requests that a
+	// message repeats besides the changed records, so that a host that missed a
+	// change still receives it.
 	repeatsPerMessage = 2
 )
 
@@ -41,8 +42,9 @@
 }
 
 // pendingRecords returns up to maxChangedRecords changed records that are still to
-// be gossiped. Records with more crashes come first, and among those the ones sent
-// least often. It deletes expired records. Called with mu held.
+// be gossiped. Records with more crashes come first; records with equally many
+// crashes are ordered by the number of messages left, highest first. It deletes
+// expired records. Called with mu held.
 func (t *Table) pendingRecords(now time.Time) []*entry {
 	var pending []*entry
 	for fingerprint, e := range t.requests {
@@ -80,7 +82,7 @@
 	return nil
 }
 
-// All returns the quarantined requests.
+// All returns the records of the quarantined requests.
 func (t *Table) All() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -20,10 +20,10 @@
 	// sourceOwn is the source of records that come from this host's own requests.
 	sourceOwn = "own"
 
-	// crashThreshold is the number of consecutive server crashes that quarantine a
-	// request: the second must occur under a run that was sent after the first
-	// crash was known. A request that happens to be on a server crashed by
-	// another request is hardly ever on two such servers in a row.
+	// crashThreshold is the number of consecutive server crashes after which a
+	// request is quarantined. The second crash counts only if its run was sent
+	// after the first crash was known. A request that is on a server when
+	// another request crashes it is rarely on two such servers in succession.
 	crashThreshold = 2
 	// quarantineDuration is how long a request is quarantined. Hosts cannot detect
 	// when the servers' fault is fixed, and each trial may crash a server.
@@ -33,7 +33,8 @@
 	// clearedRetention is how long the record of a cleared request is kept to
 	// override older records at other hosts.
 	clearedRetention = time.Minute
-	// maxRequests bounds the table; the entry that expires first is evicted.
+	// maxRequests bounds the table. The entry that expires first is evicted:
+	// usually cleared requests and suspects before quarantined ones.
 	maxRequests = 4096
 )
 
@@ -63,8 +64,9 @@
 // Table is an entry host's table of suspected, quarantined and cleared requests.
 // All methods may be called from any goroutine.
 type Table struct {
-	// Changed is called when there are changed records to gossip to other hosts;
-	// nil: no call. It must not block.
+	// Changed is called when a run of this host has changed a record, so that
+	// the record can be gossiped early; nil: no call. It must not block. It is
+	// also called for a first crash that is not gossiped.
 	Changed func()
 	// QuarantineChanged is called when this host's own requests have started or ended a
 	// quarantine, so that the stored quarantined requests must be rewritten; nil:
@@ -82,7 +84,7 @@
 }
 
 type entry struct {
-	Record          // without Left
+	Record          // Remaining is unused (zero); snapshot computes it from expires
 	expires         time.Time
 	retransmitsLeft int // remaining retransmits of the changed record
 }
@@ -94,7 +96,7 @@
 		watched: make(chan struct{}, maxWatched),
 		changes: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "papayasail_quarantine_changes_total",
-			Help: "Requests that became suspected of crashing backend servers, quarantined or cleared, as known to this host.",
+			Help: "Changes of the records of requests, own and received: suspected of crashing backend servers, quarantined, or cleared.",
 		}, []string{"change"}),
 	}
 	registerer.MustRegister(t.changes)
@@ -119,7 +121,8 @@
 	return t.remainingQuarantine(fingerprint)
 }
 
-// remainingQuarantine is like Quarantined. Called with mu held.
+// remainingQuarantine returns the remaining time of a request's quarantine, or
+// zero. Called with mu held.
 func (t *Table) remainingQuarantine(fingerprint uint64) time.Duration {
 	if e := t.get(fingerprint); e != nil && e.Quarantined() {
 		return time.Until(e.expires)
@@ -128,16 +131,16 @@
 }
 
 // Admit registers a run of a request. If the request is quarantined while the run
-// is registered, end is called and must cancel the run; over unregisters it. A
-// run of a request that is already quarantined is not registered, and left is the
-// remaining time of the quarantine.
-func (t *Table) Admit(fingerprint uint64, end func()) (over func(), left time.Duration) {
+// is registered, cancel is called and must cancel the run. unregister ends the
+// registration. A run of a request that is already quarantined is not registered,
+// and left is the remaining time of the quarantine.
+func (t *Table) Admit(fingerprint uint64, cancel func()) (unregister func(), left time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if left := t.remainingQuarantine(fingerprint); left > 0 {
 		return func() {}, left
 	}
-	key := &end
+	key := &cancel
 	if t.runs[fingerprint] == nil {
 		t.runs[fingerprint] = map[*func()]struct{}{}
 	}
@@ -152,8 +155,8 @@
 	}, 0
 }
 
-// ReportCrash records that a server crashed under a run. If the run had not just
-// started, a first crash is not gossiped to other hosts.
+// ReportCrash records that a server crashed while it ran a run. If the run had not
+// just started, a first crash is not gossiped to other hosts.
 //
 // The crash is added to those that were known when the run was sent, so that
 // servers that crash at the same time count once.
@@ -164,15 +167,17 @@
 	if known != nil && known.Epoch > updated.Epoch {
 		updated.Epoch, updated.Crashes = known.Epoch, 1
 	}
+	// Each crash is logged, also one that does not change the record because
+	// another run that was sent at the same time has reported one.
 	t.logger.Warn(msgSuspected, zap.String("request", run.Request), fingerprintField(run.Fingerprint), zap.String("server", run.Server),
 		zap.Uint32("in_a_row", updated.Crashes))
-	var ends []*func()
+	var cancels []*func()
 	changed := known == nil || updated.newerThan(known.Record)
 	if changed {
-		ends = t.set(updated, lifetime(updated), run.Early, sourceOwn)
+		cancels = t.set(updated, lifetime(updated), run.Early, sourceOwn)
 	}
 	t.mu.Unlock()
-	t.notify(ends, changed, changed && updated.Quarantined())
+	t.notify(cancels, changed, changed && updated.Quarantined())
 }
 
 // ReportCompleted records that a request ran to its end and clears it of earlier
@@ -191,11 +196,11 @@
 }
 
 // Merge merges records from other hosts or the store and reports whether any of
-// them was new. If a record is outdated, the current one is sent with the next
-// gossip message.
+// them was new. If a received record is older than this host's, this host's
+// record is queued for gossip.
 func (t *Table) Merge(records []Record, source string) bool {
 	t.mu.Lock()
-	var ends []*func()
+	var cancels []*func()
 	changed := false
 	for _, r := range records {
 		known := t.get(r.Fingerprint)
@@ -204,19 +209,19 @@
 		case known != nil && known.newerThan(r):
 			known.retransmitsLeft = max(known.retransmitsLeft, 1)
 		case known == nil || r.newerThan(known.Record):
-			ends = append(ends, t.set(r, min(r.Remaining, lifetime(r)), true, source)...)
+			cancels = append(cancels, t.set(r, min(r.Remaining, lifetime(r)), true, source)...)
 			changed = true
 		}
 	}
 	t.mu.Unlock()
-	t.notify(ends, false, false) // Changed is not called: the caller of Merge forwards new records
+	t.notify(cancels, false, false) // Changed is not called: the caller of Merge forwards new records
 	return changed
 }
 
 // set stores a record and returns the functions that cancel the runs of a newly
 // quarantined request. The record is gossiped if gossip is set or it is
 // quarantined. Called with mu held.
-func (t *Table) set(r Record, lasts time.Duration, gossip bool, source string) (ends []*func()) {
+func (t *Table) set(r Record, lasts time.Duration, gossip bool, source string) (cancels []*func()) {
 	known := t.get(r.Fingerprint)
 	wasQuarantined := known != nil && known.Quarantined()
 	if known == nil {
@@ -239,16 +244,16 @@
 	}
 	t.logger.Warn(msgQuarantined, fingerprintField(r.Fingerprint), zap.Uint32("in_a_row", r.Crashes), zap.Duration("for", lasts),
 		zap.String("source", source), zap.Int("own_runs", len(t.runs[r.Fingerprint])))
-	for end := range t.runs[r.Fingerprint] {
-		ends = append(ends, end)
+	for cancel := range t.runs[r.Fingerprint] {
+		cancels = append(cancels, cancel)
 	}
-	return ends
+	return cancels
 }
 
 // notify cancels runs and calls the callbacks, which must not happen with mu held.
-func (t *Table) notify(ends []*func(), changed, quarantineChanged bool) {
-	for _, end := range ends {
-		(*end)()
+func (t *Table) notify(cancels []*func(), changed, quarantineChanged bool) {
+	for _, cancel := range cancels {
+		(*cancel)()
 	}
 	if changed && t.Changed != nil {
 		t.Changed()
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -45,7 +45,8 @@
 	})
 }
 
-// Guards against a quarantine of a frequent request when all servers fail at once.
+// Guards against a quarantine of a request that runs on several servers at once when all of them fail
+// together.
 func TestCrashesAtTheSameTimeCountOnce(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table := newTable()
@@ -74,7 +75,7 @@
 	})
 }
 
-// Guards against a quarantine that is restored by a host that missed its end.
+// Guards against a host that missed the end of a quarantine and restores it at other hosts.
 func TestEndOfQuarantineReachesHostThatMissedIt(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table, late := newTable(), newTable()
@@ -103,7 +104,7 @@
 	})
 }
 
-// Guards against servers that crash under runs sent before the quarantine.
+// Guards against servers that are crashed by runs sent before the quarantine.
 func TestQuarantineCancelsRuns(t *testing.T) {
 	inBubble(t, func(is *is.I) {
 		table := newTable()
@@ -190,7 +191,7 @@
 
 // Guards against hosts that diverge after receiving the same records in another
 // order.
-func TestMergeIsOrderFree(t *testing.T) {
+func TestRecordsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Record {
 			return Record{
@@ -206,7 +207,7 @@
 		}
 		for fingerprint := uint64(1); fingerprint <= 3; fingerprint++ {
 			if a, b := one.Mark(fingerprint), other.Mark(fingerprint); a != b {
-				t.Fatal(fmt.Sprintf("%d: %v and %v", fingerprint, a, b))
+				t.Fatal(fmt.Sprintf("request %d: crash history %v after one Merge, %v after merging one by one in another order", fingerprint, a, b))
 			}
 		}
 	})
