--- a/gateway/events.go
+++ b/gateway/events.go
@@ -29,8 +29,8 @@
 }
 
 // next returns the next whole event. At the regular end of the stream it returns
-// the remaining bytes, if any, and io.EOF. An event over maxEventBytes gives
-// errEventTooLarge, or bufio.ErrBufferFull if the limit is reached within a line.
+// the remaining bytes, if any, and io.EOF. For an event over maxEventBytes it
+// returns errEventTooLarge, or bufio.ErrBufferFull if one line reaches the limit.
 func (r *eventReader) next() (event, error) {
 	r.block.Reset()
 	id := ""
