--- a/cli/soak.go
+++ b/cli/soak.go
@@ -70,13 +70,13 @@
 	}
 	defer injected.Close()
 	report, err := soak.Run(ctx, soak.Options{
-		Program: c.program, Directory: directory, Seed: seed, Hosts: c.hosts, Subnet: c.subnet, For: c.length, Output: injected,
+		Program: c.program, Directory: directory, Seed: seed, Hosts: c.hosts, Subnet: c.subnet, FaultDuration: c.length, Output: injected,
 	})
 	if err != nil {
 		return false, err
 	}
 	fmt.Fprintf(c.app.Out, "seed %d: %d attempts, %d whole, %d not run, %d other, %.3f served after the last fault\n",
-		seed, report.Attempts, report.Whole, report.NotRun, report.Other, report.Settled)
+		seed, report.Attempts, report.Complete, report.NotRun, report.Other, report.ServedRatio)
 	for _, finding := range report.Findings {
 		fmt.Fprintf(c.app.Out, "  finding: %s\n", finding)
 	}
