--- a/bench/bench.go
+++ b/bench/bench.go
@@ -135,7 +135,7 @@
 		return nil, err
 	}
 	p.site.engine.ReportLag, p.site.engine.ReportLoss = options.ReportLag, options.ReportLoss
-	p.site.engine.StreamReports, p.site.pollsPerSecond = options.StreamReports, options.PollsPerSecond
+	p.site.engine.ChunksPerReport, p.site.pollsPerSecond = options.StreamReports, options.PollsPerSecond
 	if p.script, err = parseScript(p.site, options.Faults); err != nil {
 		return nil, err
 	}
--- a/entryhost/host_test.go
+++ b/entryhost/host_test.go
@@ -387,7 +387,7 @@
 // Guards against leaving engines that go undetected by hosts that rarely poll the load.
 func TestLoadReportsComeWithStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSiteWithPolls(t, 1, engine.Config{Models: []string{"basin@3"}, StreamReports: 8}, 0.001)
+		s := newSiteWithPolls(t, 1, engine.Config{Models: []string{"basin@3"}, ChunksPerReport: 8}, 0.001)
 		defer s.close()
 		client := s.caller(hostIP(0) + ":7480")
 		defer client.Close()
--- a/fake/engine/config.go
+++ b/fake/engine/config.go
@@ -33,11 +33,11 @@
 	Keep      time.Duration // keep an ended generation for resumption for: 60 s
 	KeepAlive time.Duration // interval of SSE comments on an idle stream: 1 s
 
-	// StreamReports is the interval, in chunks, of load reports in a stream; 0: none.
-	StreamReports int
-	ReportLag     time.Duration             // age of load reports
-	ReportLoss    float64                   // ratio of load requests refused, 0 to 1
-	ReportLie     func(*backend.LoadReport) // alters each report before it is sent
+	// ChunksPerReport is the interval, in chunks, of load reports in a stream; 0: none.
+	ChunksPerReport int
+	ReportLag       time.Duration             // age of load reports
+	ReportLoss      float64                   // ratio of load requests refused, 0 to 1
+	AlterReport     func(*backend.LoadReport) // alters each report before it is sent
 
 	CacheTokens int           // capacity of the prefix cache in tokens: 8,192
 	CacheLag    time.Duration // delay until cache events become visible
@@ -45,7 +45,7 @@
 
 	Models      []string      // loaded at start, as name@version
 	LoadTime    time.Duration // duration of loading or unloading a model
-	HonourFence bool          // refuse orders with a stale fencing token
+	HonourFence bool          // refuse orders with a stale fencing number
 	OrderToken  string        // bearer token required for orders; empty: none
 }
 
--- a/fake/engine/journal.go
+++ b/fake/engine/journal.go
@@ -112,7 +112,7 @@
 }
 
 // Orders returns the orders that were executed and those that were refused because
-// of a stale fencing token, each in order.
+// of a stale fencing number, each in order.
 func (e *Engine) Orders() (taken, refused []backend.OrderRequest) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -129,7 +129,7 @@
 	return counters
 }
 
-// Load returns the current load, without ReportLag and ReportLie.
+// Load returns the current load, without ReportLag and AlterReport.
 func (e *Engine) Load() backend.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/fake/engine/order.go
+++ b/fake/engine/order.go
@@ -27,7 +27,7 @@
 }
 
 // order executes an order; loading or unloading a model takes LoadTime. It returns
-// the new state, or false if the fencing token is stale and HonourFence is set.
+// the new state, or false if the fencing number is stale and HonourFence is set.
 func (e *Engine) order(order backend.OrderRequest) (backend.EngineState, bool) {
 	e.mu.Lock()
 	if e.config.HonourFence && order.Fence < e.orders.state.LastFence {
--- a/fake/engine/report.go
+++ b/fake/engine/report.go
@@ -41,14 +41,14 @@
 }
 
 // publishedReport returns the report that a client receives: stale by ReportLag,
-// altered by ReportLie, and lost with probability ReportLoss.
+// altered by AlterReport, and lost with probability ReportLoss.
 func (e *Engine) publishedReport() (report backend.LoadReport, lost bool) {
 	e.mu.Lock()
 	lost = e.random.Float64() < e.config.ReportLoss
 	report = e.reports.at(time.Now().Add(-e.config.ReportLag))
 	e.mu.Unlock()
-	if e.config.ReportLie != nil {
-		e.config.ReportLie(&report)
+	if e.config.AlterReport != nil {
+		e.config.AlterReport(&report)
 	}
 	return report, lost
 }
--- a/fake/engine/streamwriter.go
+++ b/fake/engine/streamwriter.go
@@ -35,7 +35,7 @@
 
 // load returns the load report for the chunk of the token at an index, or nil.
 func (s *streamWriter) load(index int) *backend.LoadReport {
-	every := s.engine.config.StreamReports
+	every := s.engine.config.ChunksPerReport
 	if every <= 0 || index%every != 0 {
 		return nil
 	}
