--- a/demo/scenes.go
+++ b/demo/scenes.go
@@ -173,7 +173,7 @@
 // again.
 func (d *demonstration) lostAnswer(ctx context.Context) error {
 	const path = plain.PathAlarms + "/7/ack"
-	d.site.Plain.Next(plain.DropAfter)
+	d.site.Plain.QueueModes(plain.DropAfter)
 	_, err := d.client.Call(ctx, Gauges, http.MethodPost, path, []byte("seen"), nil)
 	var refusal *contract.Refusal
 	if !errors.As(err, &refusal) || refusal.Outcome != contract.OutcomeUnknown {
--- a/entryhost/host_test.go
+++ b/entryhost/host_test.go
@@ -259,8 +259,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 2)
 		defer s.close()
-		s.plain.Next(plain.Late)
-		s.plain.LateBy(3 * queryTimeout)
+		s.plain.QueueModes(plain.Late)
+		s.plain.SetLateDelay(3 * queryTimeout)
 		key := s.hosts[0].ledger.Home().String() + ".ack-1"
 		s.is.Equal(s.acknowledge(1, key), "200 POST /alarms/7/ack: seen")
 		s.is.Equal(s.plain.RunsByKey()[key], 1)
@@ -333,7 +333,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 1)
 		defer s.close()
-		s.plain.Next(plain.DropAfter)
+		s.plain.QueueModes(plain.DropAfter)
 		key := s.hosts[0].ledger.Home().String() + ".ack-1"
 		first := s.acknowledge(0, key)
 		s.is.True(strings.Contains(first, `"outcome":"unknown"`))
--- a/fake/plain/plain.go
+++ b/fake/plain/plain.go
@@ -53,7 +53,7 @@
 	DropBefore
 	// DropAfter runs the call and breaks the connection before the answer.
 	DropAfter
-	// Late runs the call and answers after the additional delay set by LateBy.
+	// Late runs the call and answers after the additional delay set by SetLateDelay.
 	Late
 	// Truncate runs the call and breaks the connection within the answer.
 	Truncate
@@ -74,16 +74,16 @@
 	config  Config
 	closing chan struct{} // closed by Close
 
-	mu      sync.Mutex // guards the fields below
-	modes   []Mode     // of the next calls
-	lateBy  time.Duration
-	leaving bool
-	closed  bool
-	runs    []Run
-	byKey   map[string]int
-	byID    map[string]int
-	running int
-	servers []*http.Server
+	mu        sync.Mutex // guards the fields below
+	modes     []Mode     // of the next calls
+	lateDelay time.Duration
+	leaving   bool
+	closed    bool
+	runs      []Run
+	byKey     map[string]int
+	byID      map[string]int
+	running   int
+	servers   []*http.Server
 }
 
 // New returns a service.
@@ -91,8 +91,8 @@
 	return &Service{config: config, closing: make(chan struct{}), byKey: map[string]int{}, byID: map[string]int{}}
 }
 
-// Next appends modes for the next calls, one for each call.
-func (s *Service) Next(modes ...Mode) {
+// QueueModes appends modes for the next calls, one for each call.
+func (s *Service) QueueModes(modes ...Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.modes = append(s.modes, modes...)
@@ -112,11 +112,11 @@
 	return s.closed
 }
 
-// LateBy sets the additional delay of answers in mode Late.
-func (s *Service) LateBy(d time.Duration) {
+// SetLateDelay sets the additional delay of answers in mode Late.
+func (s *Service) SetLateDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lateBy = d
+	s.lateDelay = d
 }
 
 // Leave makes the service refuse new calls and report that it is leaving, or accept
@@ -218,7 +218,7 @@
 }
 
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request, body string) {
-	mode, lateBy := s.admit()
+	mode, lateDelay := s.admit()
 	switch mode {
 	case Refuse:
 		refuse(w, http.StatusServiceUnavailable)
@@ -239,7 +239,7 @@
 		w.Header().Set(backend.HeaderRequestID, "crossed")
 		body = "another request's body"
 	case Late:
-		s.wait(lateBy)
+		s.wait(lateDelay)
 	}
 	answer := AnswerText(r.Method, r.URL.Path, body)
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -266,7 +266,7 @@
 	if mode != Refuse && mode != DropBefore {
 		s.running++
 	}
-	return mode, s.lateBy
+	return mode, s.lateDelay
 }
 
 func (s *Service) finishCall() {
--- a/fake/standin/plain.go
+++ b/fake/standin/plain.go
@@ -28,7 +28,7 @@
 	late := command.Flag("late-by", "Additional delay of answers in mode late.").Duration()
 	return func() standIn {
 		p := plain.New(config)
-		p.LateBy(*late)
+		p.SetLateDelay(*late)
 		return standIn{handler: plainHandler(p)}
 	}
 }
@@ -44,7 +44,7 @@
 			http.Error(w, "unknown mode", http.StatusBadRequest)
 			return
 		}
-		p.Next(mode)
+		p.QueueModes(mode)
 		w.WriteHeader(http.StatusNoContent)
 	})
 	return mux
--- a/proof/action.go
+++ b/proof/action.go
@@ -243,8 +243,8 @@
 func spoilCalls(w *World, a Action) bool {
 	modes := []plain.Mode{plain.Refuse, plain.Fail, plain.Cross, plain.DropBefore, plain.DropAfter, plain.Late, plain.Truncate}
 	service := w.Plains[a.A%len(w.Plains)].Service()
-	service.LateBy(15 * time.Second)
-	service.Next(modes[a.N%len(modes)])
+	service.SetLateDelay(15 * time.Second)
+	service.QueueModes(modes[a.N%len(modes)])
 	return true
 }
 
--- a/proof/script.go
+++ b/proof/script.go
@@ -437,8 +437,8 @@
 func (s *Script) plainStep(words []string, p *PlainSlot) (bool, error) {
 	switch words[0] {
 	case "spoil":
-		p.Service().LateBy(15 * time.Second)
-		p.Service().Next(callFaultModes[words[2]])
+		p.Service().SetLateDelay(15 * time.Second)
+		p.Service().QueueModes(callFaultModes[words[2]])
 	case "leave":
 		p.Service().Leave(true)
 	default:
