--- a/backend/client_test.go
+++ b/backend/client_test.go
@@ -177,7 +177,7 @@
 	inBubble(t, func(is *is.I, fabric *network.Fabric, c *Client) {
 		server := serve(is, fabric, completeResponse, completeResponse)
 		is.NoErr(get(c, context.Background()))
-		fabric.SilenceOpen(callerIP, serverIP)
+		fabric.SilenceOpenConnections(callerIP, serverIP)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		is.Equal(evidenceOf(get(c, ctx)), Silent)
@@ -279,7 +279,7 @@
 		is.NoErr(err)
 		_, err = s.Next()
 		is.NoErr(err)
-		fabric.SilenceOpen(callerIP, serverIP)
+		fabric.SilenceOpenConnections(callerIP, serverIP)
 		began := time.Now()
 		_, err = s.Next()
 		is.Equal(evidenceOf(err), Silent)
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -170,7 +170,7 @@
 			if host == hostA {
 				sendTokens(w, 0, 2)
 				time.Sleep(time.Second)
-				s.fabric.SilenceOpen(callerIP, hostA)
+				s.fabric.SilenceOpenConnections(callerIP, hostA)
 				time.Sleep(time.Hour)
 			}
 			sendTokens(w, from, tokens)
--- a/entryhost/stop_test.go
+++ b/entryhost/stop_test.go
@@ -40,7 +40,7 @@
 		s.is.Equal(s.acknowledge(0, key), "200 POST /alarms/7/ack: seen")
 		// Opens the data connection from the first host to the second.
 		s.is.Equal(s.acknowledge(0, s.hosts[1].ledger.Home().String()+".ack-2"), "200 POST /alarms/7/ack: seen")
-		s.fabric.SilenceOpen(hostIP(0), hostIP(1))
+		s.fabric.SilenceOpenConnections(hostIP(0), hostIP(1))
 		s.is.NoErr(s.hosts[0].Stop(context.Background()))
 		s.is.Equal(s.acknowledge(1, key), "200 POST /alarms/7/ack: seen")
 	})
--- a/fake/network/fault.go
+++ b/fake/network/fault.go
@@ -33,10 +33,10 @@
 	f.wakeLocked()
 }
 
-// SilenceOpen makes the connections that are currently open between two machines
-// silent permanently, in both directions, as when a NAT or firewall between them has
-// lost their state. New connections work.
-func (f *Fabric) SilenceOpen(a, b string) {
+// SilenceOpenConnections makes the connections that are currently open between
+// two machines silent permanently, in both directions, as when a NAT or firewall
+// between them has lost their state. New connections work.
+func (f *Fabric) SilenceOpenConnections(a, b string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.dropOpenLocked(a, b)
--- a/peer/node_test.go
+++ b/peer/node_test.go
@@ -94,7 +94,7 @@
 				suspected.Store(true)
 			}
 		})
-		f.fabric.SilenceOpen(f.ip("a1"), f.ip("b1"))
+		f.fabric.SilenceOpenConnections(f.ip("a1"), f.ip("b1"))
 		time.Sleep(10 * time.Second)
 		is.True(!suspected.Load())
 	})
--- a/proof/action.go
+++ b/proof/action.go
@@ -49,7 +49,7 @@
 	"cut":              func(w *World, a Action) bool { return w.onLink(a, w.Fabric.Cut) },
 	"silence":          func(w *World, a Action) bool { return w.onLink(a, w.Fabric.Silence) },
 	"silence one way":  func(w *World, a Action) bool { return w.onLink(a, w.Fabric.SilenceOneWay) },
-	"silence open":     func(w *World, a Action) bool { return w.onLink(a, w.Fabric.SilenceOpen) },
+	"silence open":     func(w *World, a Action) bool { return w.onLink(a, w.Fabric.SilenceOpenConnections) },
 	"stall":            func(w *World, a Action) bool { return w.onLink(a, w.Fabric.Stall) },
 	"heal":             heal,
 	"cross answers":    crossAnswers,
--- a/proof/script.go
+++ b/proof/script.go
@@ -377,7 +377,7 @@
 func (s *Script) linkStep(words []string) (bool, error) {
 	links := map[string]func(a, b string){
 		"cut": s.world.Fabric.Cut, "silence": s.world.Fabric.Silence,
-		"silence-open": s.world.Fabric.SilenceOpen, "stall": s.world.Fabric.Stall,
+		"silence-open": s.world.Fabric.SilenceOpenConnections, "stall": s.world.Fabric.Stall,
 	}
 	if do, ok := links[words[0]]; ok {
 		do(s.ip(words[1]), s.ip(words[2]))
