--- a/bench/bench.go
+++ b/bench/bench.go
@@ -61,9 +61,9 @@
 	// of them that is lost.
 	ReportLag  time.Duration
 	ReportLoss float64
-	// StreamReports is the number of stream chunks per load report that engines
+	// ChunksPerReport is the number of stream chunks per load report that engines
 	// put into a stream; 0 means that streams carry no reports.
-	StreamReports int
+	ChunksPerReport int
 	// PollsPerSecond is the rate at which a host polls engines for their load;
 	// 0 means the rate for a fleet of the site's size.
 	PollsPerSecond float64
@@ -135,7 +135,7 @@
 		return nil, err
 	}
 	p.site.engine.ReportLag, p.site.engine.ReportLoss = options.ReportLag, options.ReportLoss
-	p.site.engine.ChunksPerReport, p.site.pollsPerSecond = options.StreamReports, options.PollsPerSecond
+	p.site.engine.ChunksPerReport, p.site.pollsPerSecond = options.ChunksPerReport, options.PollsPerSecond
 	if p.script, err = parseScript(p.site, options.Faults); err != nil {
 		return nil, err
 	}
--- a/cli/bench.go
+++ b/cli/bench.go
@@ -80,7 +80,7 @@
 		Site: f.site, Policies: bench.ParsePolicies(f.policies), Loads: loads, Seed: f.seed, Seeds: f.seeds,
 		Faults: f.faults, Burst: f.burst, Measured: f.measured, Parallel: f.parallel,
 		ReportLag: f.reportLag, ReportLoss: f.reportLoss,
-		StreamReports: f.streamed, PollsPerSecond: f.polls, Quick: f.quick, Out: f.out, Progress: a.Out,
+		ChunksPerReport: f.streamed, PollsPerSecond: f.polls, Quick: f.quick, Out: f.out, Progress: a.Out,
 	})
 	return err
 }
