--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -95,7 +95,7 @@
 		PerSecond: h.pollsPerSecond,
 	})
 	h.quarantine = quarantine.NewTable(o.Logger, o.Registry)
-	h.quarantine.Changed = func() { h.node.Announce() }
+	h.quarantine.OnGossipRecords = func() { h.node.Announce() }
 	h.relay = h.newRelay()
 	router := &homeRouter{self: o.Settings.Host, ledger: h.ledger, local: h.relay}
 	h.node = h.newNode(router)
--- a/gatewayhost/host.go
+++ b/gatewayhost/host.go
@@ -169,7 +169,7 @@
 	h.allocator.SinceStoreFailure = h.servers.SinceStoreFailure
 	h.allocator.Revision, h.allocator.Verified, h.allocator.OnRelayedRevision = h.verifiedRevision, h.verificationAge, h.recordRelayedVerification
 	h.quarantine = quarantine.NewTable(o.Logger, o.Registerer)
-	h.quarantine.Changed = func() { h.node.Load().Announce() }
+	h.quarantine.OnGossipRecords = func() { h.node.Load().Announce() }
 	h.quarantine.QuarantineChanged = h.scheduleQuarantineWrite
 	h.node.Store(h.newNode(0, o.Registerer))
 	h.table.Subscribe(func() { h.node.Load().Announce() })
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -63,9 +63,9 @@
 // Table is an entry host's table of suspected, quarantined and cleared requests.
 // All methods may be called from any goroutine.
 type Table struct {
-	// Changed is called when there are changed records to gossip to other hosts;
-	// nil: no call. It must not block.
-	Changed func()
+	// OnGossipRecords is called when there are changed records to gossip to other
+	// hosts; nil: no call. It must not block.
+	OnGossipRecords func()
 	// QuarantineChanged is called when this host's own requests have started or ended a
 	// quarantine, so that the stored quarantined requests must be rewritten; nil:
 	// no call. It must not block.
@@ -250,8 +250,8 @@
 	for _, end := range ends {
 		(*end)()
 	}
-	if changed && t.Changed != nil {
-		t.Changed()
+	if changed && t.OnGossipRecords != nil {
+		t.OnGossipRecords()
 	}
 	if quarantineChanged && t.QuarantineChanged != nil {
 		t.QuarantineChanged()
