--- a/fake/standin/engine.go
+++ b/fake/standin/engine.go
@@ -53,7 +53,7 @@
 
 func orderFlags(command *kingpin.CmdClause, config *engine.Config) {
 	command.Flag("load-time", "Duration of loading or unloading a model.").DurationVar(&config.LoadTime)
-	command.Flag("honour-fence", "Refuse orders with a stale fencing token.").BoolVar(&config.HonourFence)
+	command.Flag("honour-fence", "Refuse orders with a stale fencing number.").BoolVar(&config.HonourFence)
 	command.Flag("order-token", "Bearer token required for orders.").StringVar(&config.OrderToken)
 }
 
