--- a/order/world_test.go
+++ b/order/world_test.go
@@ -316,7 +316,7 @@
 		}
 	}
 	for _, line := range w.violations {
-		fmt.Fprintf(&b, "BROKEN %s\n", line)
+		fmt.Fprintf(&b, "INVARIANT VIOLATED: %s\n", line)
 	}
 	return b.String()
 }
