--- a/entryhost/host_test.go
+++ b/entryhost/host_test.go
@@ -155,8 +155,8 @@
 		s.is.NoErr(err)
 		go func() {
 			time.Sleep(500 * time.Millisecond)
-			s.fabric.SilenceOpen("10.0.1.1", hostIP(0))
-			s.fabric.SilenceOpen("10.0.1.2", hostIP(0))
+			s.fabric.SilenceOpenConnections("10.0.1.1", hostIP(0))
+			s.fabric.SilenceOpenConnections("10.0.1.2", hostIP(0))
 		}()
 		began := time.Now()
 		s.is.Equal(s.readAll(stream), 200)
@@ -245,7 +245,7 @@
 		defer s.close()
 		home := s.hosts[0].ledger.Home().String()
 		s.is.Equal(s.acknowledge(1, home+".ack-1"), "200 POST /alarms/7/ack: seen")
-		s.fabric.SilenceOpen(hostIP(0), hostIP(1))
+		s.fabric.SilenceOpenConnections(hostIP(0), hostIP(1))
 		began := time.Now()
 		s.is.Equal(s.acknowledge(1, home+".ack-2"), "200 POST /alarms/7/ack: seen")
 		s.is.True(time.Since(began) < 2*queryTimeout)
@@ -259,8 +259,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 2)
 		defer s.close()
-		s.plain.Next(plain.Late)
-		s.plain.LateBy(3 * queryTimeout)
+		s.plain.QueueModes(plain.Late)
+		s.plain.SetLateDelay(3 * queryTimeout)
 		key := s.hosts[0].ledger.Home().String() + ".ack-1"
 		s.is.Equal(s.acknowledge(1, key), "200 POST /alarms/7/ack: seen")
 		s.is.Equal(s.plain.RunsByKey()[key], 1)
@@ -333,7 +333,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 1)
 		defer s.close()
-		s.plain.Next(plain.DropAfter)
+		s.plain.QueueModes(plain.DropAfter)
 		key := s.hosts[0].ledger.Home().String() + ".ack-1"
 		first := s.acknowledge(0, key)
 		s.is.True(strings.Contains(first, `"outcome":"unknown"`))
@@ -387,7 +387,7 @@
 // Guards against leaving engines that go undetected by hosts that rarely poll the load.
 func TestLoadReportsComeWithStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSiteWithPolls(t, 1, engine.Config{Models: []string{"basin@3"}, StreamReports: 8}, 0.001)
+		s := newSiteWithPolls(t, 1, engine.Config{Models: []string{"basin@3"}, ChunksPerReport: 8}, 0.001)
 		defer s.close()
 		client := s.caller(hostIP(0) + ":7480")
 		defer client.Close()
--- a/proof/action.go
+++ b/proof/action.go
@@ -49,7 +49,7 @@
 	"cut":              func(w *World, a Action) bool { return w.onLink(a, w.Fabric.Cut) },
 	"silence":          func(w *World, a Action) bool { return w.onLink(a, w.Fabric.Silence) },
 	"silence one way":  func(w *World, a Action) bool { return w.onLink(a, w.Fabric.SilenceOneWay) },
-	"silence open":     func(w *World, a Action) bool { return w.onLink(a, w.Fabric.SilenceOpen) },
+	"silence open":     func(w *World, a Action) bool { return w.onLink(a, w.Fabric.SilenceOpenConnections) },
 	"stall":            func(w *World, a Action) bool { return w.onLink(a, w.Fabric.Stall) },
 	"heal":             heal,
 	"cross answers":    crossAnswers,
@@ -243,8 +243,8 @@
 func spoilCalls(w *World, a Action) bool {
 	modes := []plain.Mode{plain.Refuse, plain.Fail, plain.Cross, plain.DropBefore, plain.DropAfter, plain.Late, plain.Truncate}
 	service := w.Plains[a.A%len(w.Plains)].Service()
-	service.LateBy(15 * time.Second)
-	service.Next(modes[a.N%len(modes)])
+	service.SetLateDelay(15 * time.Second)
+	service.QueueModes(modes[a.N%len(modes)])
 	return true
 }
 
--- a/proof/script.go
+++ b/proof/script.go
@@ -377,7 +377,7 @@
 func (s *Script) linkStep(words []string) (bool, error) {
 	links := map[string]func(a, b string){
 		"cut": s.world.Fabric.Cut, "silence": s.world.Fabric.Silence,
-		"silence-open": s.world.Fabric.SilenceOpen, "stall": s.world.Fabric.Stall,
+		"silence-open": s.world.Fabric.SilenceOpenConnections, "stall": s.world.Fabric.Stall,
 	}
 	if do, ok := links[words[0]]; ok {
 		do(s.ip(words[1]), s.ip(words[2]))
@@ -437,8 +437,8 @@
 func (s *Script) plainStep(words []string, p *PlainSlot) (bool, error) {
 	switch words[0] {
 	case "spoil":
-		p.Service().LateBy(15 * time.Second)
-		p.Service().Next(callFaultModes[words[2]])
+		p.Service().SetLateDelay(15 * time.Second)
+		p.Service().QueueModes(callFaultModes[words[2]])
 	case "leave":
 		p.Service().Leave(true)
 	default:
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -64,10 +64,10 @@
 // Table is an entry host's table of suspected, quarantined and cleared requests.
 // All methods may be called from any goroutine.
 type Table struct {
-	// Changed is called when a run of this host has changed a record, so that
+	// OnGossipRecords is called when a run of this host has changed a record, so that
 	// the record can be gossiped early; nil: no call. It must not block. It is
 	// also called for a first crash that is not gossiped.
-	Changed func()
+	OnGossipRecords func()
 	// QuarantineChanged is called when this host's own requests have started or ended a
 	// quarantine, so that the stored quarantined requests must be rewritten; nil:
 	// no call. It must not block.
@@ -255,8 +255,8 @@
 	for _, cancel := range cancels {
 		(*cancel)()
 	}
-	if changed && t.Changed != nil {
-		t.Changed()
+	if changed && t.OnGossipRecords != nil {
+		t.OnGossipRecords()
 	}
 	if quarantineChanged && t.QuarantineChanged != nil {
 		t.QuarantineChanged()
