--- a/backend/client.go
+++ b/backend/client.go
@@ -28,7 +28,9 @@
 // ClientOptions sets the timeouts and size limits of a Client. Zero values
 // take the defaults noted on each field.
 type ClientOptions struct {
-	StreamReadTimeout time.Duration // maximum time without a byte on a stream: 5 s
+	// StreamReadTimeout limits the time until the response header of a stream and
+	// until each further event or comment is complete: 5 s.
+	StreamReadTimeout time.Duration
 	DialTimeout       time.Duration // maximum time to establish a connection: 1 s
 	ControlTimeout    time.Duration // total time of Cancel, Load, CacheEvents, Order and ReadState: 2 s
 	// IdleTimeout is how long a connection may stay idle and still be reused:
--- a/backend/clientexchange.go
+++ b/backend/clientexchange.go
@@ -47,7 +47,7 @@
 type exchange struct {
 	conn         *serverConn
 	response     *http.Response
-	stopWatching func() bool // stops closing the connection when the context ends
+	stopWatching func() bool // cancels the callback that closes the connection when the context ends
 	released     atomic.Bool // the connection was closed or returned to the pool
 }
 
--- a/backend/clientstream.go
+++ b/backend/clientstream.go
@@ -35,7 +35,7 @@
 	nextIndex   int  // index of the next chunk
 	finished    bool // the finish chunk was returned
 	err         error
-	readTimeout time.Duration // maximum time without a byte
+	readTimeout time.Duration // maximum time until the next event or comment is complete
 }
 
 // stream makes a call whose response is a completion stream.
@@ -116,7 +116,7 @@
 	}
 }
 
-// readEvent reads one event. If not even a comment line arrives within the
+// readEvent reads one event or comment. If neither is complete within the
 // timeout, the link or the engine has failed although the connection is open.
 func (s *Stream) readEvent() ([]byte, error) {
 	s.exchange.conn.SetReadDeadline(time.Now().Add(s.readTimeout))
--- a/backend/evidence.go
+++ b/backend/evidence.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Evidence classifies a call to a backend server that did not end with a
-// complete response. It determines whether the request may be retried.
+// Evidence classifies a failed call to a backend server. It determines whether
+// the request may be retried.
 type Evidence int
 
 const (
@@ -20,9 +20,12 @@
 	Refused
 	// Lost: the engine no longer has the generation.
 	Lost
-	// Silent: no byte was received within the timeout.
+	// Silent: at least one byte was written, but the exchange was not complete
+	// within its timeout or the context's deadline.
 	Silent
-	// Broken: the connection failed after the first byte was written.
+	// Broken: the exchange failed otherwise after the first byte was written, for
+	// example by a lost connection, a cancelled context, or a response that is over
+	// the size limit or not framed.
 	Broken
 	// Mismatch: the response belongs to another request, or the chunks of a
 	// stream are invalid or out of order.
@@ -50,7 +53,7 @@
 // NotRun reports whether the evidence proves that the request did not run.
 func (e Evidence) NotRun() bool { return e == NothingSent || e == RefusedNotRun }
 
-// CallError is the error of every Client method and of Stream.Next.
+// CallError is every error of Client methods and of Stream.Next except io.EOF.
 type CallError struct {
 	Evidence   Evidence
 	Status     int           // HTTP status; zero without a response
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -15,7 +15,7 @@
 var (
 	reportsTotal = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "papayasail_backend_reports_total",
-		Help: "Load reports by result: taken (applied), late (dropped as stale).",
+		Help: "Load reports by result: taken (applied), late (dropped as stale or from an unknown server).",
 	}, []string{"result"})
 	failuresTotal = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "papayasail_backend_failures_total",
@@ -54,21 +54,23 @@
 	// ejected. Default 3.
 	EjectAfter int
 	// EjectFor is the duration of the first ejection; it doubles with each
-	// further one up to MaxEjectFor. Defaults 2 s and 30 s.
+	// further one up to MaxEjectFor. A success resets it only if a failure was
+	// recorded since the last ejection. Defaults 2 s and 30 s.
 	EjectFor    time.Duration
 	MaxEjectFor time.Duration
-	// UnreachableFor is how long a server gets no work after a refused
-	// connection; it doubles with each consecutive refusal. Default 1 s.
+	// UnreachableFor is how long a server gets no work after a failed
+	// connection; it doubles with each consecutive one, at most
+	// maxRefusalDoublings times. Default 1 s.
 	UnreachableFor time.Duration
 	// SlowStart is the duration of the slow start of a new or returning server.
 	// Default 10 s.
 	SlowStart time.Duration
-	// LeavingTTL is the minimum time that a leaving state from a load report
-	// stays in effect after the report, and the expiry that Leaving returns for
-	// marks without one. Default 30 s.
+	// LeavingTTL is how long a leaving state from a load report lasts without a
+	// newer report, unless the report gives a longer time. Leaving also returns
+	// it as the time to expiry of marks without one. Default 30 s.
 	LeavingTTL time.Duration
-	// Logger receives one entry for each change of a server's state. Default:
-	// no logging.
+	// Logger receives an entry if a server's state in a new snapshot differs
+	// from the last one; StateUnloaded is not logged. Default: no logging.
 	Logger *zap.Logger
 }
 
@@ -112,7 +114,7 @@
 	services map[string]*poolService
 	servers  map[string]*poolServer // by address
 	updated  bool                   // Update has been called
-	onChange []func()               // called after each change, without mu held
+	onChange []func()               // see OnChange; called without mu held
 }
 
 // poolService is one service in force and its cached snapshot.
@@ -132,8 +134,9 @@
 	}
 }
 
-// OnChange registers f to be called after each change of the table, without
-// locks held. f must not block.
+// OnChange registers f to be called, without locks held, after Update, an applied
+// report, MarkLeaving for a server in the table, and ClearLeaving that removed a
+// mark. Recorded failures and successes do not call it. f must not block.
 func (p *Pool) OnChange(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -206,9 +209,9 @@
 // receivedAt.
 //
 // A response that was overtaken by a later one has a lower sequence number and
-// would restore an old load or undo a leaving state, so it is dropped. Only two
-// consecutive reports with lower sequence numbers that do not decrease show that
-// the server has restarted.
+// would restore an old load or undo a leaving state, so it is dropped. A server
+// counts as restarted if the report after a dropped one has the same or a higher
+// sequence number than the dropped one.
 func (p *Pool) Report(address string, report LoadReport, receivedAt time.Time) {
 	p.applyReport(address, report, receivedAt, (*poolServer).acceptSequence)
 }
@@ -288,9 +291,10 @@
 	p.notifyListeners()
 }
 
-// RecordFailure records a failure of the server at address. A refused connection
-// makes it unreachable at once. EjectAfter consecutive failures of other kinds
-// eject it, unless that would exceed MaxEjectedShare of a service's servers.
+// RecordFailure records a failure of the server at address. A failed connection
+// (FailureRefusedConnection) makes it unreachable at once. EjectAfter consecutive
+// failures of other kinds eject it, unless that would exceed MaxEjectedShare of a
+// service's servers.
 func (p *Pool) RecordFailure(address string, kind FailureKind) {
 	failuresTotal.WithLabelValues(string(kind)).Inc()
 	p.mu.Lock()
@@ -319,9 +323,9 @@
 }
 
 // mayEject reports whether the limit on ejected servers allows one more. A
-// shared cause, such as a bad request or a slow link of this host, fails on
-// every server: without a limit all of them would be ejected and no work could
-// be placed. The caller holds mu.
+// shared cause, such as a bad request or a slow link of this host, makes requests
+// fail on every server: without a limit all of them would be ejected and no work
+// could be placed. The caller holds mu.
 func (p *Pool) mayEject(candidate *poolServer, now time.Time) bool {
 	for _, service := range p.services {
 		ejected, member := 0, false
--- a/backend/pool_poller.go
+++ b/backend/pool_poller.go
@@ -43,8 +43,8 @@
 	// servers, normally PollsPerSecond of the number of live entry hosts. It is
 	// called once per round. Default: the rate for one host.
 	PerSecond func() float64
-	// Every is the minimum time between two polls of one server; PerSecond may
-	// make it longer. Default 250 ms.
+	// Every is the minimum duration of a round before jitter; each round polls
+	// every server once. PerSecond may make rounds longer. Default 250 ms.
 	Every   time.Duration
 	Timeout time.Duration // of one poll. Default 1 s.
 	Workers int           // concurrent polls. Default 8.
--- a/backend/pool_snapshot.go
+++ b/backend/pool_snapshot.go
@@ -11,8 +11,11 @@
 // Server is one backend server in a snapshot. It is immutable.
 type Server struct {
 	contract.BackendServer
-	State      State
-	Model      string // version of the service's model that it has loaded, name@version; empty for a plain service
+	State State
+	// Model is the version of the service's model that it serves, name@version.
+	// It is the target version if the server reports no models, and empty for a
+	// plain service.
+	Model      string
 	Load       LoadReport
 	ReportedAt time.Time // when Load was received; zero if never
 	ReadySince time.Time // start of its slow start; zero if none
--- a/backend/pool_state.go
+++ b/backend/pool_state.go
@@ -12,7 +12,7 @@
 	StateReady       State = "ready"
 	StateLeaving     State = "leaving"     // finishes its work and accepts no new work
 	StateEjected     State = "ejected"     // too many consecutive failures
-	StateUnreachable State = "unreachable" // refused a connection recently
+	StateUnreachable State = "unreachable" // connections to it failed recently
 	StateUnloaded    State = "unloaded"    // has no version of the service's model loaded
 )
 
@@ -24,7 +24,7 @@
 	SourceHostList LeavingSource = "host_list" // the platform's list of hosts
 	SourceReport   LeavingSource = "report"    // the server's own load report
 	SourceOperator LeavingSource = "operator"  // an operator's drain
-	SourceRefused  LeavingSource = "refused"   // the server refused work because it is leaving
+	SourceRefused  LeavingSource = "refused"   // the server refused work because it is leaving; not set yet
 	SourcePeer     LeavingSource = "peer"      // another entry host
 )
 
@@ -38,7 +38,7 @@
 type FailureKind string
 
 const (
-	FailureRefusedConnection FailureKind = "refused_connection"
+	FailureRefusedConnection FailureKind = "refused_connection" // no byte of a request was sent
 	FailureReset             FailureKind = "reset"
 	FailureSilence           FailureKind = "silence"
 	FailureStatus            FailureKind = "status"
@@ -54,10 +54,10 @@
 	lastWasLate  bool      // the last report was dropped as late; lateSequence is valid
 
 	leaving          map[LeavingSource]time.Time // expiry of each mark; zero if none
-	failures         int                         // consecutive
-	ejections        int                         // consecutive
+	failures         int                         // consecutive, since the last ejection
+	ejections        int                         // reset by a success if a failure was recorded since the last ejection
 	ejectedUntil     time.Time
-	refusals         int // consecutive refused connections
+	refusals         int // consecutive failed connections
 	unreachableUntil time.Time
 	readySince       time.Time // start of the slow start; zero if none
 
@@ -89,8 +89,9 @@
 	return s.reportedAt.IsZero() || sequence > s.load.Sequence
 }
 
-// recordRefusal records a refused connection. The time without work starts at
-// first and doubles with each consecutive refusal.
+// recordRefusal records a failed connection. The first time without work is
+// the parameter first; each consecutive failure doubles it, at most
+// maxRefusalDoublings times.
 func (s *poolServer) recordRefusal(now time.Time, first time.Duration) {
 	wait := first << min(s.refusals, maxRefusalDoublings)
 	s.refusals++
@@ -110,8 +111,8 @@
 	return true
 }
 
-// eject excludes the server from new work. The duration starts at first and
-// doubles with each consecutive ejection up to longest.
+// eject excludes the server from new work. The duration is the parameter first,
+// doubled once for each earlier ejection that ejections counts, up to longest.
 func (s *poolServer) eject(now time.Time, first, longest time.Duration) {
 	wait := first
 	for range s.ejections {
--- a/backend/wire.go
+++ b/backend/wire.go
@@ -62,14 +62,14 @@
 // It lags behind the actual load.
 type LoadReport struct {
 	Sequence      uint64   `json:"sequence"`
-	Running       int      `json:"running"`        // generations in the batch
-	Waiting       int      `json:"waiting"`        // generations queued in the engine
-	TokensHeld    int      `json:"tokens_held"`    // tokens in memory, prompt and generated
-	TokenCapacity int      `json:"token_capacity"` // maximum tokens in memory
-	Preemptions   uint64   `json:"preemptions"`    // since start
-	Leaving       bool     `json:"leaving"`        // accepts no new work
-	LeaveInMillis int64    `json:"leave_in_millis,omitempty"`
-	Models        []string `json:"models"` // loaded, as name@version
+	Running       int      `json:"running"`                   // generations in the batch
+	Waiting       int      `json:"waiting"`                   // generations queued in the engine
+	TokensHeld    int      `json:"tokens_held"`               // tokens in memory, prompt and generated
+	TokenCapacity int      `json:"token_capacity"`            // maximum tokens in memory
+	Preemptions   uint64   `json:"preemptions"`               // since start
+	Leaving       bool     `json:"leaving"`                   // accepts no new work
+	LeaveInMillis int64    `json:"leave_in_millis,omitempty"` // milliseconds until the server stops; 0: not known
+	Models        []string `json:"models"`                    // loaded, as name@version
 }
 
 // CacheEvent reports that a prompt prefix was added to or evicted from an
