--- a/entryhost/eventkeys_test.go
+++ b/entryhost/eventkeys_test.go
@@ -45,7 +45,7 @@
 		} {
 			const seen = 8 // events received by the caller
 			var ids [][]string
-			for tries := 0; len(ids) <= seen; tries++ { // lengths are random; some are shorter
+			for tries := 0; len(ids) <= seen; tries++ { // lengths are random, some are shorter: the API ignores stop_after
 				if tries == 20 {
 					t.Fatalf("no generation of more than %d events", seen)
 				}
--- a/entryhost/home_router.go
+++ b/entryhost/home_router.go
@@ -18,8 +18,8 @@
 	// incarnation that has ended.
 	maxHolders     = 8
 	homeRetryAfter = 2 * time.Second
-	// queryTimeout is the timeout of one query to another host. That host answers
-	// within replyTimeout, even if only that the request still runs.
+	// queryTimeout is the timeout of one query to another host. The other host
+	// answers within replyTimeout; if the request still runs, it reports that.
 	queryTimeout     = 2 * time.Second
 	replyTimeout     = queryTimeout - 500*time.Millisecond
 	maxQueryFailures = 2 // consecutive queries without a response
@@ -31,7 +31,8 @@
 	Forward(ctx context.Context, host string, request *peerpb.ForwardRequest) (*peerpb.ForwardResponse, error)
 }
 
-// runner runs a request whose home is this host.
+// runner runs a request whose home is this host. If this host adopted the records
+// of the home, it returns the recorded answer or a refusal and runs nothing.
 type runner interface {
 	RunOnce(ctx context.Context, key record.Key, request *peerpb.ForwardRequest) record.Answer
 }
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -234,9 +234,9 @@
 	})
 	h.hostList.changed = func() { h.hostList.apply(h.table.Documents()) }
 	announcer := newAnnouncer(h.node)
-	// Operators' drains are distributed with the configuration. If they were
-	// announced to peers too, a drain would outlast its end until the
-	// announcement expires.
+	// Operators' drains are distributed with the configuration and are not
+	// announced to peers: after the end of a drain, an announcement would stay in
+	// effect on the peers until it expires.
 	h.pool.OnChange(func() { announcer.announce(h.pool.Leaving(backend.SourceOperator), time.Now()) })
 	h.node.Watch(h.updateLiveHosts)
 	h.node.Watch(func() {
@@ -283,8 +283,9 @@
 	}
 }
 
-// Run serves until Stop has finished or ctx is done. When ctx is done, requests in
-// flight are cut off.
+// Run serves until Stop has finished, ctx is done, a component fails or another
+// host with this name supersedes this one; it returns the error of the latter
+// two. When ctx is done, requests in flight are cut off.
 func (h *Host) Run(ctx context.Context) error {
 	ctx, h.stop = context.WithCancel(ctx)
 	defer close(h.stopped)
@@ -313,10 +314,10 @@
 
 // runNode runs the membership node. A host that was superseded by another host
 // with its name refuses new work and ends when its requests in flight have
-// finished.
+// finished, or after Limits.StopBound.
 //
-// It does not end at once since the streams of a host that was paused, superseded
-// and resumed are still alive and would be cut off.
+// It does not end at once, because that would cut off its streams: they are still
+// alive if the host was paused, was superseded meanwhile and then resumed.
 func (h *Host) runNode(ctx context.Context) error {
 	err := h.node.Run(ctx)
 	var superseded *peer.SupersededError
--- a/entryhost/hostlist.go
+++ b/entryhost/hostlist.go
@@ -70,8 +70,10 @@
 		return err
 	}
 	l.replace(hosts)
-	// From now on another host watches the list and announces leaving servers
-	// to its peers. The marks set here would otherwise never be cleared.
+	// After the loop this host may no longer watch the store: another host then
+	// watches the list and announces leaving servers to its peers, and nobody else
+	// would clear the marks set here. They are also cleared after an error of Watch,
+	// until the next List.
 	defer l.replace(nil)
 	for l.active() {
 		backoff.Reset()
--- a/entryhost/options.go
+++ b/entryhost/options.go
@@ -27,11 +27,12 @@
 	Logger   *zap.Logger        // default: no logging
 	Registry *prometheus.Registry
 	// AnnounceDelay is the time between the announcement that the host is
-	// leaving and the refusal of new work. In this time address responses
-	// cease to contain the host. Default 500 ms.
+	// leaving and the refusal of new work. Within this time the host disappears
+	// from address responses. Default 500 ms.
 	AnnounceDelay time.Duration
-	// BackendReadTimeout is the maximum time without a byte on a stream from an
-	// engine before a new connection is tried. Default 5 s.
+	// BackendReadTimeout is the maximum time until the response header of a
+	// stream from an engine, and until each further event or comment if the
+	// service has no gap deadline, before a new connection is tried. Default 5 s.
 	BackendReadTimeout time.Duration
 	ProbeInterval      time.Duration // of the membership probes; default from Settings
 	// PollsPerSecond is the rate of load polls to backend servers. Default:
--- a/entryhost/quarantine_test.go
+++ b/entryhost/quarantine_test.go
@@ -22,7 +22,8 @@
 	crashes int
 }
 
-// serveRisky adds the service risky, whose servers crash on these requests.
+// serveRisky adds the service risky, whose servers crash on the requests
+// named at crashingServers.
 func (s *site) serveRisky(kind string) *crashingServers {
 	c := &crashingServers{}
 	document := "service: risky\nowner: hydrology\n" + kind + "\nbackend_servers:\n"
@@ -32,9 +33,9 @@
 		server := &http.Server{}
 		server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set(backend.HeaderRequestID, r.Header.Get(backend.HeaderRequestID))
-			body, _ := io.ReadAll(r.Body) // an unreadable body crashes nothing
+			body, _ := io.ReadAll(r.Body) // a body that cannot be read counts as harmless
 			if r.URL.Path != "/crash" && !strings.Contains(string(body), `"prompt":"crash"`) {
-				_, _ = io.WriteString(w, "{}") // a closed connection is detected by the next read
+				_, _ = io.WriteString(w, "{}") // error ignored: the next read detects a closed connection
 				return
 			}
 			c.mu.Lock()
--- a/entryhost/stop.go
+++ b/entryhost/stop.go
@@ -42,7 +42,7 @@
 	case <-ctx.Done():
 	}
 	select {
-	case <-h.inFlight.idle(): // no new work starts, so the count stays zero
+	case <-h.inFlight.idle(): // new work is refused; Stop's second call awaits requests that arrive later
 	case <-ctx.Done():
 	}
 }
@@ -70,9 +70,10 @@
 // handOver sends the records of each incarnation to the first successor that
 // accepts all of them.
 //
-// Without the records, the caller of a request repeated after the stop would
-// receive "unknown" although the outcome is known. The ledger is closed, so no
-// request can start and the records are final.
+// Without the records, a request that is repeated after the stop would be
+// answered with "unknown" although the outcome is known. The ledger is closed, so
+// no request can start. The records are final, except those of requests that
+// still run because ctx ended the wait: they are handed over as not finished.
 func (h *Host) handOver(ctx context.Context) {
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), handOverTimeout)
 	defer stop()
--- a/entryhost/watch.go
+++ b/entryhost/watch.go
@@ -12,8 +12,9 @@
 )
 
 const (
-	// storeCheckInterval is the time between a watcher's checks of the store:
-	// 0.5 of the 4 calls per second that a host may make.
+	// storeCheckInterval is the time between a watcher's checks of the store. They
+	// take 0.5 calls per second of the host's limit on platform calls, by default 4
+	// per second.
 	storeCheckInterval = 2 * time.Second
 	// storeCheckTimeout is the timeout of one check; the store normally answers
 	// within milliseconds.
