--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -77,8 +77,8 @@
 	return evaluator
 }
 
-// attempts limits the number of attempts of one request and the time between
-// them.
+// attempts is the retry state of one request. The evaluator limits the number of
+// attempts and the time between them.
 type attempts struct {
 	evaluator *retry.Evaluator
 	subject   retry.Subject
@@ -107,7 +107,7 @@
 	a.mayHaveRun = a.mayHaveRun || !provenNotRun(err)
 	evidence := retryEvidence(err)
 	if len(a.exclude)+1 < a.servers {
-		evidence.RetryAfter = 0 // applies to that server only; others are left
+		evidence.RetryAfter = 0 // the delay applies to that server only, and others were not tried yet
 	}
 	decision := a.evaluator.Decide(evidence, a.subject, &a.state)
 	if !decision.Retry {
--- a/relay/call.go
+++ b/relay/call.go
@@ -98,8 +98,8 @@
 	return record.Fingerprint(hash.Sum(nil))
 }
 
-// tryCall runs a call on a backend server and retries it on other servers as
-// long as a retry is safe.
+// tryCall runs a call on a backend server and retries it as long as a retry is
+// safe, first on servers on which it has not failed.
 func (r *Relay) tryCall(ctx context.Context, document *contract.Document, request *peerpb.ForwardRequest, idempotent bool) record.Answer {
 	ctx, stop := context.WithTimeout(ctx, document.Deadlines.Queue+document.Deadlines.Total)
 	defer stop()
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -44,7 +44,7 @@
 }
 
 // connectionBroke reports that the connection to a server broke before the end of
-// the response; early is set if no part of the response had arrived.
+// the response; early is set if no token had arrived, and for every plain response.
 func (c *crashTracker) connectionBroke(address string, early bool) {
 	if c.table == nil {
 		return
@@ -53,7 +53,8 @@
 	c.table.ReportBroken(run, func(ctx context.Context) bool { return c.backend.RefusesConnection(ctx, address) })
 }
 
-// sendFailed reports that a send ended without a response.
+// sendFailed reports a broken connection if err is evidence of one and ctx has not
+// ended. It counts as early, even if part of a plain response had arrived.
 func (c *crashTracker) sendFailed(ctx context.Context, address string, err error) {
 	if evidenceOf(err) == backend.Broken && ctx.Err() == nil {
 		c.connectionBroke(address, true)
--- a/relay/delivery.go
+++ b/relay/delivery.go
@@ -105,8 +105,8 @@
 	out     *eventWriter
 	signer  *GenerationSigner
 	service string
-	started *startedGeneration // nil when the generation was started elsewhere
-	gaps    gapTimer           // when started is nil
+	started *startedGeneration // nil if another reader reports the progress, or another host started it
+	gaps    gapTimer           // used if started is nil
 }
 
 // writeReady writes one item and all further items that are ready, in one flush.
@@ -159,8 +159,9 @@
 	return false, nil
 }
 
-// recordGap returns the time since the previous chunk. For a generation that this
-// host started it also reports the progress to routing.
+// recordGap returns the time since the previous chunk, or zero if there is none. If
+// started is set, it also reports the progress to routing, and returns zero for the
+// finish chunk.
 func (d *delivery) recordGap(chunk backend.CompletionChunk) time.Duration {
 	if d.started != nil {
 		return d.started.recordChunk(chunk)
--- a/relay/generate.go
+++ b/relay/generate.go
@@ -125,12 +125,12 @@
 }
 
 // generateIdempotent starts a generation and delivers it. It may start the
-// generation again on another server until a token has been delivered.
+// generation again, on another server if there is one, until a token has been read.
 func (r *Relay) generateIdempotent(ctx context.Context, document *contract.Document, forward *peerpb.ForwardRequest, request *GenerateRequest, out *eventWriter) *contract.Refusal {
 	tries := r.newAttempts(document, forward, true)
 	for {
-		server, delivered, refusal := r.generateOnServer(ctx, forward.GetOrganisation(), document, request, tries, out)
-		if refusal == nil || delivered > 0 || server == "" || ctx.Err() != nil {
+		server, read, refusal := r.generateOnServer(ctx, forward.GetOrganisation(), document, request, tries, out)
+		if refusal == nil || read > 0 || server == "" || ctx.Err() != nil {
 			return refusal
 		}
 		if refusal.Err == nil || !tries.awaitRetry(ctx, server, refusal.Err) {
--- a/relay/once.go
+++ b/relay/once.go
@@ -9,9 +9,9 @@
 	"github.com/papayasail/papayasail/record"
 )
 
-// RunOnce runs a non-idempotent request at its home, which must be this host,
-// and returns the recorded answer. Repeats with the same key get the same
-// answer.
+// RunOnce runs a non-idempotent request whose home is this host, and returns the
+// recorded answer. For a key of an adopted incarnation it never runs the request.
+// Repeats with the same key get the same answer.
 func (r *Relay) RunOnce(ctx context.Context, key record.Key, request *peerpb.ForwardRequest) record.Answer {
 	entry, first, refusal := r.Ledger.Begin(request.GetOrganisation(), key, fingerprintOf(request))
 	if refusal != nil {
@@ -43,7 +43,7 @@
 
 // storedAnswer returns an answer in the form in which it is stored for repeats of
 // its key. A stored unknown outcome does not change later, so it has no
-// retry-after: a retry with the same key would be in vain.
+// retry-after: a retry with the same key would return the same outcome.
 func storedAnswer(answer record.Answer) record.Answer {
 	if answer.Refusal != nil && answer.Refusal.Outcome == contract.OutcomeUnknown {
 		final := *answer.Refusal
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -74,8 +74,9 @@
 	Closing func() bool
 	// OnLoadReport is called with each load report received in a stream.
 	OnLoadReport func(address string, report backend.LoadReport)
-	// OnBackend is called after each exchange with a backend server; err is
-	// nil after a success.
+	// OnBackend is called after each exact call, each start of a generation and
+	// each first token that missed its deadline; err is nil after a success. Failed
+	// resumptions and broken streams are not reported.
 	OnBackend func(address string, err error)
 	// Starting reports whether this entry host has not yet received the
 	// complete configuration.
@@ -141,8 +142,10 @@
 	}
 	document, refusal := r.document(service)
 	if refusal == nil && !allowed {
-		// Same refusal as for a service that does not exist: an organisation
-		// must not learn of services that it may not use.
+		// The same refusal as for a service that does not exist, so that an
+		// organisation does not learn of services that it may not use. Only for a
+		// request with an idempotency key may the two differ: the refusal of an
+		// absent service passes through refuseWithoutDocument.
 		return "", nil, unknownService()
 	}
 	if refusal != nil {
@@ -156,8 +159,9 @@
 //
 // Guards against a false "not run": a caller repeats a request at a host that
 // has just started and has no configuration. This attempt did not run, but an
-// earlier one may have run at the key's home. The outcome stays "not run" only if
-// this host is the home and can rule out an earlier run.
+// earlier one may have run at the key's home. The outcome stays "not run" for a
+// request without a key, and if this host answers for the key's home and can rule
+// out an earlier run. A malformed key is refused as such.
 func (r *Relay) refuseWithoutDocument(req *http.Request, organisation string, refusal *contract.Refusal) *contract.Refusal {
 	if req.Header.Get(HeaderKey) == "" {
 		return refusal
--- a/relay/running.go
+++ b/relay/running.go
@@ -60,8 +60,8 @@
 }
 
 // startGeneration acquires a backend server for a generation and starts it there.
-// It retries on other servers as long as that is safe. The returned error is a
-// *contract.Refusal.
+// It retries as long as that is safe, first on servers on which the request has not
+// failed. The returned error is a *contract.Refusal.
 func (r *Relay) startGeneration(ctx context.Context, organisation string, document *contract.Document, request *GenerateRequest, tries *attempts) (*startedGeneration, error) {
 	limit := document.LimitOf(organisation)
 	for {
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// maxReconnects bounds the consecutive reconnections without a token.
+	// maxReconnects bounds the consecutive failed connections. A stalled connection
+	// counts too, but only stallLimit ends a stream that keeps stalling.
 	maxReconnects         = 4
 	firstReconnectDelay   = 50 * time.Millisecond // delay before the first reconnection
 	maxReconnectDoublings = 3                     // how often the delay doubles at most
@@ -142,8 +143,8 @@
 	if time.Since(s.lastChunk) > s.stallLimit {
 		return false
 	}
-	// A connection that opened and then stalled counts as failed too, but it does
-	// not end the stream here; every chunk resets the count.
+	// A connection that opened and then stalled counts as failed too, but does not
+	// end the stream here, only at stallLimit above; every chunk resets the count.
 	if s.failedConnections >= maxReconnects && evidenceOf(err) != backend.Silent {
 		return false
 	}
