--- a/record/answer.go
+++ b/record/answer.go
@@ -6,8 +6,8 @@
 	"github.com/papayasail/papayasail/contract"
 )
 
-// Answer is the result of a request. Exactly one of Refusal, EventID and Status
-// is meaningful, in this order of precedence.
+// Answer is the result of a request. If Refusal is set, the other fields are
+// ignored; else if EventID is set, Status, Header and Body are ignored.
 type Answer struct {
 	// Refusal is set when the request was refused or its outcome is unknown.
 	Refusal *contract.Refusal
--- a/record/handover.go
+++ b/record/handover.go
@@ -10,8 +10,8 @@
 	"github.com/papayasail/papayasail/peer/peerpb"
 )
 
-// maxPageBytes bounds one page of a hand-over. It is below the size limit of a gRPC
-// message.
+// maxPageBytes bounds a page of more than one record in a hand-over. It is below the
+// size limit of a gRPC message. A larger record has a page of its own.
 const maxPageBytes = 1 << 20
 
 // Pages returns the records that a stopping host hands over, in pages. The map
--- a/record/home.go
+++ b/record/home.go
@@ -78,9 +78,9 @@
 // String formats the key as HOME.UNIQUE.
 func (k Key) String() string { return k.Home.String() + "." + k.Unique }
 
-// ParseKey parses the value of an Idempotency-Key header of at most 200 bytes.
-// The unique part has one or more of A-Z a-z 0-9 - _. It returns ErrKey if s is
-// malformed.
+// ParseKey parses the value of an Idempotency-Key header. The unique part has one
+// or more of A-Z a-z 0-9 - _. It returns ErrKey if s is malformed or longer than
+// maxKeyBytes.
 func ParseKey(s string) (Key, error) {
 	if len(s) > maxKeyBytes {
 		return Key{}, ErrKey
--- a/record/ledger.go
+++ b/record/ledger.go
@@ -30,10 +30,12 @@
 	// home and the following one.
 	EpochLength time.Duration
 	// RetainEpochs is the number of epochs for which a record is kept after the
-	// last moment at which its key could start a request.
+	// last moment at which its key could start a request. If the ledger is full, a
+	// record may be dropped as soon as its key can no longer start a request.
 	RetainEpochs uint64
-	// MaxBytes bounds the memory of all records, in bytes. MaxRecords bounds
-	// their number; zero means that only MaxBytes applies.
+	// MaxBytes bounds the memory of records, in bytes. MaxRecords bounds their
+	// number; zero means that only MaxBytes applies. Records of other hosts are
+	// adopted even above both bounds, but above MaxBytes without their answers.
 	MaxBytes   int
 	MaxRecords int
 }
@@ -47,7 +49,7 @@
 // to a second run; its outcome is then "unknown".
 type Ledger struct {
 	options Options
-	start   time.Time // monotonic
+	start   time.Time // creation time, with wall and monotonic clock readings
 
 	mu             sync.Mutex           // guards all below
 	entries        map[recordKey]*Entry // own and adopted
@@ -67,7 +69,7 @@
 
 // adoption is the hand-over of one incarnation of a stopped host.
 type adoption struct {
-	home     Home      // its epoch was the current one when the host built the pages
+	home     Home      // its epoch is that of the first page, or the maximum if a record could not be decoded
 	complete bool      // the last page has arrived
 	expires  time.Time // when the entries are evicted
 	entries  []*Entry
@@ -80,7 +82,7 @@
 	key         Key
 	fingerprint Fingerprint
 	done        chan struct{} // closed once answer is set
-	answer      Answer        // valid only after done is closed
+	answer      Answer        // guarded by Ledger.mu; valid after done is closed
 	bytes       int           // guarded by Ledger.mu
 }
 
@@ -189,7 +191,7 @@
 	}
 	now := l.epoch()
 	switch {
-	case key.Home.Epoch > now+1: // the next epoch may come from a host whose clock is ahead
+	case key.Home.Epoch > now+1: // not begun; the next epoch may come from a host whose clock is ahead
 		return contract.NotRun(contract.ReasonKeyInvalid, 0, "the key's home was never handed out").WithStatus(400)
 	case key.Home.Epoch+1 < now:
 		// The record of this key may have been evicted, so it may have run.
@@ -208,8 +210,8 @@
 		return contract.Unknown(contract.ReasonHomeGone, 0, "the entry host that could tell is gone").WithStatus(410)
 	}
 	// The host closed its ledger before the hand-over, and the hand-over includes
-	// the records of its last two epochs. A key of these without a record did not
-	// run.
+	// the records of its last two epochs. A key of these or later epochs that has no
+	// record did not run.
 	return contract.NotRun(contract.ReasonHostLeaving, time.Second, "the key's entry host has stopped and had not run it; ask for addresses and use a new key")
 }
 
@@ -256,9 +258,9 @@
 	l.bytes -= entry.bytes
 }
 
-// Finish sets the answer and returns it to all callers of Wait. An entry whose
-// answer is "not run" is then removed, so that the same key may start the request
-// again.
+// Finish sets the answer that all callers of Wait get. If it does not fit in memory,
+// all of them, the first included, get "unknown" instead. An entry whose answer is
+// "not run" is then removed, so that the same key may start the request again.
 func (e *Entry) Finish(answer Answer) {
 	l := e.ledger
 	l.mu.Lock()
@@ -275,8 +277,8 @@
 }
 
 // accountMemory adds the answer's size to the ledger's memory use. An answer that
-// would exceed the bound is not kept. Its entry stays, so the request still cannot
-// run twice, but a repeat is answered with "unknown". Callers hold Ledger.mu.
+// would exceed the bound is replaced by "unknown". The entry stays, so the request
+// still cannot run twice. Callers hold Ledger.mu.
 func (e *Entry) accountMemory() {
 	l := e.ledger
 	size := e.answer.size()
