--- a/caller/addressbook.go
+++ b/caller/addressbook.go
@@ -89,12 +89,12 @@
 	if len(b.list) == 0 {
 		return Address{}, err
 	}
-	// A failed refresh leaves the expired list in use: entry hosts that were
-	// available a minute ago are better than none.
+	// If the refresh fails, the expired list stays in use: entry hosts that were
+	// available recently are better than none.
 	return b.list[0], nil
 }
 
-// refresh fetches the address list, shared with all concurrent callers. The fetch
+// refresh fetches the address list; concurrent callers share one fetch, which
 // continues if the caller that started it gives up.
 func (b *addressBook) refresh(ctx context.Context) error {
 	result := b.fetches.DoChan("addresses", func() (any, error) {
--- a/caller/attempts.go
+++ b/caller/attempts.go
@@ -28,8 +28,8 @@
 	address         Address
 	key             string
 	mayHaveRun      bool // an attempt may have run
-	failureReported bool // a failure of the backend server was reported before for this key
-	failures        int  // consecutive attempts without progress
+	failureReported bool // a failure of the backend server was reported before for this request
+	failures        int  // consecutive attempts and address lookups without progress
 }
 
 // chooseAddress chooses the address of the next attempt and, where allowed, a new
@@ -70,10 +70,10 @@
 	return backoff(a.failures)
 }
 
-// resetFailures resets the count of attempts without progress.
+// resetFailures resets the count of attempts and lookups without progress.
 func (a *attempts) resetFailures() { a.failures = 0 }
 
-// prepareNext prepares the attempt that follows one ended by cause. It waits for
+// prepareNext prepares the next attempt after one that failed with cause. It waits for
 // the retry time of cause and chooses an address. It returns nil if another
 // attempt may be made, and otherwise the error for the caller.
 func (a *attempts) prepareNext(ctx context.Context, cause error) error {
@@ -96,10 +96,12 @@
 	return a.chooseAddress(ctx)
 }
 
-// isRecordedFailure reports whether the refusal is the home's record of a run that
-// failed on its backend server, and sets failureReported. Such a refusal that is
-// returned twice for one key is recorded and does not change. Without this check
-// the caller would use up all its attempts to get the same refusal.
+// isRecordedFailure reports whether the refusal means that the backend server
+// failed with an unknown outcome and such a failure was reported before for this
+// request, also before progress of its stream. It sets failureReported. The second
+// such refusal is taken for the outcome recorded at the home, which does not
+// change. Without this check the caller would use up all its attempts to get the
+// same refusal.
 func (a *attempts) isRecordedFailure(refusal *contract.Refusal) bool {
 	if refusal.Outcome != contract.OutcomeUnknown || refusal.Reason != contract.ReasonBackendFailed {
 		return false
@@ -119,7 +121,8 @@
 	return &refusal
 }
 
-// connectionRefusal returns the refusal of an attempt whose connection failed. Its
+// connectionRefusal returns the refusal of an attempt whose connection failed, or
+// whose response was incomplete, too large or not readable; err may then be nil. Its
 // retry time grows with the number of consecutive failures.
 func (a *attempts) connectionRefusal(sent bool, err error) *contract.Refusal {
 	var refusal *contract.Refusal
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -213,12 +213,12 @@
 		send   func(w http.ResponseWriter)
 		reason contract.Reason
 	}{
-		"doubled token":   {func(w http.ResponseWriter) { sendTokens(w, 0, 2); sendTokens(w, 1, 3) }, contract.ReasonAnswerMismatch},
-		"skipped token":   {func(w http.ResponseWriter) { sendTokens(w, 0, 2); sendTokens(w, 3, 4) }, contract.ReasonAnswerMismatch},
-		"early end":       {func(w http.ResponseWriter) { sendTokens(w, 0, 2); sendEnd(w, 3) }, contract.ReasonAnswerMismatch},
-		"not an event":    {func(w http.ResponseWriter) { fmt.Fprint(w, "event: token\ndata: x\n\n") }, contract.ReasonAnswerMismatch},
-		"error event":     {func(w http.ResponseWriter) { sendTokens(w, 0, 1); fmt.Fprint(w, lostEvent) }, contract.ReasonGenerationLost},
-		"cut, never back": {func(w http.ResponseWriter) { panic(http.ErrAbortHandler) }, contract.ReasonHomeUnreachable},
+		"doubled token":         {func(w http.ResponseWriter) { sendTokens(w, 0, 2); sendTokens(w, 1, 3) }, contract.ReasonAnswerMismatch},
+		"skipped token":         {func(w http.ResponseWriter) { sendTokens(w, 0, 2); sendTokens(w, 3, 4) }, contract.ReasonAnswerMismatch},
+		"early end":             {func(w http.ResponseWriter) { sendTokens(w, 0, 2); sendEnd(w, 3) }, contract.ReasonAnswerMismatch},
+		"not an event":          {func(w http.ResponseWriter) { fmt.Fprint(w, "event: token\ndata: x\n\n") }, contract.ReasonAnswerMismatch},
+		"error event":           {func(w http.ResponseWriter) { sendTokens(w, 0, 1); fmt.Fprint(w, lostEvent) }, contract.ReasonGenerationLost},
+		"connection always cut": {func(w http.ResponseWriter) { panic(http.ErrAbortHandler) }, contract.ReasonHomeUnreachable},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/caller/client.go
+++ b/caller/client.go
@@ -37,13 +37,14 @@
 	Network link.Network
 	// TLS is used for https addresses; nil: the system's root certificates.
 	TLS *tls.Config
-	// Silence is the time without any data on a stream, keep-alives included,
-	// after which its connection counts as dead.
+	// Silence is the time without a complete line on a stream, keep-alives
+	// included, after which its connection counts as dead.
 	Silence time.Duration
 	// Attempt is the timeout of one attempt of an exact call, of one address
 	// lookup, and of the response header of a stream.
 	Attempt time.Duration
-	// MaxAttempts bounds consecutive attempts without progress.
+	// MaxAttempts bounds the consecutive failed attempts and address lookups
+	// without progress.
 	MaxAttempts int
 }
 
--- a/caller/problem.go
+++ b/caller/problem.go
@@ -56,7 +56,8 @@
 
 // refusalOf converts an unsuccessful response to a refusal. Without a problem
 // document of an entry host the outcome is "unknown", because only an entry host
-// can state that a request did not run; status 401 alone means "not run".
+// can state that a request did not run. Only status 401 without such a document
+// means "not run".
 func refusalOf(response *http.Response, body []byte) *contract.Refusal {
 	if refusal, ok := parseProblem(body); ok {
 		refusal.Status = response.StatusCode
@@ -72,8 +73,8 @@
 		WithStatus(response.StatusCode)
 }
 
-// retryAfter returns the value of a Retry-After header in seconds. It returns zero
-// if the header is missing or has another form.
+// retryAfter returns the delay of a Retry-After header whose value is a number of
+// seconds, and zero if the header is missing or has another form.
 func retryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.Atoi(header.Get("Retry-After"))
 	if err != nil || seconds < 0 {
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -35,7 +35,7 @@
 
 // tokenEvent is the data of a token or end event.
 type tokenEvent struct {
-	ID           string `json:"id"`
+	ID           string `json:"id"` // event id, used if there is no SSE id; entry hosts send the SSE id
 	Index        int    `json:"index"`
 	Text         string `json:"text"`
 	FinishReason string `json:"finish_reason"`
@@ -138,8 +138,8 @@
 	}
 }
 
-// connect opens the stream or resumes it after the last event. It retries as
-// attempts allows.
+// connect opens the stream or resumes it after the last event. It retries until
+// prepareNext returns an error.
 func (s *Stream) connect() error {
 	for {
 		cause := s.connectOnce()
