--- a/relay/metrics.go
+++ b/relay/metrics.go
@@ -58,8 +58,8 @@
 	m.requests.WithLabelValues(service, string(refusal.Outcome), string(refusal.Reason)).Inc()
 }
 
-// countToken counts a chunk that was put into the caller's write buffer. gap is the time since the previous
-// chunk, or zero if there is none to observe.
+// countToken counts a chunk that was put into the caller's write buffer. gap is the
+// time since the previous chunk, or zero if there is none to observe.
 func (m *Metrics) countToken(service string, gap time.Duration) {
 	m.tokens.WithLabelValues(service).Inc()
 	if gap <= 0 {
