--- a/placement/placement.go
+++ b/placement/placement.go
@@ -78,7 +78,8 @@
 	// have yet to prefill. Above it the first token misses its latency goal,
 	// and each further prompt delays the prompts behind it too. For brief
 	// generations only the prompts of brief ones count: engines prefill these
-	// first.
+	// first. Zero: no limit. A prompt that would be prefilled first is accepted
+	// regardless of its length.
 	UnreadTokens int
 	// QueuePerSlot is the maximum number of requests queued on a plain server,
 	// as a multiple of its slots.
@@ -108,25 +109,27 @@
 	// firstTokenDelayMs is the delay of the first token that costs as much as a
 	// full engine.
 	firstTokenDelayMs = 750.0
-	// otherDomainCost is the cost of a server in another failure domain, as a
-	// share of the server's load: traffic between domains costs more than a
-	// small difference in load and less than a large one.
+	// otherDomainCost is the cost that is added for a server in another failure
+	// domain; 1 is the cost of a full engine. Traffic between domains costs more
+	// than a small difference in load and less than a large one.
 	otherDomainCost = 0.1
-	// otherDomainTokenCost is added to it for each expected output token: an
-	// output token takes about 100 bytes on its way to the caller, a prompt
-	// token one.
+	// otherDomainTokenCost is added to otherDomainCost for each expected output
+	// token: an output token takes about 100 bytes of traffic on its way to the
+	// caller, a prompt token about one byte.
 	otherDomainTokenCost = 0.001
-	// slowStartCost is the cost, as a share of the load, of a server in slow
-	// start.
+	// slowStartCost is the cost that is added for a server in slow start; 1 is
+	// the cost of a full engine.
 	slowStartCost = 0.5
-	// paceCost is the cost for long generations, as a share of the load, of an
-	// engine that takes twice as long per token as the fastest one.
+	// paceCost is the cost for long generations per unit of slowdown: an engine
+	// that takes 10% longer per token than the fastest one costs 0.08 more. With
+	// maxSlowdown, the cost is at most 0.4, also for one that takes twice as long.
 	paceCost = 0.8
-	// briefPaceGain is the same for brief generations with the opposite sign:
-	// their prompts are to be prefilled where few long generations are slowed
-	// down.
+	// briefPaceGain is the corresponding gain for brief generations: slower
+	// engines are preferred for them, because prefilling their prompts there
+	// delays fewer long generations.
 	briefPaceGain = 0.3
-	// maxSlowdown limits the effect of one wrong value of Pace.
+	// maxSlowdown limits the slowdown, and so the effect of one wrong value of
+	// Pace.
 	maxSlowdown = 0.5
 )
 
@@ -199,6 +202,10 @@
 
 // Shortage counts servers without a free place by the first resource that is
 // insufficient.
+//
+// Reading counts servers with too many prompt tokens to prefill, Slots those with
+// all slots used, Memory those with too little memory, and Warmth cold servers at
+// their limit of requests.
 type Shortage struct{ Reading, Slots, Memory, Warmth int }
 
 // ShortageOf counts why the candidates have no free place for the request.
@@ -251,10 +258,10 @@
 
 // hasMemory reports whether the engine's memory has room for the request.
 //
-// A brief generation ends before the others have grown, so it needs memory that
-// is free now rather than memory that is not held. Engines queue it if there is
-// none: with a limit of 110% of the memory for brief generations, some would wait
-// for seconds on a full engine while others have room.
+// A brief generation ends while the others grow by only briefGrowth tokens each,
+// so it needs memory that is free now rather than memory that is not held. An
+// engine without free memory queues it: if brief generations could hold 110% of
+// the memory, some would wait for seconds on a full engine while others have room.
 func (c *Candidate) hasMemory(need Need, limits Limits) bool {
 	if need.Brief() {
 		return c.UsedTokens+need.PromptTokens+briefGrowth*c.Running <= c.MemoryTokens
@@ -316,8 +323,9 @@
 		}
 		held := float64(tokens+need.PromptTokens) / float64(c.MemoryTokens)
 		cost = held * held
-		// Prefill slows all generations on the engine, whatever the order of
-		// prompts.
+		// The tokens that are prefilled before the request delay it, and all
+		// unread tokens slow the engine's generations, whatever the order of
+		// prompts; the average accounts for both.
 		unread := (c.UnreadTokens + c.prefillBefore(need)) / 2
 		cost += float64(unread+need.PromptTokens) / prefillTokensPerMs / firstTokenDelayMs
 	} else {
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -10,20 +10,20 @@
 	"github.com/matryer/is"
 )
 
-// Parameters of the simulation: the engines of an enlarged deployment, a sixth of
-// them unavailable at any time, and more long generations (letters) than fit into
+// Parameters of the simulation: 38 engines (an enlarged deployment of which a sixth
+// is unavailable) and more long generations (called letters here) than fit into
 // memory, mixed with brief ones. Time advances in steps of 10 ms.
 const (
 	replayEngines  = 38
 	replayMemory   = 21904
 	replaySteps    = 6000
 	stepMs         = 10
-	prefillPerStep = 70 // prompt tokens
-	tokensPerStep  = 0.9
+	prefillPerStep = 70  // prompt tokens
+	tokensPerStep  = 0.9 // output tokens per generation
 	waitSteps      = 22  // queueing time until a refusal
 	returnSteps    = 60  // time until a refused caller retries
 	letterGoal     = 180 // steps to the first token
-	briefGoal      = 150
+	briefGoal      = 150 // steps to the first token
 )
 
 // replayLoad is the request load, and whether placement has the pace of engines.
