--- a/retry/class.go
+++ b/retry/class.go
@@ -27,8 +27,7 @@
 	// NotRun reports whether the server marked its response as not run
 	// (backend.HeaderNotRun).
 	NotRun bool
-	// RetryAfter is the time after which the server advises to retry; zero:
-	// none.
+	// RetryAfter is the delay before a retry that the server advises; zero: none.
 	RetryAfter time.Duration
 	// Cancelled reports whether the caller or this host cancelled the attempt.
 	Cancelled bool
--- a/retry/evaluator.go
+++ b/retry/evaluator.go
@@ -18,12 +18,13 @@
 // Collectors returns the metrics of this package.
 func Collectors() []prometheus.Collector { return []prometheus.Collector{decisionsTotal} }
 
-// Reason is the reason for a decision.
+// Reason is the reason for a decision. ReasonBackoff and ReasonReset come with a
+// retry, all others with none.
 type Reason string
 
 const (
 	ReasonBackoff   Reason = "backoff"    // retry after exponential backoff
-	ReasonReset     Reason = "reset_wait" // retry after the time that the server advised
+	ReasonReset     Reason = "reset_wait" // retry after the time that the server advised (Evidence.RetryAfter)
 	ReasonClass     Reason = "class"      // hard or unclassified failure
 	ReasonEffect    Reason = "effect"     // may have run and must not run twice
 	ReasonExhausted Reason = "exhausted"  // maximum number of retries reached
@@ -43,8 +44,8 @@
 // Attempts is the retry state of one request. The zero value is the state after
 // the first attempt. It is not safe for concurrent use.
 type Attempts struct {
-	retries int
-	reset   bool // the time advised by the server was used once
+	retries        int
+	usedRetryAfter bool // the time advised by the server was used once
 }
 
 // Subject describes the request that failed.
@@ -67,8 +68,8 @@
 	random  *rand.Rand
 }
 
-// NewEvaluator returns an evaluator with full budgets. seed is the seed of the
-// jitter.
+// NewEvaluator returns an evaluator. Its retry budgets start full, or empty if the
+// policy grants no retry budget. seed is the seed of the jitter.
 func NewEvaluator(policy contract.RetryPolicy, seed uint64) *Evaluator {
 	return &Evaluator{policy: policy, budgets: map[string]*budget{}, random: rand.New(rand.NewPCG(seed, 0))}
 }
@@ -121,7 +122,7 @@
 		return Decision{Reason: ReasonBudget}
 	}
 	if decision.Reason == ReasonReset {
-		attempts.reset = true
+		attempts.usedRetryAfter = true
 	} else {
 		attempts.retries++
 	}
@@ -137,11 +138,12 @@
 	return verdict.Effect == EffectNone || subject.Idempotent
 }
 
-// nextWait determines the time until the retry: the time advised by the server,
-// once and if it is at most MaxResetWait, else the next step of the exponential
-// backoff with jitter. Called with mu held.
+// nextWait determines the wait before the retry. It is the time advised by the
+// server if that is at most MaxResetWait and none was used for this request
+// before; otherwise it is the next step of the exponential backoff with jitter.
+// Called with mu held.
 func (e *Evaluator) nextWait(evidence Evidence, attempts *Attempts) Decision {
-	if evidence.RetryAfter > 0 && !attempts.reset && evidence.RetryAfter <= e.policy.MaxResetWait {
+	if evidence.RetryAfter > 0 && !attempts.usedRetryAfter && evidence.RetryAfter <= e.policy.MaxResetWait {
 		return Decision{Retry: true, After: evidence.RetryAfter, Reason: ReasonReset}
 	}
 	if attempts.retries >= e.policy.MaxRetries {
@@ -176,9 +178,9 @@
 	budgetBurst = 10
 )
 
-// budget is a retry budget: it limits retries to a share of the requests. Without
-// it, each request that fails on an overloaded server is retried several times,
-// which keeps the server overloaded.
+// budget is a retry budget: it limits retries to a share of the requests plus a
+// burst of budgetBurst. Without it, each request that fails on an overloaded server
+// is retried several times, which keeps the server overloaded.
 type budget struct{ tokens float64 }
 
 func (b *budget) deposit(share float64) { b.tokens = min(budgetBurst, b.tokens+share) }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -110,6 +110,8 @@
 	is.True(retries <= requests*policy.BudgetPercent/100+budgetBurst)
 	is.True(retries >= requests*policy.BudgetPercent/100)
 	other := Subject{Organisation: "b"}
+	// Five requests add one token to the service's budget, which the retries of "a"
+	// have used up.
 	evaluator.CountRequest("b")
 	evaluator.CountRequest("b")
 	evaluator.CountRequest("b")
