--- a/migration/queue.go
+++ b/migration/queue.go
@@ -1,11 +1,12 @@
 // Package migration decides in which order generations are migrated from backend
 // servers that are leaving, and to which destinations. It does no I/O.
 //
-// A typical case: several engines at a time are reclaimed with about two seconds
-// of notice, each with four to ten generations of about 3,500 tokens. Concurrent
-// copies share the link and delay each other, and so they delay the last, short
-// increment of each migration, during which the stream stalls. If each host
-// migrated its runs independently, streams would stall for most of a second.
+// Concurrent copies share the link and delay each other, and with them the last,
+// short increment of each migration, during which the stream stalls. If each host
+// migrated its runs independently, streams would stall for most of a second. The
+// moves of all hosts are therefore ordered in one queue. Typically several engines
+// are reclaimed at once with about two seconds of notice, each with four to ten
+// generations of about 3,500 tokens.
 package migration
 
 import (
@@ -20,15 +21,18 @@
 const (
 	// gatherDelay is the delay between the first move queued for a leaving engine
 	// and the first turn: hosts receive the notice within 10 ms of each other,
-	// and all moves have to be queued before they can be ordered.
+	// and all moves have to be queued before they can be ordered. It is also the
+	// interval between calls of GrantReady while moves are queued.
 	gatherDelay = 15 * time.Millisecond
 	// turnLease is the maximum duration of a turn, so that a host that fails
 	// during its turn does not block the others. The longest copies, to another
 	// failure domain, take about 500 ms.
 	turnLease = 1200 * time.Millisecond
-	// memoryLimit and overcommitLimit are the shares of an engine's memory that
-	// migrated runs may fill; overcommitLimit applies if no engine has room
-	// within memoryLimit. A preemption later costs less than a lost run now.
+	// memoryLimit and overcommitLimit are the shares of a destination's memory
+	// that may be held, including the migrated run; brief runs
+	// (placement.Need.Brief) need free memory instead. overcommitLimit applies if
+	// no engine has room within memoryLimit: a preemption later costs less than a
+	// lost run now.
 	memoryLimit     = 1.0
 	overcommitLimit = 1.3
 )
@@ -49,8 +53,9 @@
 // run with fewer tokens left ends before its server has left.
 const shortRunTokens = 120
 
-// density returns the work saved per copied token, by which moves are ordered. If
-// there is not enough time for all, this order saves the most work.
+// density returns the tokens of work saved per copied token, or 0 for a run that
+// ends before its server leaves. Moves with a higher density are migrated first:
+// if there is not enough time for all, this order saves the most work.
 func (m Move) density() float64 {
 	if m.Need.OutputTokens < shortRunTokens {
 		return 0
@@ -67,8 +72,9 @@
 type Candidates func(source string) []placement.Candidate
 
 // Queue schedules moves so that at any time each engine sends at most one copy
-// and receives at most one. The run that saves the most work per copied token
-// is migrated first; runs that end soon are migrated last.
+// and receives at most one; a turn ends after turnLease, also if its copy still
+// runs. The run that saves the most work per copied token is migrated first; runs
+// that end soon are migrated last.
 type Queue struct {
 	candidates Candidates
 	now        func() time.Time
@@ -125,8 +131,8 @@
 	}
 }
 
-// GrantReady grants all moves that can start now. It returns the maximum time until the
-// next call, or zero if no move is queued.
+// GrantReady grants all moves that can start now. It returns the delay after which
+// it must be called again at the latest, or zero if no move is queued.
 func (q *Queue) GrantReady() time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -142,6 +148,9 @@
 	return gatherDelay
 }
 
+// expire ends the turns that have lasted turnLease. It also removes the time of the
+// first move of each source whose first move was queued over a minute ago. Called
+// with mu held.
 func (q *Queue) expire(now time.Time) {
 	for source, t := range q.turns {
 		if now.After(t.until) {
@@ -178,8 +187,10 @@
 
 // destination returns the best server that is not receiving a copy, or "" if the
 // move has to wait. Servers in the source's failure domain are preferred, since
-// copies to other domains take twice as long: if one of them has room but is
-// receiving a copy, the run waits for it.
+// copies to other domains take twice as long: if a server in that domain has room
+// within memoryLimit but is receiving a copy, the run waits until it can receive
+// the next one. Servers are used up to overcommitLimit only if none in any domain
+// has room within memoryLimit.
 func (q *Queue) destination(need placement.Need, all []placement.Candidate) string {
 	sameDomain := slices.DeleteFunc(slices.Clone(all), func(c placement.Candidate) bool { return !c.SameDomain })
 	for _, memory := range []float64{memoryLimit, overcommitLimit} {
--- a/migration/queue_test.go
+++ b/migration/queue_test.go
@@ -57,8 +57,8 @@
 }
 
 func TestRunsThatEndSoonGoLast(t *testing.T) {
-	// Guards against the loss of a generation with 8 s to go on an engine that
-	// leaves in 1.5 s, because one with 0.5 s to go has the first turn.
+	// Guards against the loss of a generation with 800 tokens (some 7 s) to go on an engine
+	// that leaves in 1.5 s, because one with 40 tokens (0.3 s) to go has the first turn.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		q := NewQueue(func(string) []placement.Candidate { return []placement.Candidate{engine("x", true, 0)} }, time.Now)
@@ -89,8 +89,8 @@
 }
 
 func TestWaitsForANearDestination(t *testing.T) {
-	// Guards against a copy to another failure domain while the only near
-	// destination is receiving one: the copy takes twice as long as the wait.
+	// Guards against a copy to another failure domain, which takes twice as long as one
+	// within the domain, while the only near destination is receiving a copy.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		q := NewQueue(func(string) []placement.Candidate {
