--- a/replica/follower.go
+++ b/replica/follower.go
@@ -46,7 +46,7 @@
 
 	reached   atomic.Uint64 // revision reached by the newest list or watch of the store
 	reachable atomic.Bool
-	failedAt  moment.Moment // time of the last failed call to the store
+	failedAt  moment.Moment // time of the last failed list or watch of Run
 
 	mu     sync.Mutex         // guards all below
 	cancel context.CancelFunc // cancels the pending watch; nil if there is none
@@ -57,9 +57,9 @@
 //
 // Failure: the store compacts its history while objects change. The follower of
 // a kind that keeps changing receives ErrCompacted, but the watch of a kind with
-// few changes may have missed one and stays pending until the next. All kinds
-// share one history, so a follower that receives ErrCompacted makes the others
-// relist through OnCompacted.
+// few changes may have missed a change, and stays pending until the next change of
+// its kind. All kinds share one history, so a follower that receives ErrCompacted
+// makes the others relist through OnCompacted.
 func (f *Follower) Relist() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,15 +90,17 @@
 	}
 }
 
-// SinceStoreFailure returns the time since a store call by this follower last failed,
-// or moment.Never.
+// SinceStoreFailure returns the time since a list or watch of Run last failed
+// (ErrCompacted is not a failure), or moment.Never. Calls of Refresh do not count.
 func (f *Follower) SinceStoreFailure() time.Duration { return f.failedAt.Age() }
 
 // Reached returns the revision up to which this follower's own lists and watches
 // have delivered changes of the kind; updates from peers do not count.
 func (f *Follower) Reached() store.Version { return store.Version(f.reached.Load()) }
 
-// Reachable reports whether the last call to the store succeeded.
+// Reachable reports whether the store answered the last list or watch of Run, also
+// with ErrCompacted. It is false before the first answer. Calls of Refresh and
+// watches during which Relist was called do not count.
 func (f *Follower) Reachable() bool { return f.reachable.Load() }
 
 // Run follows the store until ctx ends, and returns the error of ctx.
--- a/replica/table.go
+++ b/replica/table.go
@@ -22,11 +22,11 @@
 	})
 	refusedOlder = prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: "papayasail", Subsystem: "configuration", Name: "refused_older_total",
-		Help: "Objects refused because this host has already had a newer version.",
+		Help: "Objects refused because this host already has a newer version.",
 	})
 	unreadable = prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: "papayasail", Subsystem: "configuration", Name: "unreadable_total",
-		Help: "Versions that could not be parsed; the last valid one stays active.",
+		Help: "Object versions that could not be applied; the last valid one stays active.",
 	})
 )
 
@@ -49,18 +49,18 @@
 // Table is the set of objects that this host has received, including tombstones
 // of deleted ones.
 //
-// Batches that contain all changes after a version that this host has (a list,
-// watches in order, a peer's Since of this host's Version) leave the table
-// complete up to its Version. A host whose digest still differs from a peer's
-// after such a batch requests Since(0).
+// If a batch contains all changes after a version that this host already has, the
+// table afterwards has all changes up to its Version. Such batches are a list,
+// consecutive watches, and a peer's Since of this host's Version. A host whose
+// digest still differs from a peer's after such a batch requests Since(0).
 type Table struct {
 	apply Apply
 
-	mu        sync.RWMutex // guards all below; held while apply runs, not while subscribers do
+	mu        sync.RWMutex // guards all below; held while apply runs, but not while listeners run
 	objects   map[objectKey]store.Object
 	listed    map[string]store.Version // by kind: revision of the newest list
 	version   store.Version
-	complete  bool   // has had all objects of one point in time
+	complete  bool   // a list was adopted, or a complete peer has sent all its objects
 	digest    uint64 // sum of the hashes of all objects that are not deleted
 	listeners []func()
 }
@@ -190,9 +190,10 @@
 	return t.listed[kind]
 }
 
-// Complete reports whether this host has had all objects that the store or a peer
-// had at one point in time. Until then, an object missing from the table may
-// exist in the store.
+// Complete reports whether this host has adopted a list of at least one kind from
+// the store, or all objects of a complete peer. Until then, an object missing from
+// the table may exist in the store; after a list, this still holds for objects of
+// kinds that were not listed.
 func (t *Table) Complete() bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -214,8 +215,8 @@
 	return t.version
 }
 
-// Digest returns a hash of the names and versions of all objects that are not
-// deleted. Hosts with the same objects have the same digest, regardless of the
+// Digest returns a hash of the kinds, names and versions of all objects that are
+// not deleted. Hosts with the same objects have the same digest, regardless of the
 // order in which they adopted them.
 func (t *Table) Digest() uint64 {
 	t.mu.RLock()
