--- a/lease/lease.go
+++ b/lease/lease.go
@@ -21,23 +21,27 @@
 // Lessor grants leases to one host.
 type Lessor interface {
 	// Acquire acquires the lease if nobody holds it. Errors: *HeldError,
-	// store.ErrUnavailable, store.ErrOutcomeUnknown.
+	// store.ErrUnavailable, store.ErrOutcomeUnknown, or a decoding error if the
+	// stored object is malformed.
 	Acquire(ctx context.Context, name string) (*Lease, error)
 	// Renew extends the lease and, unless state is nil, replaces the state that
 	// the duty passes from holder to holder. Errors: ErrLost,
-	// store.ErrUnavailable, store.ErrOutcomeUnknown; after the last two the lease
-	// remains valid until it expires.
+	// store.ErrUnavailable, store.ErrOutcomeUnknown, or a decoding error if the
+	// stored object is malformed; after all but ErrLost the lease remains valid
+	// until it expires.
 	Renew(ctx context.Context, lease *Lease, state json.RawMessage) error
 	// Release ends the lease, so that the next holder need not wait. The caller
 	// must make sure that the duty's last action has ended. Errors: as for Renew.
 	Release(ctx context.Context, lease *Lease) error
 }
 
-// ErrLost means that the lease was released or that another host has taken it
-// over.
+// ErrLost means that the lease was released, that it was acquired again (by any
+// host), or that its stored object was deleted.
 var ErrLost = errors.New("lease: lost")
 
-// HeldError means that the lease is held, or may still be held, by Holder.
+// HeldError means that the lease is held, or may still be held, by Holder. If
+// another host has just written the lease, Holder is "another host" and RetryAfter
+// is this host's own term.
 type HeldError struct {
 	Holder     string
 	RetryAfter time.Duration // time until the lease expires unless it is renewed
@@ -54,9 +58,9 @@
 	fence         uint64
 	firstActionAt time.Time // earliest time at which the holder may begin an action
 
-	// writeLock serialises writes to the store: a sender acquires it, and receives
-	// to release it. It is acquired before mu. It is a channel because the store
-	// may be slow and the wait must end with its context.
+	// writeLock serialises writes to the store: a successful send acquires it, a
+	// receive releases it. It is acquired before mu. It is a channel because the
+	// store may be slow and the wait must end with its context.
 	writeLock     chan struct{}
 	mu            sync.Mutex // guards all below
 	version       store.Version
@@ -82,8 +86,8 @@
 // it must not begin any. It reaches zero well before others may take over the
 // lease.
 //
-// Failure: the holder is paused until its lease has expired and then continues,
-// which shows as orders under an old fencing number. The term therefore counts
+// Failure: the holder is paused until its lease has expired and then continues.
+// Its actions then carry an old fencing number. The term therefore counts
 // from before the write was sent, on the monotonic clock, which keeps running
 // while a process is stopped. That clock may stop while the machine is suspended,
 // so the larger of the monotonic and the wall clock times applies.
@@ -122,7 +126,7 @@
 	clear(l.unknownWrites)
 }
 
-// nextWriteNumber returns the number of the next write attempt.
+// nextWriteNumber returns the renewal number of the next write attempt.
 func (l *Lease) nextWriteNumber() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -58,7 +58,7 @@
 			is.True(err != nil || !valid)
 			time.Sleep(100 * time.Millisecond)
 		}
-		is.True(first.Remaining() < -2*time.Second) // a's validity ended well before
+		is.True(first.Remaining() < -2*time.Second) // a's time to begin actions ended more than 2 s ago
 		is.True(second.Fence() > first.Fence())
 		is.True(second.FirstActionDelay() > 29*time.Second) // a's last action may still be running
 		is.True(errors.Is(a.Renew(ctx, first, nil), ErrLost))
--- a/lease/store_lessor.go
+++ b/lease/store_lessor.go
@@ -48,8 +48,8 @@
 
 // StoreLessor grants leases by conditional writes to the platform's store. It
 // does not compare the clocks of different machines: a host may take over a lease
-// once it has seen the object unchanged, by its own clock, for the holder's term
-// and a tenth of it.
+// once it has seen the object unchanged for 1.1 times the holder's term, by its own
+// clock.
 type StoreLessor struct {
 	store   store.Store
 	host    string
@@ -172,11 +172,11 @@
 	return nil
 }
 
-// resolveConflict resolves a version conflict. The stored object is either
-// another host's write, and the lease is lost, or an earlier write of this holder
-// whose answer was lost, which happens repeatedly while the store is slow. Such a
-// write is adopted, with the term counting from when it was sent, and the outcome
-// is reported as unknown so that the caller writes again.
+// resolveConflict resolves a version conflict. Either the stored object is from
+// another acquisition or was deleted, and the lease is lost, or it is an earlier
+// write of this holder whose answer was lost, which happens repeatedly while the
+// store is slow. Such a write is adopted, with the term counting from when it was
+// sent, and the outcome is reported as unknown so that the caller writes again.
 func (s *StoreLessor) resolveConflict(ctx context.Context, lease *Lease) error {
 	version, stored, err := s.read(ctx, lease.name)
 	if err != nil {
@@ -190,11 +190,11 @@
 	}
 	stored.Fence = current.Fence
 	lease.recordWrite(version, stored, lease.sentAt(stored.Renewal))
-	return errors.Wrap(store.ErrOutcomeUnknown, "lease: an earlier write took effect")
+	return errors.Wrap(store.ErrOutcomeUnknown, "lease: the stored lease is from an earlier write of this holder; write again")
 }
 
-// expiresIn returns how long other hosts must still wait before they may take over
-// a stored lease.
+// expiresIn returns how long this host must still wait before it may take over a
+// stored lease, counted from when it first saw the version.
 func (s *StoreLessor) expiresIn(name string, version store.Version, current record) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
