--- a/domain/addresses.go
+++ b/domain/addresses.go
@@ -40,14 +40,15 @@
 // Addresses returns the entry hosts for one caller, best first: those of the
 // nearest domain, in an order that seed varies between callers, then those of
 // other domains by distance. Leaving and gone hosts are omitted; suspects come
-// last.
+// last. At most MaxAddresses are returned; live hosts of other domains replace the
+// last ones if needed, see otherDomains.
 //
 // Failure: the answering host is partitioned and suspects all others, or a
 // whole domain is suspected wrongly, so that the answer would contain no live
 // host. Suspects are therefore kept at the end of the list: when all hosts are
 // suspect the answer still contains them.
 func Addresses(members []peer.Member, distances *Distances, callerDomain string, seed uint64) []Address {
-	usable := ranked(members, distances, callerDomain, seed)
+	usable := candidatesOf(members, distances, callerDomain, seed)
 	slices.SortFunc(usable, compareCandidates)
 	chosen := withOtherDomains(usable)
 	addresses := make([]Address, 0, len(chosen))
@@ -58,8 +59,8 @@
 	return addresses
 }
 
-// candidate is a usable member with its sort keys. It is sorted in place of the
-// member, which is large.
+// candidate is a usable member with its sort keys. Candidates are sorted instead of
+// members, because members are large.
 type candidate struct {
 	index    int
 	state    peer.State
@@ -68,7 +69,9 @@
 	outside  bool // not in the caller's domain
 }
 
-func ranked(members []peer.Member, distances *Distances, callerDomain string, seed uint64) []candidate {
+// candidatesOf returns the alive and suspect members that have a caller address,
+// unsorted.
+func candidatesOf(members []peer.Member, distances *Distances, callerDomain string, seed uint64) []candidate {
 	candidates := make([]candidate, 0, len(members))
 	between := make(map[string]time.Duration)
 	for i := range members {
--- a/domain/distance.go
+++ b/domain/distance.go
@@ -61,8 +61,9 @@
 	d.learned[pair] = known + (roundTrip/2-known)/sampleDivisor
 }
 
-// Between returns the one-way delay between two domains. It is zero within a
-// domain and DefaultDistance to or from an unknown domain ("").
+// Between returns the one-way delay between two domains. It is zero within a domain
+// other than the unknown one (""). Otherwise it is the value of the settings, else
+// the average of the samples, else DefaultDistance.
 func (d *Distances) Between(from, to string) time.Duration {
 	if from == to && from != "" {
 		return 0
--- a/domain/domain_test.go
+++ b/domain/domain_test.go
@@ -130,7 +130,7 @@
 }
 
 // Guards against a domain without a watcher, which receives changes late,
-// because a partitioned host suspects all others and does not watch itself.
+// because a partitioned host suspects all others and does not choose itself.
 func TestWatchersOfPartitionedHost(t *testing.T) {
 	is := is.New(t)
 	members := fleet(2, 5)
--- a/domain/near.go
+++ b/domain/near.go
@@ -19,10 +19,10 @@
 // UnorderedHosts returns the entry hosts from which callers of a failure domain choose
 // at random: the live hosts of their domain or, with fewer than two of those,
 // the live hosts of all domains. Suspects are returned only if no host is
-// alive: callers ignore the order, so that with ten hosts a tenth of them would
-// wait for each suspect. Leaving hosts are returned only if there are no
-// others: during a rolling restart of all hosts they serve short requests until
-// they end.
+// alive, because callers ignore the order: with ten hosts, a tenth of the callers
+// would wait for each suspect. Leaving hosts are returned only if there are no
+// others: a leaving host still serves short requests until it stops, for example
+// during a rolling restart of all hosts.
 func UnorderedHosts(members []peer.Member, callerDomain string) []peer.Member {
 	hosts := inState(members, peer.StateAlive, callerDomain)
 	if len(hosts) < minDomainHosts {
--- a/domain/watchduty.go
+++ b/domain/watchduty.go
@@ -34,7 +34,8 @@
 	OnStoreRecovered func()
 	// Active reports whether this host may watch yet; nil: always.
 	Active func() bool
-	// Interval is the time between checks, Timeout that of one check.
+	// Interval is the time between checks; Timeout is the maximum duration of one
+	// check.
 	Interval, Timeout time.Duration
 
 	cached atomic.Pointer[watchDecision]
--- a/domain/watchers.go
+++ b/domain/watchers.go
@@ -16,8 +16,8 @@
 	// MinWatchers is the minimum number of watchers in a fleet of few
 	// domains, so that two hosts may die at once.
 	MinWatchers = 3
-	// strongShare is the fraction of the capacity of the strongest host among
-	// those ranked from which a host counts as strong.
+	// strongShare is a fraction of the highest capacity among the ranked hosts:
+	// a host with at least that capacity counts as strong.
 	strongShare = 0.5
 
 	// watcherSeed makes the scores independent of those in Addresses, so that
@@ -93,8 +93,8 @@
 
 // RankForDuties sorts hosts by preference for fleet-wide duties: live ones
 // before suspects, strong ones before weak ones, then by rendezvous score. A
-// change of one host reassigns a duty only if that host is or becomes the
-// first.
+// change of one host reassigns a duty only if that host is or becomes the first,
+// or if it changes the highest capacity and so which hosts count as strong.
 //
 // The CPU capacity of hosts differs by a factor of four. A weak host that
 // places the generations of 60 others has no capacity left for its own callers.
