--- a/store/counted_test.go
+++ b/store/counted_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestCallsAreCountedOnce(t *testing.T) {
-	// Guards against calls that are not counted because only Limited counts them:
-	// the counter stayed at zero where the store is used without a call budget.
+	// Guards against calls that are not counted if the store is used without a call
+	// budget (only Limited counts them), or that are counted twice with one.
 	is, ctx := is.New(t), context.Background()
 	read := func(op, result string) float64 {
 		var metric dto.Metric
--- a/store/memory.go
+++ b/store/memory.go
@@ -40,11 +40,12 @@
 	Silent bool `json:"silent"`
 	// Slow delays every call, including watches.
 	Slow time.Duration `json:"slow_ns"`
-	// LoseAnswers is the number of next writes whose answers are lost after they
-	// took effect.
+	// LoseAnswers is how many of the next calls of Put are executed but answered
+	// with ErrOutcomeUnknown.
 	LoseAnswers int `json:"lose_answers"`
-	// LoseRequests is the number of next writes that are lost before they take
-	// effect; the caller cannot distinguish them from lost answers.
+	// LoseRequests is how many of the next calls of Put have no effect and are
+	// answered with ErrOutcomeUnknown; the caller cannot distinguish them from
+	// lost answers.
 	LoseRequests int `json:"lose_requests"`
 }
 
--- a/store/settle.go
+++ b/store/settle.go
@@ -16,9 +16,10 @@
 // reads the object and compares the value. The condition makes the retry safe,
 // and a first attempt that is still in flight cannot take effect after the second.
 //
-// Errors: *VersionError (the object was written by another writer),
-// ErrUnavailable (nothing was written), ErrOutcomeUnknown (ctx ended before the
-// outcome was known).
+// Errors: *VersionError (the object does not have the expected version and does not
+// contain value; if an answer was lost, value may have been written and then
+// replaced or deleted), ErrUnavailable (nothing was written), ErrOutcomeUnknown
+// (ctx ended before the outcome was known).
 func PutSettled(ctx context.Context, store Store, kind, name string, value []byte, expect Version) (Version, error) {
 	var backoff Backoff
 	sent := false
--- a/store/settle_test.go
+++ b/store/settle_test.go
@@ -14,7 +14,7 @@
 
 func TestPutSettled(t *testing.T) {
 	// Guards against a lease holder that mistakes its own renewal for another
-	// host's write when the store's answer is lost, with or without the write.
+	// host's write when the store's answer is lost, whether or not the write took effect.
 	for _, faults := range []store.Faults{{}, {LoseAnswers: 1}, {LoseAnswers: 2}, {LoseRequests: 2}, {LoseRequests: 1, LoseAnswers: 1}} {
 		synctest.Test(t, func(t *testing.T) {
 			is, ctx := is.New(t), t.Context()
--- a/store/store.go
+++ b/store/store.go
@@ -32,7 +32,8 @@
 	// Put writes value if the object's version is expect (zero: the object
 	// must not exist) and returns the new version. Errors: *VersionError,
 	// ErrUnavailable (nothing was written), ErrOutcomeUnknown (the write may
-	// have taken effect; a read of the object resolves it).
+	// have taken effect; a read of the object resolves it). A value over
+	// MaxValueBytes is refused with another error; a retry cannot succeed.
 	Put(ctx context.Context, kind, name string, value []byte, expect Version) (Version, error)
 	// List returns all objects of a kind, ordered by name, and the store's
 	// revision at that moment.
@@ -48,10 +49,10 @@
 var (
 	// ErrNoObject means that the object does not exist.
 	ErrNoObject = errors.New("platform: no such object")
-	// ErrUnavailable means that the store did not accept the request: nothing was
-	// written.
+	// ErrUnavailable means that the call failed and nothing was written.
 	ErrUnavailable = errors.New("platform: store unavailable")
-	// ErrOutcomeUnknown means that a write was sent but its answer was lost.
+	// ErrOutcomeUnknown means that a write was sent and may have taken effect: no
+	// answer was received, or one that does not show the outcome.
 	ErrOutcomeUnknown = errors.New("platform: outcome of write unknown")
 	// ErrCompacted means that a watch requested changes that the store no longer
 	// has.
--- a/store/storetest/conformance.go
+++ b/store/storetest/conformance.go
@@ -1,5 +1,6 @@
 // Package storetest contains the conformance suite that every store.Store must
-// pass. Values are JSON, as the platform's store accepts nothing else.
+// pass. Values that are read back are JSON, as the platform's store accepts nothing
+// else; a nil value must be accepted too.
 package storetest
 
 import (
