--- a/configuration/acceptor.go
+++ b/configuration/acceptor.go
@@ -15,7 +15,7 @@
 
 const (
 	Accepted    Outcome = "accepted"
-	NotAccepted Outcome = "not_accepted" // final for this change id
+	NotAccepted Outcome = "not_accepted" // nothing was put in force; final for this change id if there is no error
 	Unknown     Outcome = "unknown"      // Settle resolves it later
 )
 
@@ -32,7 +32,9 @@
 type Result struct {
 	Outcome Outcome
 	// Version is the version that an accepted change made; otherwise the
-	// current version, zero if it is not known.
+	// current version, zero if it is not known. After a change to an
+	// organisation, the current version is the organisation's if Expect did not
+	// match, and that of its whole shard in all other cases.
 	Version store.Version
 	// Winner is the change that made the current version, if a conditional
 	// write failed because of it.
@@ -141,9 +143,10 @@
 // is not found may still be in flight to the store. Settle therefore first
 // ensures that it can no longer take effect: it writes a history entry for the
 // change id, so that the object's version is no longer the one that the late
-// write expects. The outcome is Unknown with an error if the store is
-// unavailable, and Unknown without an error if the change may be older than the
-// oldest history entry.
+// write expects. The outcome is Unknown with an error if the store is unavailable
+// or the stored object is malformed. It is Unknown without an error if the change
+// may be older than the oldest history entry, or if the outcome of Settle's own
+// write is not known.
 func (a *Acceptor) Settle(ctx context.Context, service, changeID string) (Result, error) {
 	return a.settle(ctx, &edit{objectName: ServiceName(service), name: service, changeID: changeID})
 }
--- a/configuration/edit.go
+++ b/configuration/edit.go
@@ -29,11 +29,11 @@
 	detail     string
 	expect     *store.Version // nil: any version
 	apply      func(*Envelope)
-	// digestText is hashed to identify the edit if the object also has content
-	// of others; empty: the digest of the whole object is used.
+	// digestText is hashed to identify the edit if the object contains several
+	// items; empty: Envelope.digest after the edit is used.
 	digestText string
-	// versionOf returns the version to compare with expect if the object also
-	// has content of others; nil: the object's version is used.
+	// versionOf returns the version to compare with expect if the object contains
+	// several items; nil: the object's version is used.
 	versionOf  func(storedObject) store.Version
 	maxHistory int // maximum number of history entries; 0: audit.MaxEntries
 }
@@ -76,8 +76,10 @@
 	}
 }
 
-// attempt reads and writes once. If the result has no outcome, the edit must be
-// retried, and a non-nil error is the store's.
+// attempt reads and writes once. A result without outcome and without error means
+// that another change was written in between: the edit must be retried. An error
+// without outcome is that of the store or of ParseEnvelope; the edit must then be
+// retried if a write may be in flight.
 func (a *Acceptor) attempt(ctx context.Context, e *edit) (Result, error) {
 	current, err := a.read(ctx, e.objectName)
 	if err != nil {
--- a/configuration/fuzz_test.go
+++ b/configuration/fuzz_test.go
@@ -136,7 +136,8 @@
 	s.tables[i], s.served[i] = NewTable(parseTest), map[string]store.Version{}
 }
 
-// check is the oracle after each action.
+// check fails if a host serves an older version of a service than it has served
+// before. It runs after each action.
 func (s *propagation) check(t *rapid.T) {
 	for i, table := range s.tables {
 		for _, document := range table.Documents() {
--- a/configuration/organisation.go
+++ b/configuration/organisation.go
@@ -35,8 +35,9 @@
 	Name        string               `json:"name"`
 	TokenSHA256 []settings.TokenHash `json:"token_sha256"`
 	Services    []string             `json:"services,omitempty"` // empty: all services
-	// Version is the version of the organisation's last change. It is zero in
-	// the stored object that this change wrote: there it is the object's.
+	// Version is the version of the organisation's last change. The stored object
+	// written by that change has zero here, because its version was not known
+	// yet; withVersions replaces zero by the object's version.
 	Version store.Version `json:"version,omitempty"`
 }
 
--- a/configuration/table.go
+++ b/configuration/table.go
@@ -21,7 +21,8 @@
 
 func init() { prometheus.MustRegister(clashes) }
 
-// Parser parses a service document; file names it in findings.
+// Parser parses a service document. The file argument is the document's name in
+// findings.
 type Parser func(file string, data []byte) (*contract.Document, error)
 
 // Finding reports a stored object that could not be put in force.
