--- a/organisation/limits.go
+++ b/organisation/limits.go
@@ -14,7 +14,7 @@
 
 type usage struct {
 	inFlight   int
-	balance    float64   // tokens available now; negative: overdrawn
+	balance    float64   // output tokens available as of refilledAt, less those spent since; negative: overdrawn
 	refilledAt time.Time // time of the last refill; zero: never
 }
 
@@ -25,8 +25,9 @@
 // NewLimits returns an empty table.
 func NewLimits() *Limits { return &Limits{usage: map[string]*usage{}} }
 
-// Admit counts a request as in flight, or returns false and when to retry.
-// share is the fraction of the limit that this host may use, 0 to 1; see Share.
+// Admit counts a request as in flight and returns true, or returns false and the
+// delay after which to retry. share is the fraction of the limit that this host may
+// use, above 0 and below 1; any other value means the whole limit, see Share.
 func (l *Limits) Admit(limit contract.Limit, share float64, now time.Time) (retryAfter time.Duration, ok bool) {
 	u := l.usageOf(limit.Organisation)
 	if limit.MaxInFlight > 0 && u.inFlight >= Share(limit.MaxInFlight, share) {
@@ -47,7 +48,7 @@
 // Release ends a request that Admit counted as in flight.
 func (l *Limits) Release(organisation string) { l.usageOf(organisation).inFlight-- }
 
-// Spend deducts tokens from an organisation's balance. The length of a
+// Spend deducts output tokens from an organisation's balance. The length of a
 // generation is not known in advance, so the balance may become negative. No
 // further request is admitted until it is positive again, so that the limit
 // holds on average.
--- a/organisation/queue.go
+++ b/organisation/queue.go
@@ -15,7 +15,7 @@
 type Item[T any] struct {
 	Value        T
 	Organisation string
-	Priority     int
+	Priority     int       // higher is served earlier, by priorityHeadStart for each level
 	Cost         float64   // expected tokens
 	QueuedAt     time.Time // when it was added
 
@@ -31,7 +31,7 @@
 	weights func(organisation string) float64
 	orgs    map[string]*orgQueue[T]
 	active  []*orgQueue[T] // those with queued requests
-	clock   float64        // virtual time: start tag of the last request served
+	clock   float64        // virtual time: highest start tag of the requests served so far
 	length  int
 	cost    float64
 }
@@ -71,8 +71,9 @@
 }
 
 // CostAhead returns the expected number of tokens that are served before a request
-// that an organisation queues now: the cost of its own queue, plus the others'
-// fair shares in the same period, each limited to the cost of its queue.
+// that an organisation queues now: the cost of the organisation's own queue, plus
+// what each other organisation is served while that queue is served, which is its
+// fair share, at most the cost of its own queue.
 func (q *Queue[T]) CostAhead(organisation string) float64 {
 	own := q.org(organisation)
 	weight := q.weight(organisation)
@@ -120,9 +121,9 @@
 	q.Charge(item.Organisation, item.Cost)
 }
 
-// Charge adds tokens to the service that an organisation has received; a
-// negative number refunds an overestimate. It is also to be called for requests
-// that are served without being queued.
+// Charge adds tokens to the amount that an organisation has been served; a negative
+// number refunds an overestimate. Call it also for requests that are served without
+// being queued.
 func (q *Queue[T]) Charge(organisation string, tokens float64) {
 	org := q.org(organisation)
 	if tokens > 0 && len(org.items) == 0 {
--- a/organisation/queue_test.go
+++ b/organisation/queue_test.go
@@ -136,7 +136,8 @@
 			}
 		}
 		if limit.TokensPerMinute > 0 && limit.MaxInFlight > 0 {
-			// one initial minute, the refill rate, and the last generations
+			// the balance of the first minute, the tokens refilled since, and one overdraft
+			// for each request in flight and one more
 			bound := float64(limit.TokensPerMinute)*(1+now.Sub(start).Minutes()) + float64((limit.MaxInFlight+1)*largest)
 			if float64(spent) > bound {
 				t.Fatalf("%d tokens spent, bound %v", spent, bound)
