--- a/order/calls_test.go
+++ b/order/calls_test.go
@@ -11,7 +11,8 @@
 	"github.com/papayasail/papayasail/store"
 )
 
-// watchersInFleet is two hosts in each of ten failure domains.
+// watchersInFleet is the number of hosts that watch the store: two for each of ten
+// failure domains, twice as many as domain.Watchers chooses.
 const watchersInFleet = 20
 
 // Guards against a stampede of store calls that overloads the store after an outage.
--- a/order/controller.go
+++ b/order/controller.go
@@ -76,7 +76,8 @@
 func (c *Controller) Holding() bool { return c.isHolder.Load() }
 
 // Run contends for the lease and places models while it has the lease. It
-// returns the error of ctx when ctx ends, after releasing the lease.
+// returns the error of ctx when ctx ends. The lease is released first, unless an
+// order may still take effect.
 func (c *Controller) Run(ctx context.Context) error {
 	var backoff store.Backoff
 	for ctx.Err() == nil {
--- a/order/dispatcher.go
+++ b/order/dispatcher.go
@@ -78,7 +78,8 @@
 // at most MaxExecutionTime plus the time of the store operations. Errors:
 // ErrLinkNotAllowed, ErrNotHolder, *WaitError, ErrOldFence, ErrRefused,
 // ErrNotSeen, the errors of store.Store, and *backend.CallError if the order
-// was not sent.
+// was not sent. After an error of the store the order may have taken effect, with
+// its outcome not recorded.
 func (d *Dispatcher) Dispatch(ctx context.Context, held *lease.Lease, order Order) (backend.EngineState, error) {
 	address := order.Server.Address
 	if !d.claim(address) {
--- a/order/load_limiter.go
+++ b/order/load_limiter.go
@@ -64,8 +64,9 @@
 }
 
 // Take takes one load from the bucket and writes the new level to the store.
-// Errors: *WaitError, and those of lease.Lessor.Renew; after the latter the
-// load still counts as taken.
+// Errors: *WaitError, store.ErrUnavailable if ctx ends during the wait for another
+// write (no load is taken), and those of lease.Lessor.Renew, after which the load
+// still counts as taken.
 func (l *LoadLimiter) Take(ctx context.Context, lessor lease.Lessor, held *lease.Lease) error {
 	if l.perMinute <= 0 {
 		return nil
--- a/order/placement.go
+++ b/order/placement.go
@@ -123,8 +123,9 @@
 	p.workers[address] = last
 }
 
-// snapshot returns the workers as input for a plan. A worker with fewer than
-// deadAfter consecutive failed reads still counts as alive but gets no orders.
+// snapshot returns the workers as input for a plan. A worker whose state was read
+// before still counts as alive after fewer than deadAfter consecutive failed reads,
+// but gets no orders until a read succeeds.
 func (p *Placement) snapshot() map[string]Worker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/order/plan.go
+++ b/order/plan.go
@@ -24,11 +24,11 @@
 // workers are addresses; from is the failure domain of the host that would send
 // the orders.
 //
-// A model is loaded until min_workers live workers have it. Only then is another
-// version of the model unloaded, and only where no document requires it, so that
-// a rolling update never leaves fewer than min_workers workers with some version.
-// Surplus workers with the required version are left unchanged, as are models
-// that no document of the server names.
+// A model is loaded until min_workers live workers have it. Other versions of the
+// model are unloaded after that, and only on servers where no document requires
+// them. So a rolling update never leaves both the old and the new version on fewer
+// than min_workers workers. Surplus workers with the required version are left
+// unchanged, as are models that no document of the server names.
 func Plan(documents []*contract.Document, workers map[string]Worker, from string) []Order {
 	p := planner{documents: documents, workers: workers, from: from, ordered: map[string]bool{}}
 	for _, document := range documents {
--- a/order/world_test.go
+++ b/order/world_test.go
@@ -90,7 +90,8 @@
 	mu     sync.Mutex // guards all below
 	paused chan struct{}
 	dead   bool
-	// afterIntent pauses the host after the write of its next intent.
+	// afterIntent pauses the host after its next write of a server record (an
+	// intent or an outcome).
 	afterIntent bool
 }
 
