--- a/contract/document.go
+++ b/contract/document.go
@@ -11,7 +11,8 @@
 const (
 	// KindModel is a service whose backend servers are model engines.
 	KindModel Kind = "model"
-	// KindPlain is a service whose backend servers answer exact HTTP calls.
+	// KindPlain is a service whose backend servers answer ordinary HTTP
+	// calls, with one complete response.
 	KindPlain Kind = "plain"
 )
 
@@ -35,10 +36,11 @@
 type ModelSpec struct {
 	Name       string `yaml:"name"`
 	Version    string `yaml:"version"`
-	MinWorkers int    `yaml:"min_workers"` // minimum number of workers that keep it loaded
+	MinWorkers int    `yaml:"min_workers"` // minimum number of workers (backend servers of this service) that have the model loaded
 	MaxTokens  int    `yaml:"max_tokens"`  // longest output of one generation, tokens
 	// Idempotent allows entry hosts to restart a generation of which no token was
-	// delivered. Narratives are idempotent, reminder letters are not.
+	// delivered. Set it if the caller accepts a second generation, with other
+	// words: narratives are idempotent, reminder letters are not.
 	Idempotent bool `yaml:"idempotent"`
 }
 
@@ -71,7 +73,8 @@
 	Idempotent bool   `yaml:"idempotent"`
 }
 
-// Limit is the limits and the weight of one organisation at one service.
+// Limit holds the limits, the weight and the priority of one organisation at one
+// service.
 type Limit struct {
 	Organisation    string `yaml:"organisation"`
 	Weight          int    `yaml:"weight"`            // share under contention
@@ -84,7 +87,7 @@
 type Deadlines struct {
 	Queue      time.Duration `yaml:"queue"`       // longest wait for a backend server
 	FirstToken time.Duration `yaml:"first_token"` // model: longest wait for the first token
-	Gap        time.Duration `yaml:"gap"`         // model: silence after which a link is suspect
+	Gap        time.Duration `yaml:"gap"`         // model: silence of the engine after which its connection is abandoned
 	Total      time.Duration `yaml:"total"`       // plain: longest duration of a call
 }
 
@@ -122,8 +125,9 @@
 
 // AllowsOrders reports whether entry hosts of a failure domain may send orders to
 // a backend server. A server that does not authenticate senders obeys anyone who
-// can reach it, so the document must allow each link to it. For a server that
-// does, all links are allowed unless the document lists some to it.
+// can reach it, so the document must allow each link to it. A server that
+// authenticates senders accepts orders from all failure domains, unless the document
+// lists links to it: then only those are allowed.
 func (d *Document) AllowsOrders(from string, server BackendServer) bool {
 	named := false
 	for _, link := range d.OrderLinks {
--- a/contract/parse.go
+++ b/contract/parse.go
@@ -38,8 +38,8 @@
 	maxNameLength = 63
 )
 
-// References are the names to which a document may refer. References of a kind
-// whose list is nil are not checked, as in "papayasail check" without settings.
+// References are the names to which a document may refer. References whose list of
+// names is nil are not checked, for example in "papayasail check" without settings.
 type References struct {
 	FailureDomains []string
 	Organisations  []string
@@ -250,9 +250,9 @@
 	return text
 }
 
-// ValidName reports whether text is a valid name of a service, backend server or
-// entry host: at most 63 lower-case letters, digits, - and _, beginning with a
-// letter.
+// ValidName reports whether text is a valid name of a service, backend server, entry
+// host or organisation: at most 63 lower-case letters, digits, - and _, beginning
+// with a letter.
 func ValidName(text string) bool {
 	if text == "" || len(text) > maxNameLength || text[0] < 'a' || text[0] > 'z' {
 		return false
