--- a/settings/parse.go
+++ b/settings/parse.go
@@ -37,7 +37,8 @@
 )
 
 const (
-	maxBytes = 1 << 30
+	// maxLimitBytes is the highest value of body_bytes and record_bytes.
+	maxLimitBytes = 1 << 30
 	// maxKeepAlive is well below the idle time after which callers consider a
 	// connection dead (caller.DefaultSilence). Otherwise callers would
 	// repeatedly resume every idle stream.
@@ -256,9 +257,9 @@
 		return between(name, lowest, 24*time.Hour, fallback)
 	}
 	l := Limits{
-		BodyBytes:       number("body_bytes", "bytes", 1024, maxBytes, DefaultBodyBytes),
+		BodyBytes:       number("body_bytes", "bytes", 1024, maxLimitBytes, DefaultBodyBytes),
 		Records:         number("records", "records", 1, math.MaxInt32, DefaultRecords),
-		RecordBytes:     number("record_bytes", "bytes", 1024, maxBytes, DefaultRecordBytes),
+		RecordBytes:     number("record_bytes", "bytes", 1024, maxLimitBytes, DefaultRecordBytes),
 		RecordAge:       duration("record_age", time.Second, DefaultRecordAge),
 		KeepAddresses:   between("keep_addresses", time.Second, time.Hour, DefaultKeepAddresses),
 		KeepAlive:       between("keep_alive", 10*time.Millisecond, maxKeepAlive, DefaultKeepAlive),
@@ -268,6 +269,8 @@
 		LoadsPerMinute:  number("loads_per_minute", "loads", 0, 10_000, 0),
 		PeerProbePeriod: duration("peer_probe_period", 10*time.Millisecond, DefaultPeerProbePeriod),
 	}
+	// With a shorter record_age, the outcome of a key would be dropped while callers
+	// still use the key.
 	if l.RecordAge < l.KeepAddresses {
 		section.AddFinding("record_age", "is shorter than keep_addresses: a key would outlive its record")
 	}
@@ -287,8 +290,8 @@
 	}
 }
 
-// file reads a path and checks that the file exists, so that a wrong path is
-// reported before the daemon starts.
+// file reads a path and checks that the file exists, but not that it can be read, so
+// that a wrong path is reported before the daemon starts.
 func (p parser) file(m *strictyaml.Mapping, field string) string {
 	path := p.path(m.Text(field, strictyaml.Required))
 	if path == "" {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -18,7 +18,7 @@
 	PeerAddress   string   // IP:port for other entry hosts
 	Peers         []string // initial peer addresses, IP:port
 	Platform      string   // IP:port of the platform's metadata store
-	EventKey      []byte   // HMAC key of event ids and homes, the same on all entry hosts
+	EventKey      []byte   // HMAC-SHA256 key that signs event ids, the same on all entry hosts
 	// PreviousEventKeys are used to verify, never to sign, so that event ids
 	// signed by hosts with another EventKey stay valid during a key rotation.
 	PreviousEventKeys [][]byte
@@ -57,11 +57,11 @@
 	Records         int           // maximum number of outcomes stored for idempotency keys
 	RecordBytes     int           // maximum total size of answers stored for idempotency keys, bytes
 	RecordAge       time.Duration // minimum retention of an outcome
-	KeepAddresses   time.Duration // how long callers cache the address list
+	KeepAddresses   time.Duration // maximum time for which callers cache the address list; also the length of an epoch
 	KeepAlive       time.Duration // interval of keep-alive comments in an idle stream
 	WriteDeadline   time.Duration // maximum time of a blocked write to a caller
 	StopBound       time.Duration // maximum duration of a graceful stop
-	PlatformCalls   int           // platform calls per second
+	PlatformCalls   int           // maximum calls per second of this host to the platform's store
 	LoadsPerMinute  int           // model loads that the weight store allows for the whole fleet; 0: no limit
 	PeerProbePeriod time.Duration // interval between probes of other entry hosts
 }
@@ -100,7 +100,8 @@
 }
 
 // Latency returns the one-way latency between two failure domains: zero within
-// one domain, and the longest listed latency for a pair that is not listed.
+// one domain, and the longest listed latency for a pair that is not listed. It is
+// zero if no distances are listed. domain.Distances has another default.
 func (s *Settings) Latency(from, to string) time.Duration {
 	if from == to {
 		return 0
--- a/settings/token.go
+++ b/settings/token.go
@@ -39,9 +39,9 @@
 
 // Tokens maps tokens to operators and organisations. It is immutable.
 //
-// Lookups leak no timing information about valid tokens: the maps are keyed by
-// the token's SHA-256, so the time of a comparison depends on a hash that an
-// attacker cannot control byte by byte.
+// The time of a lookup reveals nothing useful about valid tokens: the maps are keyed
+// by the token's SHA-256, so the time of a comparison depends on a hash that an
+// attacker cannot choose byte by byte.
 type Tokens struct {
 	operators     map[TokenHash]Operator
 	organisations map[TokenHash]Organisation
@@ -77,7 +77,7 @@
 	return organisation, ok
 }
 
-// Holder returns the kind and name of the token's holder, given the token's hash.
+// Holder returns "operator NAME" or "organisation NAME" for the hash of a token.
 func (t *Tokens) Holder(hash TokenHash) (name string, ok bool) {
 	if operator, ok := t.operators[hash]; ok {
 		return "operator " + operator.Name, true
