--- a/fake/engine/config.go
+++ b/fake/engine/config.go
@@ -12,26 +12,26 @@
 	"github.com/papayasail/papayasail/internal/defaults"
 )
 
-// Config configures an Engine. A zero value selects the default that the field's
-// comment ends with, if any.
+// Config configures an Engine. A zero value selects the default given in the
+// field's comment, if any.
 type Config struct {
 	Name string
 	Seed uint64 // for output lengths, lost reports and lost cache events
 
-	TokenCapacity       int           // tokens that fit into memory, prompt and output: 16,384
-	MaxBatch            int           // generations in one batch: 32
-	MaxWaiting          int           // queued generations above which new ones are refused: 256
-	StepBase            time.Duration // base duration of a step: 10 ms
-	StepPerRunning      time.Duration // plus this for each running generation: 200 µs
-	StepPerPrefillToken time.Duration // plus this for each prefilled token: 20 µs
+	TokenCapacity       int           // tokens that fit into memory, prompt and output (default 16,384)
+	MaxBatch            int           // generations in one batch (default 32)
+	MaxWaiting          int           // queued generations above which new ones are refused (default 256)
+	StepBase            time.Duration // base duration of a step (default 10 ms)
+	StepPerRunning      time.Duration // plus this for each running generation (default 200 µs)
+	StepPerPrefillToken time.Duration // plus this for each prefilled token (default 20 µs)
 
-	MedianTokens int     // median output length if x_stop_after is absent: 120
-	LengthSigma  float64 // sigma of the log-normal distribution of lengths: 1.0
-	MaxTokens    int     // maximum output length: 4,096
+	MedianTokens int     // median output length if x_stop_after is absent (default 120)
+	LengthSigma  float64 // sigma of the log-normal distribution of lengths (default 1.0)
+	MaxTokens    int     // maximum output length (default 4,096)
 
-	Grace     time.Duration // cancel a generation without readers after: 10 s
-	Keep      time.Duration // keep an ended generation for resumption for: 60 s
-	KeepAlive time.Duration // interval of SSE comments on an idle stream: 1 s
+	Grace     time.Duration // time after which a generation without readers is cancelled (default 10 s)
+	Keep      time.Duration // how long an ended generation is kept for resumption (default 60 s)
+	KeepAlive time.Duration // interval of SSE comments on an idle stream (default 1 s)
 
 	// ChunksPerReport is the interval, in chunks, of load reports in a stream; 0: none.
 	ChunksPerReport int
@@ -39,7 +39,7 @@
 	ReportLoss      float64                   // ratio of load requests refused, 0 to 1
 	AlterReport     func(*backend.LoadReport) // alters each report before it is sent
 
-	CacheTokens int           // capacity of the prefix cache in tokens: 8,192
+	CacheTokens int           // capacity of the prefix cache in tokens (default 8,192)
 	CacheLag    time.Duration // delay until cache events become visible
 	CacheLoss   float64       // ratio of cache events dropped, 0 to 1
 
--- a/fake/engine/journal.go
+++ b/fake/engine/journal.go
@@ -113,7 +113,7 @@
 
 // Orders returns the orders that were executed and those that were refused because
 // of a stale fencing number, each in order.
-func (e *Engine) Orders() (taken, refused []backend.OrderRequest) {
+func (e *Engine) Orders() (executed, refused []backend.OrderRequest) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.journal.orders), slices.Clone(e.journal.refused)
--- a/fake/network/conn.go
+++ b/fake/network/conn.go
@@ -212,8 +212,8 @@
 	c.peer.breakLocked()
 }
 
-// breakLocked breaks this end. It stays in the fabric's connections until it is
-// closed, because Thaw has to wake the goroutines waiting on it if its machine is
+// breakLocked breaks this end. The broken end stays in Fabric.conns until it is
+// closed, so that Thaw can wake the goroutines that wait on it if its machine is
 // frozen.
 func (c *conn) breakLocked() {
 	c.broken = true
--- a/fake/network/fault.go
+++ b/fake/network/fault.go
@@ -93,8 +93,9 @@
 	f.linkLocked(b, a).delay = latency
 }
 
-// Freeze blocks a machine's reads, writes, accepts, dials and closes, as SIGSTOP
-// does for a process; its kernel still accepts connections and bytes.
+// Freeze blocks a machine's reads, writes, accepts and dials until Thaw, as SIGSTOP
+// does for a process. A close of a connection returns at once, and the other end
+// receives it at Thaw. The kernel still accepts connections and bytes.
 func (f *Fabric) Freeze(ip string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fake/plain/plain.go
+++ b/fake/plain/plain.go
@@ -98,7 +98,7 @@
 	s.modes = append(s.modes, modes...)
 }
 
-// ClearModes discards the modes set by Next that no call has used yet.
+// ClearModes discards the queued modes that no call has used yet.
 func (s *Service) ClearModes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
