--- a/proof/oracle.go
+++ b/proof/oracle.go
@@ -18,7 +18,7 @@
 type Oracle struct {
 	world *World
 
-	mu         sync.Mutex // guards all below, and the fields of Request and Attempt that name it
+	mu         sync.Mutex // guards the fields below, and those of Request and Attempt marked as guarded by it
 	requests   []*Request
 	bodies     int
 	violations []string
@@ -87,9 +87,9 @@
 	}
 }
 
-// endAttempt records how an attempt ended and checks that an outcome of "not
-// run" is correct: the request must not have run before the attempt began, and
-// the attempt must not have received tokens.
+// endAttempt records how an attempt ended and checks that an outcome of "not run"
+// is correct: unless the attempt resumes a stream, the request must not have run
+// before it began, and the attempt must not have received tokens in any case.
 func (o *Oracle) endAttempt(a *Attempt, refusal *contract.Refusal) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/proof/script.go
+++ b/proof/script.go
@@ -16,10 +16,10 @@
 
 // Script executes a scenario in its own world, one step per line. The steps:
 //
-//	narrative NAME tokens=N at HOST            send a request; letter, verdict and
-//	letter NAME tokens=N at HOST home HOST     reading likewise. The key of a
-//	verdict NAME at HOST home HOST             letter or verdict is created for
-//	reading NAME at HOST                       the named home
+//	narrative NAME tokens=N at HOST            send a new request
+//	letter NAME tokens=N at HOST home HOST     send a new request
+//	verdict NAME at HOST home HOST             send a new request
+//	reading NAME at HOST                       send a new request
 //	prepare KIND NAME ... at HOST home HOST    create a request and its key without sending it
 //	repeat NAME at HOST                        send the request with the same key
 //	reuse NAME as OTHER at HOST                send a different request with the same key
@@ -27,7 +27,8 @@
 //	abandon NAME                               close the caller's connections
 //	wait 2s | await                            wait for a duration, or until all attempts have ended
 //	until NAME has N tokens | until NAME runs  wait for progress
-//	kill M | start M | freeze M | thaw M       act on the process of a machine
+//	kill M | start M                           kill or start the process of a machine
+//	freeze M | thaw M                          stop or resume the network of a machine, to simulate SIGSTOP
 //	stop HOST | restart HOST                   stop or restart gracefully
 //	cut M M | silence M M | stall M M | heal   inject link faults, or end them
 //	silence-open M M                           silence the open connections only
@@ -39,13 +40,16 @@
 //	mark | new work on M                       count the work that starts on M after mark
 //	quick NAME 2s                              check that the last attempt ended within 2s
 //
-// A machine M is named host-1, engine-1, plain-1, caller, or "server-of NAME"
-// for the backend server that runs a request.
+// The key of a letter or verdict is created for the home host that the step names,
+// or for the host that the request is sent to.
+//
+// A machine M is named host-1, engine-1, plain-1, caller, or "server-of NAME" for
+// the first backend server whose newest incarnation has run the request.
 type Script struct {
 	world      *World
 	requests   map[string]*Request
 	names      []string
-	sentAtMark map[string]int // requests sent to each server before the mark
+	sentAtMark map[string]int // result of sentTo for each server at the mark
 	output     strings.Builder
 }
 
@@ -128,7 +132,7 @@
 	return fmt.Errorf("unknown step")
 }
 
-// resolve replaces "server-of NAME" with the machine that runs the request.
+// resolve replaces "server-of NAME" with the server that serverOf returns.
 func (s *Script) resolve(words []string) ([]string, error) {
 	at := slices.Index(words, "server-of")
 	if at < 0 {
@@ -141,6 +145,8 @@
 	return slices.Replace(slices.Clone(words), at, at+2, server), nil
 }
 
+// serverOf returns the first backend server whose newest incarnation has run the
+// request, or "" if there is none.
 func (s *Script) serverOf(r *Request) string {
 	for _, slot := range s.world.Engines {
 		if slot.Engine().RunsOf(r.Body) > 0 {
@@ -307,13 +313,15 @@
 	return fmt.Errorf("condition not reached within a minute")
 }
 
-// newWork writes the number of requests sent to a server since the mark,
-// accepted or not.
+// newWork writes by how much the result of sentTo for a server has grown since the
+// mark.
 func (s *Script) newWork(name string) {
 	fmt.Fprintf(&s.output, "new work there: %d\n", s.sentTo(name)-s.sentAtMark[name])
 }
 
-// sentTo returns the number of requests sent to a server so far.
+// sentTo returns the number of requests that have reached the newest incarnation
+// of a server. For an engine it includes refused starts; for a plain service only
+// calls that ran count.
 func (s *Script) sentTo(name string) int {
 	if e := s.engine(name); e != nil {
 		counters := e.Engine().Counters()
@@ -325,7 +333,7 @@
 	return 0
 }
 
-// mark records the number of requests sent to each server so far.
+// mark records the result of sentTo for each server.
 func (s *Script) mark() {
 	s.sentAtMark = map[string]int{}
 	for _, slot := range s.world.Engines {
--- a/proof/world.go
+++ b/proof/world.go
@@ -42,7 +42,7 @@
 	operatorToken       = "secret of duty" // bearer token of the only operator
 	generationRetention = 60 * time.Second // retention of an ended generation in an engine
 	unreadGrace         = 10 * time.Second // how long an engine runs a generation without a reader
-	network1            = time.Millisecond // latency between any two machines
+	linkLatency         = time.Millisecond // unused: links between machines have no latency
 	engines             = 2
 	plains              = 2
 )
