--- a/explain/explain.go
+++ b/explain/explain.go
@@ -23,7 +23,7 @@
 	CauseHostKilled     Cause = "host_killed"   // the entry host ended without a graceful stop
 	CauseHostStopped    Cause = "host_stopped"  // the entry host was stopped before the request ended
 	CauseServerFailed   Cause = "server_failed" // error response of a backend server, passed through
-	CauseLate           Cause = "late"          // served after its latency goal, or with too long a pause
+	CauseLate           Cause = "late"          // served after its latency goal, or with a gap between tokens above its goal
 	CausePrefillBacklog Cause = "full_reading"  // refused: prefill backlog of the engines too long
 	CauseMemory         Cause = "full_memory"   // refused: not enough engine memory
 	CauseSlots          Cause = "full_slots"    // refused: no free engine slots
@@ -39,7 +39,8 @@
 	Cause    Cause
 	Route    string
 	Requests int
-	// Tokens is the total length of the prompts whose length is logged.
+	// Tokens is the sum of the prompt lengths, in tokens. Prompts without a logged
+	// length count as 0.
 	Tokens int
 	// BySecond counts lost requests by the second of the loss, counted from the
 	// earliest line of the log.
@@ -51,7 +52,7 @@
 
 // Report summarises the outcomes of the requests in a log.
 type Report struct {
-	Served int     // number of requests served
+	Served int     // number of requests served in time
 	Losses []*Loss // most requests first
 	// Findings are lines that could not be parsed.
 	Findings findings.List
@@ -61,7 +62,7 @@
 // that is, all but the unavoidable losses.
 func (r *Report) MaxServedShare() float64 { return r.share(false) }
 
-// ServedShare returns the share of requests that were served.
+// ServedShare returns the share of requests that were served in time.
 func (r *Report) ServedShare() float64 { return r.share(true) }
 
 func (r *Report) share(avoidableLost bool) float64 {
@@ -239,7 +240,10 @@
 // hostEnd returns how and when the entry host of a placed generation ended. It is
 // called for generations without a final line, which means that the host was
 // killed, either while running or during a graceful stop. The time is that of
-// the host's next start, or of the placement if there is none.
+// the host's next start, or of the placement if there is none. The cause is
+// CauseHostStopped if a stop of the host was logged less than maxStopTime before
+// that time, otherwise CauseHostKilled. Without a next start, a stop after the
+// placement is therefore not considered.
 func (l *Log) hostEnd(placed *record) (Cause, time.Time) {
 	host, at := placed.RequestedBy, placed.At
 	for _, start := range l.starts[host] {
@@ -256,5 +260,6 @@
 	return CauseHostKilled, at
 }
 
-// maxStopTime is the maximum time between a stop request and the next start.
+// maxStopTime is the time within which the next start has to follow a stop for the
+// loss to be attributed to the stop.
 const maxStopTime = 15 * time.Second
--- a/explain/record.go
+++ b/explain/record.go
@@ -32,7 +32,8 @@
 	LackMemory  int    `json:"lack_memory"`
 }
 
-var errNoRecord = errors.New("explain: no structured line")
+// errInvalidRecord means that a line contains "msg" but is not a valid JSON record.
+var errInvalidRecord = errors.New("explain: no structured line")
 
 // parse parses a line. Text before the JSON record is ignored except for its
 // last word, which is the host's name in a file with the lines of several hosts;
@@ -51,7 +52,7 @@
 	}
 	r := record{Host: host}
 	if err := json.Unmarshal(line[begin:], &r); err != nil {
-		return nil, errors.CombineErrors(errNoRecord, err)
+		return nil, errors.CombineErrors(errInvalidRecord, err)
 	}
 	return &r, nil
 }
