--- a/internal/boundedlog/boundedlog.go
+++ b/internal/boundedlog/boundedlog.go
@@ -60,7 +60,8 @@
 // Dropped returns the number of dropped lines.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes the queued lines. It waits for at most one second.
+// Close writes the queued lines and ends the writer. It returns after at most one
+// second; lines that are not written by then may be lost.
 func (w *Writer) Close() {
 	w.once.Do(func() { close(w.closing) })
 	select {
--- a/internal/operatorclient/client.go
+++ b/internal/operatorclient/client.go
@@ -86,8 +86,9 @@
 	return operatorhttp.NewPutConflict(&body)
 }
 
-// Answered reports whether the error is a response from an entry host, so that
-// there is no point in trying another host.
+// Answered reports whether the error is a valid refusal by an entry host, so that
+// there is no point in trying another host. An error response without a valid
+// problem document is not one, except with status 401.
 func Answered(err error) bool {
 	var problem *operator.Problem
 	return errors.As(err, &problem) || errors.Is(err, ErrUnauthorized)
--- a/internal/strictyaml/reader.go
+++ b/internal/strictyaml/reader.go
@@ -22,8 +22,9 @@
 }
 
 // Read parses data, one mapping of at most limit bytes, and returns the mapping.
-// The mapping is never nil: after a syntax error it is empty and records no more
-// findings, so that callers need no separate error path.
+// The mapping is never nil. After an error that concerns the whole file, it is
+// empty and records no further findings, so that callers need no separate error
+// path.
 func Read(file string, data []byte, limit int) (*Reader, *Mapping) {
 	r := &Reader{file: file}
 	root, err := r.root(data, limit)
