--- a/bench/bench.go
+++ b/bench/bench.go
@@ -46,13 +46,16 @@
 	Seed     uint64    // seed of arrivals and lengths. Default 1.
 	Seeds    int       // number of runs, with Seed, Seed+1, ... Default 1.
 	Faults   string    // "none", "all", a script's file, or its lines joined by ";"
-	Quick    bool      // a smoke run that ends within 60 s
+	// Quick runs only the first load with short windows, as a smoke test that is
+	// meant to end within 60 s. It overrides Measured, Seeds and Parallel.
+	Quick    bool
 	Out      string    // file for the JSON result; none if empty
 	Progress io.Writer // destination of progress and table; none if nil
 	// Burst is "AT LENGTH LOAD", such as "10s 10s 2", where AT counts from the
 	// start of the measured window; no burst if empty.
 	Burst string
-	// Measured is the length of the measured window. Default 20 s.
+	// Measured is the length of the measured window. Default 20 s. Quick overrides
+	// it.
 	Measured time.Duration
 	// Parallel is the number of policies that run concurrently, each on its own
 	// site. Default 3.
@@ -65,7 +68,7 @@
 	// put into a stream; 0 means that streams carry no reports.
 	ChunksPerReport int
 	// PollsPerSecond is the rate at which a host polls engines for their load;
-	// 0 means the rate for a fleet of the site's size.
+	// 0: the entry host's default for the size of its fleet.
 	PollsPerSecond float64
 }
 
@@ -113,7 +116,7 @@
 		return report, err
 	}
 	if count := report.ViolationCount(); count > 0 {
-		return report, errors.Newf("bench: %d promises broken", count)
+		return report, errors.Newf("bench: %d invariant violations", count)
 	}
 	return report, nil
 }
--- a/bench/control/fleet.go
+++ b/bench/control/fleet.go
@@ -183,7 +183,8 @@
 	return nil
 }
 
-// accept puts a document in force at h and returns its version.
+// accept submits a document through h and returns the accepted version. The
+// document comes into force later.
 func (f *fleet) accept(ctx context.Context, h *host, name, text string) (store.Version, error) {
 	_, version, _ := h.table.Document(name)
 	result, err := h.acceptor.Put(ctx, configuration.Change{
@@ -193,7 +194,7 @@
 		return 0, errors.Wrap(err, "accept a document")
 	}
 	if result.Outcome != configuration.Accepted {
-		return 0, errors.Newf("document %s: %s", name, result.Outcome)
+		return 0, errors.Newf("document %s not accepted: %s", name, result.Outcome)
 	}
 	return result.Version, nil
 }
--- a/bench/deployment.go
+++ b/bench/deployment.go
@@ -106,7 +106,7 @@
 		return errors.Wrap(err, "bench: document")
 	}
 	if result.Outcome != configuration.Accepted {
-		return errors.Newf("bench: document %s", result.Outcome)
+		return errors.Newf("bench: document not accepted: %s", result.Outcome)
 	}
 	return nil
 }
--- a/bench/fault.go
+++ b/bench/fault.go
@@ -19,8 +19,9 @@
 const attemptsWithFaults = 5
 
 // script is a list of faults. Each line has the form
-// "AFTER FAULT ARGUMENT [ARGUMENT...]", where AFTER counts from the start of the
-// measured window:
+// "AFTER FAULT ARGUMENT [ARGUMENT...]", where AFTER is a duration that counts from
+// the start of the measured window. Durations have a unit, "@" stands for the
+// site's first failure domain, and lines that begin with "#" are ignored:
 //
 //	5s engine_kill 0
 //	5s engine_reclaim 1 3s
--- a/bench/meter.go
+++ b/bench/meter.go
@@ -13,8 +13,8 @@
 	// stallAfter is the gap between tokens above which a stream counts as
 	// stalled. The part of the gap above it is stall time.
 	stallAfter   = 250 * time.Millisecond
-	longestValue = int64(10 * time.Minute / time.Microsecond)
-	precision    = 3 // decimal places
+	longestValue = int64(10 * time.Minute / time.Microsecond) // µs
+	precision    = 3                                          // significant figures
 )
 
 // meter collects the measurements of one cell. It ignores values outside the
--- a/bench/network.go
+++ b/bench/network.go
@@ -39,7 +39,7 @@
 	return t.domains[address]
 }
 
-// stall delays all data from and to a failure domain until d has passed.
+// stall delays all data between a failure domain and the others until d has passed.
 func (t *topology) stall(domain string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/bench/site.go
+++ b/bench/site.go
@@ -35,7 +35,7 @@
 	targetGap          time.Duration
 	placementRisk      float64
 	// pollsPerSecond is the rate at which a host polls engines for their load;
-	// 0 means the default.
+	// 0: the entry host's default for the size of its fleet.
 	pollsPerSecond float64
 }
 
