--- a/demo/demo.go
+++ b/demo/demo.go
@@ -18,7 +18,8 @@
 const timeout = 30 * time.Second
 
 // Run runs the demo and writes its progress to out. It returns nil only if every
-// answer arrived complete, in order and exactly once.
+// scene gave the expected result: each answer complete, in order and exactly once,
+// except the one that the demo loses on purpose.
 func Run(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -57,7 +58,7 @@
 	{"exact calls", (*demonstration).exactCalls},
 	{"a changed document takes effect everywhere", (*demonstration).changeDocument},
 	{"a backend server is drained under load", (*demonstration).drainUnderLoad},
-	{"the platform's store goes away", (*demonstration).storeOutage},
+	{"the platform's store is unavailable", (*demonstration).storeOutage},
 	{"an entry host is killed in the middle of a stream", (*demonstration).killEntryHost},
 	{"an entry host stops gracefully in the middle of a letter", (*demonstration).stopEntryHost},
 }
--- a/demo/scenes.go
+++ b/demo/scenes.go
@@ -369,7 +369,7 @@
 		return err
 	}
 	if r.resumes != 0 {
-		return errors.New("the graceful stop cut the letter off")
+		return errors.New("the letter was resumed during the graceful stop")
 	}
 	select {
 	case err := <-stopped:
--- a/demo/site.go
+++ b/demo/site.go
@@ -39,7 +39,7 @@
 	keepAlive     = 500 * time.Millisecond
 	keepAddresses = 5 * time.Second
 	stopTimeout   = 20 * time.Second
-	settleTime    = 15 * time.Second // timeout of conditions that normally take seconds at most
+	settleTime    = 15 * time.Second // timeout of each awaited condition; normally it takes seconds at most
 	pollInterval  = 20 * time.Millisecond
 )
 
@@ -296,7 +296,7 @@
 	for !done() {
 		select {
 		case <-ctx.Done():
-			return errors.Newf("%s: not within %s", condition, settleTime)
+			return errors.Newf("%s: condition not met within %s", condition, settleTime)
 		case <-time.After(pollInterval):
 		}
 	}
