--- a/allocation/part_test.go
+++ b/allocation/part_test.go
@@ -83,8 +83,8 @@
 }
 
 func TestStrongHostsAllocate(t *testing.T) {
-	// Guards against an allocator that is too slow to answer: a weak host, with
-	// a fifth of a core, is chosen although its domain has a strong one.
+	// Guards against an allocator that is too slow to answer: in a domain of 60
+	// hosts with a fifth of a core and three with nearly one, a weak host is chosen.
 	is := is.New(t)
 	members := makeMembers(300)
 	for i := range members {
--- a/backend/pool_poller.go
+++ b/backend/pool_poller.go
@@ -13,12 +13,13 @@
 type LoadSource func(ctx context.Context, address string) (LoadReport, error)
 
 // DefaultMaxPolledServers is the maximum number of servers per service that a host
-// polls. It has an effect in services with more servers, such as 600 workers.
+// polls. Current fleets have fewer servers per service; it has an effect in
+// services with more, such as 600 workers.
 const DefaultMaxPolledServers = 32
 
 const (
 	pollBytes          = 512      // of one poll: request and response
-	pollBudget         = 1 << 10  // bytes/s in a large fleet: half the budget for control traffic
+	pollBudget         = 1 << 10  // bytes/s in a larger fleet: half the control budget at the target size
 	smallFleet         = 16       // entry hosts up to which smallFleetBudget applies
 	smallFleetBudget   = 32 << 10 // bytes/s
 	defaultPollEvery   = 250 * time.Millisecond
--- a/cli/app_test.go
+++ b/cli/app_test.go
@@ -47,8 +47,8 @@
   budget_percent: 10%
 `
 
-// Guards against a check that stops at the first mistake, omits positions or exits
-// with code 0, so that a script continues.
+// Guards against a check that stops at the first of five mistakes, omits positions
+// or exits with code 0, so that a script continues.
 func TestCheckPrintsAllMistakes(t *testing.T) {
 	is := is.New(t)
 	file := filepath.Join(t.TempDir(), "gauges.yaml")
--- a/contract/parse_test.go
+++ b/contract/parse_test.go
@@ -48,8 +48,8 @@
 	is.Equal(d.LimitOf("dsi").Weight, 4)
 }
 
-// Guards against a parser that stops at the first of several mistakes, which costs
-// the author one attempt per mistake. Each is reported with its position.
+// Guards against a parser that stops at the first mistake: five wrong changes in one
+// document would cost the author five attempts. Each is reported with its position.
 func TestParseDocumentReportsAllMistakesTogether(t *testing.T) {
 	is := is.New(t)
 	broken := strings.NewReplacer(
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -239,8 +239,8 @@
 	})
 }
 
-// Guards against a stopping host that refuses a request whose deadline is before
-// its own stop, which would use up the caller's only retry.
+// Guards against a stopping host that refuses a request with a deadline in five
+// seconds although it runs for seven more, which would use up the caller's only retry.
 func TestStoppingHostAcceptsRequestsThatEndBeforeIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is, w := is.New(t), newHarness()
--- a/migration/queue_test.go
+++ b/migration/queue_test.go
@@ -33,8 +33,9 @@
 }
 
 func TestOneCopyAtATimeOnEachLink(t *testing.T) {
-	// Guards against concurrent copies when two engines are reclaimed at once:
-	// they delay each other, and streams stall for 200 to 900 ms.
+	// Guards against concurrent copies when two engines with three generations
+	// each are reclaimed at once: the copies delay each other, and streams stall
+	// for 200 to 900 ms.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		q := NewQueue(func(string) []placement.Candidate {
@@ -57,8 +58,9 @@
 }
 
 func TestRunsThatEndSoonGoLast(t *testing.T) {
-	// Guards against the loss of a generation with 800 tokens (some 7 s) to go on an engine
-	// that leaves in 1.5 s, because one with 40 tokens (0.3 s) to go has the first turn.
+	// Guards against the loss of a long generation on an engine that leaves in 1.5 s: one
+	// with half a second to go (here 40 tokens) took the first turn, and one with eight
+	// seconds to go (here 800 tokens) was lost.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		q := NewQueue(func(string) []placement.Candidate { return []placement.Candidate{engine("x", true, 0)} }, time.Now)
--- a/order/load_limiter.go
+++ b/order/load_limiter.go
@@ -15,8 +15,8 @@
 // LoadLimiter is a token bucket that limits model loads to the rate of the weight
 // store, across lease holders. The bucket's level is stored in the lease.
 //
-// Guards against overload of the weight store after several takeovers, which
-// happens if each new holder starts with a full bucket. The level is therefore
+// Guards against a weight store that refuses all loads after a few takeovers
+// because each new holder starts with a full bucket. The level is therefore
 // written before the load, the bucket does not refill while there is no holder,
 // and it starts empty if no level is stored.
 type LoadLimiter struct {
--- a/organisation/queue_test.go
+++ b/organisation/queue_test.go
@@ -13,8 +13,8 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// Guards against one organisation that queues many requests at once delaying
-// all others until they are served.
+// Guards against one organisation that queues a thousand requests at once and
+// delays a small one, which queues shortly after it, until all are served.
 func TestServedTokensFollowWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := map[string]float64{}
@@ -45,8 +45,8 @@
 	})
 }
 
-// Guards against an organisation that was idle getting more than its share once
-// it is active again.
+// Guards against an organisation that was idle for an hour getting the share of
+// that hour at once when it is active again.
 func TestIdleTimeIsNotSavedUp(t *testing.T) {
 	is := is.New(t)
 	queue := NewQueue[int](func(string) float64 { return 1 })
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -28,8 +28,8 @@
 }
 
 // Guards against running a non-idempotent request twice: the connection breaks
-// before the response to a request that may have run, and the policy allows
-// retries.
+// before the response to a request that may have run, such as the
+// acknowledgement of an alarm, and the policy allows three retries.
 func TestWorkThatMayHaveRunIsNeverRepeated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := evidence(t)
@@ -93,8 +93,9 @@
 	})
 }
 
-// Guards against a retry storm: all engines fail under overload, and retries of
-// every request sustain the overload.
+// Guards against a retry storm: all engines fail under overload, each request is
+// sent four times, and this sustains the overload. Retries must stay within a
+// share of the traffic.
 func TestRetriesStayWithinTheirShareOfTraffic(t *testing.T) {
 	is := is.New(t)
 	evaluator := NewEvaluator(policy, 1)
--- a/routing/policy_forecast.go
+++ b/routing/policy_forecast.go
@@ -130,6 +130,7 @@
 //     request and any fraction of a generation expected from other hosts exceed it.
 //
 // If several hosts place on the same idle engine at once, the engine preempts.
+// A stale report is ignored, since it does not show what runs on the engine now.
 func idle(l *serverLoad, now time.Time) bool {
 	return l.running == 0 && (l.otherGenerations < 1 || !l.reportUsable(now))
 }
