--- a/order/calls_test.go
+++ b/order/calls_test.go
@@ -16,7 +16,9 @@
 const watchersInFleet = 20
 
 // Guards against a stampede of store calls that overloads the store after an outage.
-// All hosts contend for the lease (worst case); -v prints the call rates in virtual time.
+// All hosts contend for the lease (worst case); -v prints the call rates when nothing
+// changes, through an outage and at its end. They are in virtual time and the same on
+// any machine except for the jitter.
 func TestCallsOfAFleet(t *testing.T) {
 	for _, hosts := range []int{7, 25, 50, 100, 390} {
 		synctest.Test(t, func(t *testing.T) {
--- a/order/wire_test.go
+++ b/order/wire_test.go
@@ -27,7 +27,8 @@
 
 func TestDutyOverTheWire(t *testing.T) {
 	// Guards against load orders that time out because loading takes longer than an
-	// ordinary call. Uses the real client and parser and the stand-in engine.
+	// ordinary call. Uses the real client and parser and the stand-in engine, which
+	// checks the caller and honours fencing numbers.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
--- a/peer/fuzz_test.go
+++ b/peer/fuzz_test.go
@@ -43,7 +43,9 @@
 }
 
 // playSteps checks that the version on a running host never decreases, and that
-// after all links heal all hosts agree on configuration and membership.
+// after all links heal all hosts agree on configuration and membership. An
+// object may be lost on all of them if its only holder was replaced before it could
+// forward the object.
 func playSteps(t *testing.T, steps []step) {
 	f := newFleet(t, "a1", "b1", "c1")
 	defer f.stop()
